--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -8,48 +8,52 @@
 )
 
 const (
-	// Term is how long a confirmation may be used, from the sending of the query.
+	// Term is how long a confirmation is valid, counted from sending the query.
 	Term = 3 * time.Second
-	// QueryInterval is how often every voter is asked.
+	// QueryInterval is the interval between queries to each voter.
 	QueryInterval = 500 * time.Millisecond
 )
 
 // Margin is added to a period by the side that must not be the first to see it
 // end. It covers clocks that run up to 1 % fast or slow on both sides, and
-// 100 ms for a reading of the clock that is used late.
+// 100 ms between reading the clock and using the result.
 func Margin(d time.Duration) time.Duration { return d/50 + 100*time.Millisecond }
 
-// Exclusive is how long a voter that confirmed one incarnation, or a process
-// that may have done so before a restart, confirms no other one.
+// Exclusive is how long a voter that confirmed one incarnation confirms no
+// other one. It also applies after a restart, when the previous process may
+// have confirmed one.
 const Exclusive = Term + Term/50 + 100*time.Millisecond
 
-// Outgoing is a query to be sent to a voter. Store names the platform's store.
+// Outgoing is a query to be sent to Voter, which is Store for the platform's
+// store.
 type Outgoing struct {
 	Voter string
 	Query Query
 }
 
-// Start records when this process started. Before that it confirms nothing.
+// Start records the start time of this process, which confirms nothing until
+// Exclusive has passed since then.
 func Start(t *state.LeaseTable, now time.Time) {
 	t.With(func(l *state.Lease) { l.Started = now })
 }
 
-// Valid reports whether this process may spend from its shares now. It is
+// Valid reports whether this process may spend from its shares now. It must be
 // checked before every spend.
 func Valid(t *state.LeaseTable, now time.Time) bool { return t.Hold().Valid(now) }
 
 // Queries returns the queries to send to the voters now. now must not be later
-// than the moment of sending, because confirmations are counted from it.
+// than the time of sending, because the validity of confirmations is counted
+// from it.
 func Queries(tables *state.Tables, now time.Time) []Outgoing {
 	config := tables.Config.Current()
 	if config == nil {
 		return nil
 	}
 	digest := VotersOf(config, tables.Self.Name).digest()
-	names := allNames(voterSets(tables))
+	names := unionOfNames(voterSets(tables))
 	var out []Outgoing
 	tables.Lease.With(func(l *state.Lease) {
-		forgetOld(l, now)
+		dropExpiredQueries(l, now)
 		if l.Superseded {
 			return
 		}
@@ -67,8 +71,8 @@
 	return out
 }
 
-// forgetOld drops queries whose answers could no longer be used.
-func forgetOld(l *state.Lease, now time.Time) {
+// dropExpiredQueries drops queries whose answers can no longer be used.
+func dropExpiredQueries(l *state.Lease, now time.Time) {
 	for number, q := range l.Queries {
 		if now.Sub(q.SentAt) >= Term {
 			delete(l.Queries, number)
@@ -76,7 +80,7 @@
 	}
 }
 
-// Receive handles a voter's answer. Late and repeated answers have no effect.
+// Receive handles a voter's answer. Late and duplicate answers have no effect.
 func Receive(tables *state.Tables, voter string, a Answer, now time.Time) {
 	sets := voterSets(tables)
 	tables.Lease.With(func(l *state.Lease) {
@@ -88,39 +92,40 @@
 			return
 		}
 		delete(l.Queries, a.Number)
-		if !a.Confirmed || voter == Store && !storeSettled(l, now) {
+		if !a.Confirmed || voter == Store && !storeWaitElapsed(l, now) {
 			return
 		}
 		if q.SentAt.After(l.Confirmed[voter]) {
 			l.Confirmed[voter] = q.SentAt
 		}
-		extend(l, sets, now)
+		extendHold(l, sets, now)
 	})
 }
 
-// storeSettled reports whether the store's confirmations count yet. The store
-// has no clock to wait by, so the new process waits itself, until every reading
-// of the object by an earlier process is out of use.
-func storeSettled(l *state.Lease, now time.Time) bool {
+// storeWaitElapsed reports whether the store's confirmations count yet. The
+// store cannot measure the exclusive period of a confirmation, so the new
+// process waits until no earlier process can still rely on its last reading of
+// the object.
+func storeWaitElapsed(l *state.Lease, now time.Time) bool {
 	if l.StoreSince.IsZero() {
 		l.StoreSince = now
 	}
 	return now.Sub(l.StoreSince) >= Exclusive
 }
 
-// extend derives the hold from the confirmations.
-func extend(l *state.Lease, sets []Voters, now time.Time) {
+// extendHold computes the hold from the confirmations.
+func extendHold(l *state.Lease, sets []Voters, now time.Time) {
 	if l.Superseded || len(sets) == 0 {
 		return
 	}
 	held := l.Hold.Valid(now)
 	var until time.Time
 	for i, voters := range sets {
-		sent := confirmedAt(l, voters)
-		if !held && !sent[voters.toTake()-1].Add(Term).After(now) {
+		sent := confirmedSendTimes(l, voters)
+		if !held && !sent[voters.acquireQuorum()-1].Add(Term).After(now) {
 			return
 		}
-		if end := sent[voters.toRenew()-1].Add(Term); i == 0 || end.Before(until) {
+		if end := sent[voters.renewQuorum()-1].Add(Term); i == 0 || end.Before(until) {
 			until = end
 		}
 	}
@@ -132,9 +137,9 @@
 	}
 }
 
-// confirmedAt returns the sending times of the voters' latest confirmed
-// queries, the most recent first.
-func confirmedAt(l *state.Lease, voters Voters) []time.Time {
+// confirmedSendTimes returns the sending times of the voters' latest confirmed
+// queries, the latest first.
+func confirmedSendTimes(l *state.Lease, voters Voters) []time.Time {
 	var sent []time.Time
 	for _, voter := range voters.names() {
 		sent = append(sent, l.Confirmed[voter])
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -35,22 +35,22 @@
 	return t
 }
 
-// Guards against two sets of voters that both suffice for a hold and have no
-// voter in common besides the VM itself, and against a wrong number of voters.
+// Guards against two quorums that share no voter besides the VM itself, so that
+// two processes hold the lease at once, and against a wrong number of voters.
 func TestVoterSetsIntersect(t *testing.T) {
-	want := map[int]struct{ others, renew, take int }{
+	want := map[int]struct{ others, renew, acquire int }{
 		1: {1, 1, 1}, 2: {2, 1, 2}, 3: {2, 1, 2}, 4: {2, 1, 2}, 5: {4, 2, 3}, 6: {4, 2, 3}, 49: {4, 2, 3},
 	}
 	for n, w := range want {
 		v := VotersOf(configOf(1, n), "vm1")
-		if v.others() != w.others || v.toRenew() != w.renew || v.toTake() != w.take {
-			t.Errorf("%d VMs: %d voters, renew %d, take %d, want %+v", n, v.others(), v.toRenew(), v.toTake(), w)
+		if v.otherCount() != w.others || v.renewQuorum() != w.renew || v.acquireQuorum() != w.acquire {
+			t.Errorf("%d VMs: %d voters, renew %d, acquire %d, want %+v", n, v.otherCount(), v.renewQuorum(), v.acquireQuorum(), w)
 		}
 		if v.Store != (n < 3) {
 			t.Errorf("%d VMs: store votes: %v", n, v.Store)
 		}
-		if v.toRenew()+v.toTake() <= v.others() {
-			t.Errorf("%d VMs: a hold and a takeover need no voter in common", n)
+		if v.renewQuorum()+v.acquireQuorum() <= v.otherCount() {
+			t.Errorf("%d VMs: renewal and acquisition need no voter in common", n)
 		}
 	}
 }
@@ -66,8 +66,7 @@
 	}
 }
 
-// Guards against a list of voters that changes for VMs that have nothing to do
-// with an added or removed VM.
+// Guards against added or removed VMs that change the voters of unrelated VMs.
 func TestRendezvousMovesNoOtherName(t *testing.T) {
 	names := []string{"vm1", "vm2", "vm3", "vm4", "vm5"}
 	all := Rendezvous("key", names)
@@ -86,7 +85,8 @@
 	}
 }
 
-// Guards against each way in which a voter could confirm a second process.
+// Guards against a voter that confirms a second process of one name, in each
+// way in which this can come about.
 func TestConfirm(t *testing.T) {
 	config, ready := configOf(2, 3), epoch.Add(Exclusive)
 	digest := VotersOf(config, "vm1").digest()
@@ -99,14 +99,14 @@
 		want    bool
 	}{
 		{"first query", func(*state.Tables) {}, query(1), ready, true},
-		{"voter has just started", func(*state.Tables) {}, query(1), ready.Add(-1), false},
+		{"voter started recently", func(*state.Tables) {}, query(1), ready.Add(-1), false},
 		{"higher incarnation known", func(t *state.Tables) { Learn(t, "vm1", 2) }, query(1), ready, false},
 		{"lower incarnation confirmed", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(Exclusive - 1), false},
-		{"confirmation of lower one ended", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(Exclusive), true},
+		{"confirmation of lower incarnation expired", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(Exclusive), true},
 		{"voter is superseded", func(t *state.Tables) { Learn(t, "vm2", 9) }, query(1), ready, false},
 		{"old list of voters", func(*state.Tables) {}, Query{Incarnation: 1, Ticket: 1, Voters: 1}, ready, false},
 		{"newer list of voters", func(*state.Tables) {}, Query{Incarnation: 1, Ticket: 3, Voters: 1}, ready, true},
-		{"lacks an agreed ticket", func(t *state.Tables) { t.Shares.With(func(s *state.Shares) { s.Agreed = 2 }) },
+		{"lacks a ticket applied by all VMs", func(t *state.Tables) { t.Shares.With(func(s *state.Shares) { s.Agreed = 2 }) },
 			Query{Incarnation: 1, Ticket: 1, Voters: digest}, ready, false},
 	} {
 		tables := newTables("vm2", 1, config, epoch)
@@ -117,8 +117,9 @@
 	}
 }
 
-// Guards against a confirmation that is counted from its receipt, from a late or
-// repeated answer, or while the process has been replaced.
+// Guards against a confirmation that is counted from its receipt, a late or
+// duplicate answer that extends the hold, and queries by a process that has
+// been replaced.
 func TestHoldCountsFromSending(t *testing.T) {
 	tables := newTables("vm1", 1, configOf(1, 3), epoch)
 	sent := epoch.Add(time.Minute)
@@ -130,7 +131,7 @@
 	}
 	answers[0](sent.Add(time.Second))
 	if Valid(tables.Lease, sent.Add(time.Second)) {
-		t.Error("one of two other voters started the hold")
+		t.Error("one of two other voters sufficed to acquire the lease")
 	}
 	answers[1](sent.Add(time.Second))
 	answers[1](sent.Add(2 * time.Second))
@@ -143,8 +144,8 @@
 	}
 }
 
-// Guards against the store's confirmation being used while an earlier process
-// may still rely on what it read before.
+// Guards against use of the store's confirmation while an earlier process may
+// still rely on its last reading of the object.
 func TestStoreConfirmsAfterWait(t *testing.T) {
 	tables := newTables("vm1", 2, configOf(1, 1), epoch)
 	ask := func(at time.Time) {
@@ -156,15 +157,15 @@
 		Receive(tables, Store, answer, at)
 	}
 	if _, write := StoreAnswer(Query{Incarnation: 2}, 1); !write {
-		t.Error("an older incarnation in the store is not replaced")
+		t.Error("the store keeps an older incarnation")
 	}
 	ask(epoch)
 	ask(epoch.Add(Exclusive - 1))
 	if Valid(tables.Lease, epoch.Add(Exclusive-1)) {
-		t.Error("the store's confirmation counts too early")
+		t.Error("the store's confirmation is counted before the wait ended")
 	}
 	ask(epoch.Add(Exclusive))
 	if !Valid(tables.Lease, epoch.Add(Exclusive)) {
-		t.Error("the store's confirmation does not count after the wait")
+		t.Error("the store's confirmation is not counted after the wait")
 	}
 }
--- a/coordination/lease/query.go
+++ b/coordination/lease/query.go
@@ -7,9 +7,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// QueryTo returns the query to send to one voter now. It reports false if that
-// VM, or the store, is no voter of this VM. now must not be later than the
-// moment of sending, because confirmations are counted from it.
+// QueryTo returns the query to send to one voter now. It returns false if voter
+// is not one of this VM's voters or this process is superseded. now must not be
+// later than the time of sending, because the validity of the confirmation is
+// counted from it.
 func QueryTo(tables *state.Tables, voter string, now time.Time) (Query, bool) {
 	config := tables.Config.Current()
 	voters := VotersOf(config, tables.Self.Name)
@@ -19,7 +20,7 @@
 	var q Query
 	sent := false
 	tables.Lease.With(func(l *state.Lease) {
-		forgetOld(l, now)
+		dropExpiredQueries(l, now)
 		if l.Superseded {
 			return
 		}
--- a/coordination/lease/rendezvous.go
+++ b/coordination/lease/rendezvous.go
@@ -7,8 +7,8 @@
 )
 
 // Rendezvous returns the names ordered by rendezvous hashing of the key. The
-// order of two names depends on the key and on these two names only, so adding
-// or removing a name moves no other.
+// relative order of two names depends only on the key and these two names, so
+// adding or removing a name does not move the others.
 func Rendezvous(key string, names []string) []string {
 	type scored struct {
 		name  string
@@ -34,19 +34,20 @@
 	return ordered
 }
 
-// Score is the rendezvous hash of a key and a name. The same on every VM.
+// Score returns the rendezvous hash of a key and a name, which is the same on
+// every VM.
 func Score(key, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	h.Write([]byte{0})
 	h.Write([]byte(name))
-	return mix(h.Sum64())
+	return fmix64(h.Sum64())
 }
 
-// mix spreads the last bytes over the whole word, which FNV alone does not;
-// names often differ in their last digit only. The constants are those of the
-// finalizer of MurmurHash3.
-func mix(x uint64) uint64 {
+// fmix64 is the 64-bit finalizer of MurmurHash3. FNV alone does not spread the
+// last bytes over the whole word, and names often differ only in their last
+// digit.
+func fmix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/coordination/lease/voters.go
+++ b/coordination/lease/voters.go
@@ -7,23 +7,24 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Store is the name under which the platform's store takes part as a voter.
+// Store is the voter name of the platform's store.
 const Store = "(store)"
 
-// maxVoters is the largest number of voters of a VM, itself included. Five
-// tolerate two that are down.
+// maxVoters is the maximum number of voters of a VM, including itself. Five
+// voters tolerate the failure of two.
 const maxVoters = 5
 
-// Voters are those that confirm the incarnation of a VM, besides the VM itself.
+// Voters are the voters of a VM other than the VM itself.
 type Voters struct {
 	VMs   []string
 	Store bool
 }
 
-// VotersOf returns the voters of a VM under a configuration: VMs of its data
-// centre by rendezvous hashing of its name, an odd number including itself. A
-// data centre with one or two VMs adds the store. VMs that are out of service
-// may be switched off and do not vote.
+// VotersOf returns the voters of a VM under a configuration. They are VMs of
+// its data centre, selected by rendezvous hashing of its name, and their number
+// including the VM itself is odd. In a data centre with one or two VMs the
+// store votes as well. VMs that are out of service do not vote, since they may
+// be switched off.
 func VotersOf(config *state.Config, vm string) Voters {
 	if config == nil {
 		return Voters{}
@@ -47,8 +48,8 @@
 }
 
 // voterSets returns this VM's voters under every ticket that some VM may still
-// act on. A hold needs each of these sets, because another process of this VM's
-// name may act on the older ones.
+// use. A hold needs a quorum of each set, because another process of this VM's
+// name may use an older ticket.
 func voterSets(tables *state.Tables) []Voters {
 	configs := tables.Shares.Relevant()
 	if current := tables.Config.Current(); current != nil {
@@ -58,7 +59,7 @@
 	seen := make(map[uint64]bool)
 	for _, config := range configs {
 		voters := VotersOf(config, tables.Self.Name)
-		if digest := voters.digest(); voters.others() > 0 && !seen[digest] {
+		if digest := voters.digest(); voters.otherCount() > 0 && !seen[digest] {
 			seen[digest] = true
 			sets = append(sets, voters)
 		}
@@ -66,8 +67,8 @@
 	return sets
 }
 
-// allNames returns the voters of all sets, each once.
-func allNames(sets []Voters) []string {
+// unionOfNames returns the voters of all sets without duplicates.
+func unionOfNames(sets []Voters) []string {
 	var names []string
 	for _, voters := range sets {
 		for _, name := range voters.names() {
@@ -79,28 +80,29 @@
 	return names
 }
 
-// others is the number of voters besides the VM itself.
-func (v Voters) others() int {
+// otherCount returns the number of voters other than the VM itself.
+func (v Voters) otherCount() int {
 	if v.Store {
 		return len(v.VMs) + 1
 	}
 	return len(v.VMs)
 }
 
-// majority is the smallest majority of the voters, the VM itself included.
-func (v Voters) majority() int { return (v.others()+1)/2 + 1 }
+// majority returns the smallest majority of the voters, including the VM
+// itself.
+func (v Voters) majority() int { return (v.otherCount()+1)/2 + 1 }
 
-// toRenew is the number of confirmations by others that keep a hold: with the
-// process's own vote they are a majority.
-func (v Voters) toRenew() int { return v.majority() - 1 }
+// renewQuorum returns the number of confirmations by others that extend a hold.
+// Together with the process's own vote they form a majority.
+func (v Voters) renewQuorum() int { return v.majority() - 1 }
 
-// toTake is the number of confirmations by others that start a hold. The
-// process's own vote does not count here: an earlier process of the same name
-// casts that vote for itself. Any such set and any set that keeps a hold have a
-// voter in common.
-func (v Voters) toTake() int { return min(v.majority(), v.others()) }
+// acquireQuorum returns the number of confirmations by others that start a
+// hold. The process's own vote does not count, because an earlier process of
+// the same name may use that vote to extend its hold. Every acquire quorum
+// therefore shares a voter with every renew quorum.
+func (v Voters) acquireQuorum() int { return min(v.majority(), v.otherCount()) }
 
-// names returns all voters besides the VM itself.
+// names returns all voters other than the VM itself.
 func (v Voters) names() []string {
 	names := append([]string(nil), v.VMs...)
 	if v.Store {
@@ -109,7 +111,7 @@
 	return names
 }
 
-// digest tells two lists of voters apart.
+// digest returns a hash that identifies the list of voters.
 func (v Voters) digest() uint64 {
 	h := fnv.New64a()
 	for _, name := range v.names() {
