--- a/coordination/ticket/apply_test.go
+++ b/coordination/ticket/apply_test.go
@@ -22,15 +22,15 @@
 	}
 }
 
-// applied returns the object after the tickets, and its version.
+// applied returns the object after the tickets are applied, with its version.
 func applied(t *testing.T, tickets ...*Ticket) Stored {
 	t.Helper()
 	s := Stored{}
-	for _, one := range tickets {
-		a := NewApply(one, false)
+	for _, next := range tickets {
+		a := NewApply(next, false)
 		w, ok := a.Next(s).(Write)
 		if !ok {
-			t.Fatalf("ticket %d of %s was not written", one.ID.Number, one.Operator)
+			t.Fatalf("ticket %d of %s was not written", next.ID.Number, next.Operator)
 		}
 		s = Stored{Version: s.Version + 1, Object: w.Object}
 	}
@@ -46,8 +46,9 @@
 	return f.Result
 }
 
-// Guards against a ticket that is reported as failed, or applied twice, because
-// an answer was lost; and against one operator's change undone by another's.
+// Guards against a ticket that is reported as failed or applied twice because
+// an answer was lost, and against one operator's ticket undoing another's
+// changes.
 func TestOutcomes(t *testing.T) {
 	mine := newTicket(5, "amina", "rif")
 	before := newTicket(4, "brahim", "atlas")
@@ -59,16 +60,16 @@
 	}{
 		{"applied", []Event{applied(t, before), Written{}}, Applied, ""},
 		{"applied earlier", []Event{applied(t, before, mine)}, Applied, ""},
-		{"applied earlier and followed", []Event{applied(t, mine, newTicket(6, "brahim", "atlas"))}, Applied, ""},
+		{"applied earlier, then another ticket", []Event{applied(t, mine, newTicket(6, "brahim", "atlas"))}, Applied, ""},
 		{"lost answer, took effect", []Event{applied(t, before), WriteLost{}, applied(t, before, mine)}, Applied, ""},
-		{"lost answer, took effect and followed", []Event{applied(t, before), WriteLost{}, ReadFailed{}, applied(t, before, mine, newTicket(6, "brahim", "rif"))}, Applied, ""},
+		{"lost answer, took effect, then another ticket", []Event{applied(t, before), WriteLost{}, ReadFailed{}, applied(t, before, mine, newTicket(6, "brahim", "rif"))}, Applied, ""},
 		{"lost answer, took effect, retry conflicts", []Event{applied(t, before), WriteLost{}, applied(t, before), applied(t, before, mine)}, Applied, ""},
 		{"lost answer, no effect, retried", []Event{applied(t, before), WriteLost{}, applied(t, before), Written{}}, Applied, ""},
-		{"lost answer, store away", []Event{applied(t, before), WriteLost{}, ReadFailed{}, GiveUp{"deadline"}}, Unknown, "deadline"},
+		{"lost answer, store unreachable", []Event{applied(t, before), WriteLost{}, ReadFailed{}, GiveUp{"deadline"}}, Unknown, "deadline"},
 		{"lost answer, may still take effect", []Event{applied(t, before), WriteLost{}, applied(t, before), NotWritten{}, GiveUp{"deadline"}}, Unknown, "deadline"},
 		{"lost answer, another ticket in its place", []Event{applied(t, before), WriteLost{}, applied(t, before, newTicket(5, "brahim", "souss"))}, LostRace, "the number 5 was taken"},
 		{"lost answer, condition no longer met", []Event{applied(t), WriteLost{}, applied(t, before), NotWritten{}, GiveUp{"deadline"}}, NotDone, "deadline"},
-		{"store away", []Event{ReadFailed{}, ReadFailed{}, GiveUp{"deadline"}}, NotDone, "deadline"},
+		{"store unreachable", []Event{ReadFailed{}, ReadFailed{}, GiveUp{"deadline"}}, NotDone, "deadline"},
 		{"not written", []Event{applied(t, before), NotWritten{}, ReadFailed{}, GiveUp{"deadline"}}, NotDone, "deadline"},
 		{"number taken", []Event{applied(t, newTicket(5, "brahim", "rif"))}, LostRace, "the number 5 was taken"},
 		{"number passed before", []Event{applied(t, before, newTicket(7, "brahim", "rif"))}, Invalid, ""},
@@ -95,7 +96,8 @@
 	}
 }
 
-// Guards against "not applied" for a ticket whose record may have been dropped.
+// Guards against the outcome "not applied" for a ticket whose record may have
+// been dropped.
 func TestRecordDropped(t *testing.T) {
 	mine := newTicket(1, "amina", "rif")
 	a := NewApply(mine, false)
@@ -128,7 +130,7 @@
 	}
 }
 
-// Guards against a VM that goes back to an older configuration.
+// Guards against a VM that returns to an older configuration.
 func TestCompare(t *testing.T) {
 	have := state.TicketID{Number: 5, Digest: "a"}
 	for offered, want := range map[state.TicketID]Order{
@@ -140,10 +142,10 @@
 	}
 }
 
-// model is a store whose answers can be lost and whose writes can be late.
+// model is a store that can lose answers and delay writes.
 type model struct {
-	stored Stored
-	late   []Write // sent, with the answer lost before they arrived
+	stored  Stored
+	delayed []Write // sent writes that have not arrived yet; their answers are lost
 }
 
 func (m *model) write(w Write) bool {
@@ -154,7 +156,7 @@
 	return true
 }
 
-// step carries out one step of an operator's run, with a fault or without.
+// step carries out one step of an operator's run, possibly with a fault.
 func (m *model) step(t *rapid.T, a *Apply, s Step) Step {
 	fault := rapid.SampledFrom([]string{"", "", "lost", "late", "refused", "give up"}).Draw(t, "fault")
 	if fault == "give up" && rapid.Bool().Draw(t, "really") {
@@ -169,7 +171,7 @@
 	case fault == "refused":
 		return a.Next(NotWritten{})
 	case fault == "late":
-		m.late = append(m.late, w)
+		m.delayed = append(m.delayed, w)
 		return a.Next(WriteLost{})
 	case fault == "lost":
 		m.write(w)
@@ -181,9 +183,10 @@
 	}
 }
 
-// Guards against every wrong outcome of operators in a race over a store that
-// loses answers: an outcome that the store's records contradict, a number that
-// is applied twice or out of order, and a state that its latest ticket did not set.
+// Guards against wrong outcomes when operators race over a store that loses
+// answers: an outcome that contradicts the store's records, a number that is
+// applied twice or out of order, and a state that its latest ticket did not
+// set.
 func TestRaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{}
@@ -199,12 +202,12 @@
 			if _, done := steps[i].(Finish); !done {
 				steps[i] = m.step(t, applies[i], steps[i])
 			}
-			if len(m.late) > 0 && rapid.Bool().Draw(t, "late write arrives") {
-				m.write(m.late[0])
-				m.late = m.late[1:]
+			if len(m.delayed) > 0 && rapid.Bool().Draw(t, "late write arrives") {
+				m.write(m.delayed[0])
+				m.delayed = m.delayed[1:]
 			}
 		}
-		for _, w := range m.late {
+		for _, w := range m.delayed {
 			m.write(w)
 		}
 		m.check(t, applies, steps)
@@ -223,10 +226,10 @@
 	}
 	for i, a := range applies {
 		f, done := steps[i].(Finish)
-		holds := o.holds(a.ticket)
+		applied := o.hasApplied(a.ticket)
 		switch {
 		case !done || f.Result.Outcome == Unknown:
-		case holds != (f.Result.Outcome == Applied):
+		case applied != (f.Result.Outcome == Applied):
 			t.Fatalf("%s was told outcome %v; records %v", a.ticket.Operator, f.Result.Outcome, o.Records)
 		case f.Result.Outcome == LostRace && f.Result.Winner.Operator == a.ticket.Operator:
 			t.Fatalf("%s lost against itself", a.ticket.Operator)
--- a/coordination/ticket/check.go
+++ b/coordination/ticket/check.go
@@ -9,47 +9,46 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Problem is something wrong with a ticket. Path leads to the value in the
-// ticket's file; if the value is missing there, to where it belongs.
+// Problem is an error or warning about a ticket. Path is the path of the value in
+// the ticket's file. For a missing value it is the path where it belongs.
 type Problem struct {
 	Path    []string
-	Warning bool // the ticket can be applied all the same
+	Warning bool // does not prevent the ticket from being applied
 	Text    string
 }
 
-// HasErrors reports whether one of the problems is no mere warning.
+// HasErrors reports whether any of the problems is an error.
 func HasErrors(problems []Problem) bool {
 	return slices.ContainsFunc(problems, func(p Problem) bool { return !p.Warning })
 }
 
-// finding is a problem before it is attributed to a place in the ticket. Each
-// of its places begins with the kind and the name of an object; the first that
-// the ticket touches is reported.
+// finding is a problem before it is assigned to a path in the ticket. Each path
+// begins with the kind and the name of an object. The first path whose object
+// the ticket changes is reported.
 type finding struct {
-	places  [][]string
+	paths   [][]string
 	warning bool
 	text    string
 }
 
-// findings collects findings.
+// findings is a list of findings.
 type findings []finding
 
-func (f *findings) error(text string, places ...[]string) {
-	*f = append(*f, finding{places, false, text})
+func (f *findings) error(text string, paths ...[]string) {
+	*f = append(*f, finding{paths, false, text})
 }
 
-func (f *findings) warn(text string, places ...[]string) {
-	*f = append(*f, finding{places, true, text})
+func (f *findings) warn(text string, paths ...[]string) {
+	*f = append(*f, finding{paths, true, text})
 }
 
-// Check merges the ticket into the current configuration, nil for none, and
-// reports everything that is wrong with the ticket or with the result. The
-// merged configuration must not be used if there is an error among the problems.
+// Check merges the ticket into the current configuration, which may be nil, and
+// reports all problems of the ticket and of the result. The merged
+// configuration must not be used if one of the problems is an error.
 //
-// What was wrong with the current configuration before does not make the ticket
-// invalid: an old fault must not keep operators from revoking a key. Errors that
-// the ticket leaves in place become warnings; warnings that it leaves in place
-// are not repeated.
+// Errors that the current configuration already had become warnings, so that
+// they do not keep operators from revoking a key. Its warnings are not
+// repeated.
 func Check(current *state.Config, t *Ticket) (merged *state.Config, problems []Problem) {
 	if current == nil {
 		current = EmptyConfig()
@@ -64,7 +63,7 @@
 	return merged, append(problems, attribute(f, t)...)
 }
 
-// CheckAlone reports what is wrong with the ticket regardless of the current
+// CheckAlone reports the problems that do not depend on the current
 // configuration.
 func CheckAlone(t *Ticket) []Problem {
 	var f findings
@@ -73,36 +72,37 @@
 	return attribute(f, t)
 }
 
-// newFindings returns what is wrong with the merged configuration as a whole,
-// compared with the current one.
+// newFindings returns the problems of the merged configuration as a whole,
+// compared with those of the current one.
 func newFindings(current, merged *state.Config) findings {
 	known := make(map[string]bool)
 	for _, old := range checkConfig(current) {
 		known[old.text] = true
 	}
 	var f findings
-	for _, now := range checkConfig(merged) {
+	for _, added := range checkConfig(merged) {
 		switch {
-		case !known[now.text]:
-			f = append(f, now)
-		case !now.warning:
-			f.warn("already in force: "+now.text, now.places...)
+		case !known[added.text]:
+			f = append(f, added)
+		case !added.warning:
+			f.warn("already in force: "+added.text, added.paths...)
 		}
 	}
 	return f
 }
 
-// attribute turns findings into problems at places that the ticket's file has.
+// attribute assigns findings to paths that exist in the ticket's file.
 func attribute(f findings, t *Ticket) []Problem {
 	var problems []Problem
-	for _, one := range f {
-		problems = append(problems, Problem{placeIn(t, one.places), one.warning, one.text})
+	for _, item := range f {
+		problems = append(problems, Problem{reportedPath(t, item.paths), item.warning, item.text})
 	}
 	return problems
 }
 
-func placeIn(t *Ticket, places [][]string) []string {
-	for _, p := range places {
+// reportedPath returns the first path whose object the ticket sets or removes.
+func reportedPath(t *Ticket, paths [][]string) []string {
+	for _, p := range paths {
 		if len(p) < 2 {
 			return p
 		}
@@ -114,7 +114,7 @@
 			return p
 		}
 	}
-	return places[0]
+	return paths[0]
 }
 
 // sets reports whether the ticket adds or changes the object.
@@ -133,14 +133,14 @@
 	return found
 }
 
-// maxOperator is the longest name of an operator in bytes.
-const maxOperator = 100
+// maxOperatorLength is the maximum length of an operator's name in bytes.
+const maxOperatorLength = 100
 
 func checkHeader(f *findings, t *Ticket) {
 	if t.ID.Number == 0 {
 		f.error("the ticket has no number, or the number zero", []string{"ticket"})
 	}
-	checkText(f, "operator", t.Operator, maxOperator)
+	checkText(f, "operator", t.Operator, maxOperatorLength)
 	checkText(f, "reason", t.Reason, MaxReason)
 	if len(t.Touched()) == 0 {
 		f.error("the ticket changes nothing", []string{"ticket"})
@@ -148,14 +148,14 @@
 }
 
 func checkText(f *findings, name, value string, limit int) {
-	place := []string{name}
+	path := []string{name}
 	switch {
 	case strings.TrimSpace(value) == "":
-		f.error(name+" is missing", place)
+		f.error(name+" is missing", path)
 	case len(value) > limit:
-		f.error(fmt.Sprintf("%s has %d bytes; at most %d are allowed", name, len(value), limit), place)
+		f.error(fmt.Sprintf("%s has %d bytes; at most %d are allowed", name, len(value), limit), path)
 	case strings.ContainsFunc(value, unicode.IsControl):
-		f.error(name+" contains a line break or another control character", place)
+		f.error(name+" contains a line break or another control character", path)
 	}
 }
 
@@ -170,14 +170,14 @@
 	for _, kind := range Kinds {
 		names := t.Remove[kind]
 		for i, name := range names {
-			ref, place := Ref{kind, name}, []string{"remove", string(kind), fmt.Sprint(i)}
+			ref, path := Ref{kind, name}, []string{"remove", string(kind), fmt.Sprint(i)}
 			switch {
 			case slices.Index(names, name) < i:
-				f.error(fmt.Sprintf("%s is removed twice", ref), place)
+				f.error(fmt.Sprintf("%s is removed twice", ref), path)
 			case t.sets(ref):
-				f.error(fmt.Sprintf("%s is both set and removed", ref), place)
+				f.error(fmt.Sprintf("%s is both set and removed", ref), path)
 			case existing[ref] == nil:
-				f.error(fmt.Sprintf("%s does not exist", ref), place)
+				f.error(fmt.Sprintf("%s does not exist", ref), path)
 			}
 		}
 	}
--- a/coordination/ticket/check_config.go
+++ b/coordination/ticket/check_config.go
@@ -6,59 +6,60 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// maxVMs is the largest number of VMs: a term has 16 bits for the index of the
+// maxVMs is the maximum number of VMs: a term has 16 bits for the index of the
 // VM that established it.
 const maxVMs = 1 << 16
 
 // checkConfig checks a configuration as a whole: references between objects,
-// what must be unique, and what the objects can do together. Each text names the
-// objects, so that the same fault has the same text in two configurations.
+// unique values, and whether the objects can serve requests together. Each text
+// names the objects, so that the same problem has the same text in two
+// configurations.
 func checkConfig(c *state.Config) findings {
 	var f findings
 	checkUnique(&f, c)
 	checkKeys(&f, c)
-	checkServerPlaces(&f, c)
+	checkServerDataCentres(&f, c)
 	checkRouteTargets(&f, c)
-	checkGroupService(&f, c)
-	checkDataCentreService(&f, c)
+	checkGroupAvailability(&f, c)
+	checkDataCentreAvailability(&f, c)
 	checkBursts(&f, c)
 	return f
 }
 
-// register remembers the first place of each value and reports further ones.
-type register struct {
-	f    *findings
-	what string
-	seen map[string]owner
+// uniquenessCheck records the first use of each value and reports further uses.
+type uniquenessCheck struct {
+	f       *findings
+	subject string
+	seen    map[string]firstUse
 }
 
-type owner struct {
-	text  string
-	place []string
+type firstUse struct {
+	text string
+	path []string
 }
 
-func newRegister(f *findings, what string) *register {
-	return &register{f, what, make(map[string]owner)}
+func newUniquenessCheck(f *findings, subject string) *uniquenessCheck {
+	return &uniquenessCheck{f, subject, make(map[string]firstUse)}
 }
 
-func (r *register) add(value, text string, place []string) {
+func (r *uniquenessCheck) add(value, text string, path []string) {
 	first, used := r.seen[value]
 	switch {
 	case value == "":
 	case used:
-		r.f.error(fmt.Sprintf("%s %s is used twice: by %s and by %s", r.what, value, first.text, text), place, first.place)
+		r.f.error(fmt.Sprintf("%s %s is used twice: by %s and by %s", r.subject, value, first.text, text), path, first.path)
 	default:
-		r.seen[value] = owner{text, place}
+		r.seen[value] = firstUse{text, path}
 	}
 }
 
 func checkUnique(f *findings, c *state.Config) {
-	servers := newRegister(f, "server name")
-	vms := newRegister(f, "VM name")
-	addresses := newRegister(f, "address")
+	servers := newUniquenessCheck(f, "server name")
+	vms := newUniquenessCheck(f, "VM name")
+	addresses := newUniquenessCheck(f, "address")
 	for _, name := range sorted(c.Groups) {
 		for i, s := range c.Groups[name].Servers {
-			at := func(field string) []string { return path(Groups, name, "servers", fmt.Sprint(i), field) }
+			at := func(field string) []string { return objectPath(Groups, name, "servers", fmt.Sprint(i), field) }
 			text := fmt.Sprintf("server %s of group %s", s.Name, name)
 			servers.add(s.Name, "group "+name, at("name"))
 			addresses.add(s.Address, text, at("address"))
@@ -67,7 +68,7 @@
 	}
 	for _, name := range sorted(c.DataCentres) {
 		for i, vm := range c.DataCentres[name].VMs {
-			at := func(field string) []string { return path(DataCentres, name, "vms", fmt.Sprint(i), field) }
+			at := func(field string) []string { return objectPath(DataCentres, name, "vms", fmt.Sprint(i), field) }
 			text := fmt.Sprintf("VM %s of data centre %s", vm.Name, name)
 			vms.add(vm.Name, "data centre "+name, at("name"))
 			addresses.add(vm.Address, text, at("address"))
@@ -80,9 +81,9 @@
 }
 
 // checkKeys reports keys that are listed twice. Two customers with the same key
-// could each act as the other.
+// could impersonate each other.
 func checkKeys(f *findings, c *state.Config) {
-	hashes := newRegister(f, "the sha256")
+	hashes := newUniquenessCheck(f, "the sha256")
 	charged := chargedCustomers(c)
 	for _, name := range sorted(c.Customers) {
 		active := 0
@@ -94,15 +95,15 @@
 				continue
 			}
 			text := fmt.Sprintf("key %s of customer %s", k.ID, name)
-			hashes.add(fmt.Sprintf("%x", k.Hash), text, path(Customers, name, "keys", fmt.Sprint(i), "sha256"))
+			hashes.add(fmt.Sprintf("%x", k.Hash), text, objectPath(Customers, name, "keys", fmt.Sprint(i), "sha256"))
 		}
 		if active == 0 && !charged[name] {
-			f.warn(fmt.Sprintf("customer %s has no key in force and cannot connect", name), path(Customers, name, "keys"))
+			f.warn(fmt.Sprintf("customer %s has no key in force and cannot connect", name), objectPath(Customers, name, "keys"))
 		}
 	}
 }
 
-// chargedCustomers returns the customers that open routes are charged to.
+// chargedCustomers returns the customers to which open routes are charged.
 func chargedCustomers(c *state.Config) map[string]bool {
 	charged := make(map[string]bool)
 	for _, r := range c.Routes {
@@ -113,12 +114,12 @@
 	return charged
 }
 
-func checkServerPlaces(f *findings, c *state.Config) {
+func checkServerDataCentres(f *findings, c *state.Config) {
 	for _, name := range sorted(c.Groups) {
 		for i, s := range c.Groups[name].Servers {
 			if s.DataCentre != "" && c.DataCentres[s.DataCentre] == nil {
 				f.error(fmt.Sprintf("server %s of group %s is in the unknown data centre %s", s.Name, name, s.DataCentre),
-					path(Groups, name, "servers", fmt.Sprint(i), "data_centre"), path(DataCentres, s.DataCentre))
+					objectPath(Groups, name, "servers", fmt.Sprint(i), "data_centre"), objectPath(DataCentres, s.DataCentre))
 			}
 		}
 	}
@@ -129,49 +130,50 @@
 		r := c.Routes[name]
 		if r.Group != "" && c.Groups[r.Group] == nil {
 			f.error(fmt.Sprintf("route %s leads to the unknown group %s", name, r.Group),
-				path(Routes, name, "group"), path(Groups, r.Group))
+				objectPath(Routes, name, "group"), objectPath(Groups, r.Group))
 		}
 		if r.ChargedTo != "" && c.Customers[r.ChargedTo] == nil {
 			f.error(fmt.Sprintf("route %s is charged to the unknown customer %s", name, r.ChargedTo),
-				path(Routes, name, "charged_to"), path(Customers, r.ChargedTo))
+				objectPath(Routes, name, "charged_to"), objectPath(Customers, r.ChargedTo))
 		}
 		for i, customer := range r.Customers {
 			if c.Customers[customer] == nil {
 				f.error(fmt.Sprintf("route %s admits the unknown customer %s", name, customer),
-					path(Routes, name, "customers", fmt.Sprint(i)), path(Customers, customer))
+					objectPath(Routes, name, "customers", fmt.Sprint(i)), objectPath(Customers, customer))
 			}
 		}
 	}
 }
 
-// checkGroupService warns of groups that cannot work with the servers that stay
-// in service. Servers that are out count for the majority all the same.
-func checkGroupService(f *findings, c *state.Config) {
+// checkGroupAvailability warns of groups that cannot serve requests with the
+// servers that remain in service. Servers that are out still count towards the
+// number of servers of which a majority is needed.
+func checkGroupAvailability(f *findings, c *state.Config) {
 	for _, name := range sorted(c.Groups) {
 		g := c.Groups[name]
-		taking, running := 0, 0
-		places := [][]string{path(Groups, name, "servers")}
+		inService, active := 0, 0
+		paths := [][]string{objectPath(Groups, name, "servers")}
 		for i := range g.Servers {
 			switch c.ServerState(&g.Servers[i]) {
 			case state.InService:
-				taking++
-				running++
+				inService++
+				active++
 			case state.Leaving:
-				running++
+				active++
 			}
-			places = append(places, path(DataCentres, g.Servers[i].DataCentre, "state"))
+			paths = append(paths, objectPath(DataCentres, g.Servers[i].DataCentre, "state"))
 		}
 		switch {
 		case len(g.Servers) == 0:
-		case taking == 0:
-			f.warn(fmt.Sprintf("group %s takes no work: none of its %d servers is in service", name, len(g.Servers)), places...)
-		case running < g.Majority():
-			f.warn(fmt.Sprintf("group %s takes no writes: %d of its %d servers are out, and %d are needed", name, len(g.Servers)-running, len(g.Servers), g.Majority()), places...)
+		case inService == 0:
+			f.warn(fmt.Sprintf("group %s takes no work: none of its %d servers is in service", name, len(g.Servers)), paths...)
+		case active < g.Majority():
+			f.warn(fmt.Sprintf("group %s takes no writes: %d of its %d servers are out, and %d are needed", name, len(g.Servers)-active, len(g.Servers), g.Majority()), paths...)
 		}
 	}
 }
 
-func checkDataCentreService(f *findings, c *state.Config) {
+func checkDataCentreAvailability(f *findings, c *state.Config) {
 	inService := 0
 	for _, name := range sorted(c.DataCentres) {
 		d := c.DataCentres[name]
@@ -181,7 +183,7 @@
 		inService++
 		if countInService(d.VMs) == 0 {
 			f.warn(fmt.Sprintf("data centre %s is in service without a VM in service; its part of every rate is lost", name),
-				path(DataCentres, name, "vms"))
+				objectPath(DataCentres, name, "vms"))
 		}
 	}
 	if len(c.DataCentres) > 0 && inService == 0 {
@@ -199,8 +201,8 @@
 	return n
 }
 
-// checkBursts warns of bursts that leave a data centre less than one request:
-// it then serves the customer only by loans.
+// checkBursts warns of bursts whose part for each data centre is below one
+// request. A data centre can then serve the customer only with loans.
 func checkBursts(f *findings, c *state.Config) {
 	inService := 0
 	for _, d := range c.DataCentres {
@@ -211,7 +213,7 @@
 	for _, name := range sorted(c.Customers) {
 		if burst := c.Customers[name].Burst; burst >= 1 && burst < float64(inService) {
 			f.warn(fmt.Sprintf("customer %s has a burst of %v for %d data centres, less than 1 request for each", name, burst, inService),
-				path(Customers, name, "burst"))
+				objectPath(Customers, name, "burst"))
 		}
 	}
 }
--- a/coordination/ticket/check_objects.go
+++ b/coordination/ticket/check_objects.go
@@ -10,19 +10,20 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MinServeFor is the shortest limit of service to a customer while a VM is cut
-// off. Confirmations of the configuration travel by the exchange between VMs, so
-// ages of a few seconds are normal and must not lead to refusals.
+// MinServeFor is the minimum of serve_for. Confirmations of the configuration
+// travel through the exchange between VMs, so ages of a few seconds are normal
+// and must not cause refusals.
 const MinServeFor = 5 * time.Second
 
-// sorted returns the keys of a map in order, so that problems have an order.
+// sorted returns the keys of a map in order, which makes the order of problems
+// deterministic.
 func sorted[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-func path(kind Kind, name string, rest ...string) []string {
+func objectPath(kind Kind, name string, rest ...string) []string {
 	return append([]string{string(kind), name}, rest...)
 }
 
-// checkObjects checks each object that the ticket sets by itself.
+// checkObjects checks each object set by the ticket on its own.
 func checkObjects(f *findings, t *Ticket) {
 	for _, name := range sorted(t.Customers) {
 		checkCustomer(f, t.Customers[name])
@@ -38,20 +39,20 @@
 	}
 }
 
-func checkName(f *findings, name string, place []string) {
+func checkName(f *findings, name string, path []string) {
 	if err := CheckName(name); err != nil {
-		f.error(err.Error(), place)
+		f.error(err.Error(), path)
 	}
 }
 
-func checkAddress(f *findings, address string, place []string) {
+func checkAddress(f *findings, address string, path []string) {
 	if err := CheckAddress(address); err != nil {
-		f.error(err.Error(), place)
+		f.error(err.Error(), path)
 	}
 }
 
 func checkCustomer(f *findings, c *state.Customer) {
-	at := func(rest ...string) []string { return path(Customers, c.Name, rest...) }
+	at := func(rest ...string) []string { return objectPath(Customers, c.Name, rest...) }
 	checkName(f, c.Name, at())
 	if !(c.Rate > 0) || math.IsInf(c.Rate, 0) {
 		f.error(fmt.Sprintf("rate must be above zero, not %v", c.Rate), at("rate"))
@@ -88,17 +89,17 @@
 }
 
 func checkGroup(f *findings, g *state.Group) {
-	checkName(f, g.Name, path(Groups, g.Name))
-	place := path(Groups, g.Name, "servers")
+	checkName(f, g.Name, objectPath(Groups, g.Name))
+	path := objectPath(Groups, g.Name, "servers")
 	switch n := len(g.Servers); {
 	case n == 0:
-		f.error(fmt.Sprintf("group %s has no servers; at least 1 is needed", g.Name), place)
+		f.error(fmt.Sprintf("group %s has no servers; at least 1 is needed", g.Name), path)
 	case n%2 == 0:
-		f.warn(fmt.Sprintf("group %s has %d servers; writes stop when %d fail, as with %d servers", g.Name, n, n/2, n-1), place)
+		f.warn(fmt.Sprintf("group %s has %d servers; writes stop when %d fail, as with %d servers", g.Name, n, n/2, n-1), path)
 	}
 	for i := range g.Servers {
 		checkServer(f, &g.Servers[i], func(field string) []string {
-			return path(Groups, g.Name, "servers", fmt.Sprint(i), field)
+			return objectPath(Groups, g.Name, "servers", fmt.Sprint(i), field)
 		})
 	}
 }
@@ -122,16 +123,16 @@
 	checkState(f, s.State, at("state"))
 }
 
-func checkState(f *findings, s state.ServiceState, place []string) {
+func checkState(f *findings, s state.ServiceState, path []string) {
 	switch s {
 	case state.InService, state.Leaving, state.Out:
 	default:
-		f.error(fmt.Sprintf("state must be in_service, leaving or out, not %q", s), place)
+		f.error(fmt.Sprintf("state must be in_service, leaving or out, not %q", s), path)
 	}
 }
 
 func checkRoute(f *findings, r *state.Route) {
-	at := func(rest ...string) []string { return path(Routes, r.Name, rest...) }
+	at := func(rest ...string) []string { return objectPath(Routes, r.Name, rest...) }
 	checkName(f, r.Name, at())
 	if r.Group == "" {
 		f.error("group is missing", at("group"))
@@ -162,10 +163,10 @@
 }
 
 func checkDataCentre(f *findings, d *state.DataCentre) {
-	checkName(f, d.Name, path(DataCentres, d.Name))
-	checkState(f, d.State, path(DataCentres, d.Name, "state"))
+	checkName(f, d.Name, objectPath(DataCentres, d.Name))
+	checkState(f, d.State, objectPath(DataCentres, d.Name, "state"))
 	for i, vm := range d.VMs {
-		at := func(field string) []string { return path(DataCentres, d.Name, "vms", fmt.Sprint(i), field) }
+		at := func(field string) []string { return objectPath(DataCentres, d.Name, "vms", fmt.Sprint(i), field) }
 		checkName(f, vm.Name, at("name"))
 		checkAddress(f, vm.Address, at("address"))
 		if vm.AdminAddress != "" {
--- a/coordination/ticket/diff.go
+++ b/coordination/ticket/diff.go
@@ -9,37 +9,37 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Op says what happens to an object or to a part of it.
+// Op is the kind of a change to an object or field.
 type Op string
 
-// Ops.
+// Kinds of changes.
 const (
 	Add    Op = "add"
 	Change Op = "change"
 	Remove Op = "remove"
 )
 
-// Difference is what happens to one object.
+// Difference is a change to one object.
 type Difference struct {
 	Op     Op
 	Object Ref
 	Fields []FieldDifference
 }
 
-// FieldDifference is what happens to one field. Field names its place in the
-// object, such as "servers/ledger-1-a/slots". Old is empty for an added field,
-// New for a removed one.
+// FieldDifference is a change to one field. Field is its path in the object,
+// such as "servers/ledger-1-a/slots". Old is empty for an added field, New for
+// a removed one.
 type FieldDifference struct {
 	Op       Op
 	Field    string
 	Old, New string
 }
 
-// field is one value of an object in readable form.
+// field is one value of an object as text.
 type field struct{ name, value string }
 
 // Diff returns the objects that differ, ordered by kind and name. A nil
-// configuration is an empty one.
+// configuration is treated as empty.
 func Diff(before, after *state.Config) []Difference {
 	a, b := flatten(before), flatten(after)
 	var diffs []Difference
@@ -77,15 +77,15 @@
 }
 
 func diffFields(before, after []field) []FieldDifference {
-	old, now := indexFields(before), indexFields(after)
+	oldValues, newValues := indexFields(before), indexFields(after)
 	var diffs []FieldDifference
 	for _, f := range before {
-		if _, exists := now[f.name]; !exists {
+		if _, exists := newValues[f.name]; !exists {
 			diffs = append(diffs, FieldDifference{Op: Remove, Field: f.name, Old: f.value})
 		}
 	}
 	for _, f := range after {
-		value, existed := old[f.name]
+		value, existed := oldValues[f.name]
 		switch {
 		case !existed:
 			diffs = append(diffs, FieldDifference{Op: Add, Field: f.name, New: f.value})
@@ -130,17 +130,17 @@
 	}
 	switch ref.Kind {
 	case Customers:
-		return flattenIf(c.Customers[ref.Name], flattenCustomer)
+		return flattenNonNil(c.Customers[ref.Name], flattenCustomer)
 	case Groups:
-		return flattenIf(c.Groups[ref.Name], flattenGroup)
+		return flattenNonNil(c.Groups[ref.Name], flattenGroup)
 	case Routes:
-		return flattenIf(c.Routes[ref.Name], flattenRoute)
+		return flattenNonNil(c.Routes[ref.Name], flattenRoute)
 	default:
-		return flattenIf(c.DataCentres[ref.Name], flattenDataCentre)
+		return flattenNonNil(c.DataCentres[ref.Name], flattenDataCentre)
 	}
 }
 
-func flattenIf[T any](o *T, flatten func(*T) []field) ([]field, bool) {
+func flattenNonNil[T any](o *T, flatten func(*T) []field) ([]field, bool) {
 	if o == nil {
 		return nil, false
 	}
@@ -151,20 +151,20 @@
 	fields := []field{
 		{"rate", fmt.Sprint(c.Rate)},
 		{"burst", fmt.Sprint(c.Burst)},
-		{"when_cut_off/serve_for", serveFor(c.CutOff)},
+		{"when_cut_off/serve_for", formatServeFor(c.CutOff)},
 		{"when_cut_off/reason", c.CutOff.Reason},
 	}
 	for _, k := range c.Keys {
-		at := "keys/" + k.ID
-		fields = append(fields, field{at, fmt.Sprintf("sha256 %x", k.Hash)})
+		prefix := "keys/" + k.ID
+		fields = append(fields, field{prefix, fmt.Sprintf("sha256 %x", k.Hash)})
 		if k.Revoked {
-			fields = append(fields, field{at + "/revoked", "true"})
+			fields = append(fields, field{prefix + "/revoked", "true"})
 		}
 	}
 	return fields
 }
 
-func serveFor(p state.CutOffPolicy) string {
+func formatServeFor(p state.CutOffPolicy) string {
 	if p.Always {
 		return "always"
 	}
@@ -176,14 +176,14 @@
 	var fields []field
 	for i, s := range g.Servers {
 		names[i] = s.Name
-		at := "servers/" + s.Name + "/"
+		prefix := "servers/" + s.Name + "/"
 		fields = append(fields,
-			field{at + "data_centre", s.DataCentre},
-			field{at + "address", s.Address},
-			field{at + "control_address", s.ControlAddress},
-			field{at + "connections", fmt.Sprint(s.Connections)},
-			field{at + "slots", fmt.Sprint(s.Slots)},
-			field{at + "state", string(s.State)})
+			field{prefix + "data_centre", s.DataCentre},
+			field{prefix + "address", s.Address},
+			field{prefix + "control_address", s.ControlAddress},
+			field{prefix + "connections", fmt.Sprint(s.Connections)},
+			field{prefix + "slots", fmt.Sprint(s.Slots)},
+			field{prefix + "state", string(s.State)})
 	}
 	return append(fields, field{"servers", strings.Join(names, ", ")})
 }
@@ -196,10 +196,10 @@
 	if r.Open {
 		fields = append(fields, field{"open", "true"})
 	}
-	fields = appendIf(fields, "charged_to", r.ChargedTo)
-	fields = appendIf(fields, "customers", strings.Join(r.Customers, ", "))
-	fields = appendIf(fields, "max_staleness", durationIf(r.MaxStaleness))
-	return appendIf(fields, "deadline", durationIf(r.Deadline))
+	fields = appendNonEmpty(fields, "charged_to", r.ChargedTo)
+	fields = appendNonEmpty(fields, "customers", strings.Join(r.Customers, ", "))
+	fields = appendNonEmpty(fields, "max_staleness", formatDuration(r.MaxStaleness))
+	return appendNonEmpty(fields, "deadline", formatDuration(r.Deadline))
 }
 
 func flattenDataCentre(d *state.DataCentre) []field {
@@ -207,23 +207,23 @@
 	names := make([]string, len(d.VMs))
 	for i, vm := range d.VMs {
 		names[i] = vm.Name
-		at := "vms/" + vm.Name + "/"
+		prefix := "vms/" + vm.Name + "/"
 		fields = append(fields,
-			field{at + "address", vm.Address},
-			field{at + "state", string(vm.State)})
-		fields = appendIf(fields, at+"admin_address", vm.AdminAddress)
+			field{prefix + "address", vm.Address},
+			field{prefix + "state", string(vm.State)})
+		fields = appendNonEmpty(fields, prefix+"admin_address", vm.AdminAddress)
 	}
 	return append(fields, field{"vms", strings.Join(names, ", ")})
 }
 
-func appendIf(fields []field, name, value string) []field {
+func appendNonEmpty(fields []field, name, value string) []field {
 	if value == "" {
 		return fields
 	}
 	return append(fields, field{name, value})
 }
 
-func durationIf(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
--- a/coordination/ticket/names.go
+++ b/coordination/ticket/names.go
@@ -8,23 +8,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxName is the longest name in bytes: the longest identifier in PostgreSQL,
-// where customers appear as user names and routes as database names.
-const maxName = 63
+// maxNameLength is the maximum length of a name in bytes. It is that of
+// PostgreSQL identifiers, because customers appear as user names and routes as
+// database names.
+const maxNameLength = 63
 
-// maxHost is the longest host name in bytes (RFC 1035).
-const maxHost = 253
+// maxHostLength is the maximum length of a host name in bytes (RFC 1035).
+const maxHostLength = 253
 
-// CheckName reports what is wrong with the name of an object, a VM or a backend
-// server. Names are parts of paths in the store and of metric labels, so they
-// consist of ASCII letters, digits, ".", "_" and "-", and begin with a letter or
-// a digit.
+// CheckName returns an error if the name of an object, a VM or a backend server
+// is invalid. Names are used in paths of the store and in metric labels, so
+// they consist of ASCII letters, digits, ".", "_" and "-", and begin with a
+// letter or a digit.
 func CheckName(name string) error {
 	switch {
 	case name == "":
 		return eris.New("the name is missing")
-	case len(name) > maxName:
-		return eris.Errorf("the name has %d bytes; at most %d are allowed", len(name), maxName)
+	case len(name) > maxNameLength:
+		return eris.Errorf("the name has %d bytes; at most %d are allowed", len(name), maxNameLength)
 	case !isAlphanumeric(rune(name[0])):
 		return eris.Errorf("the name %q does not begin with a letter or a digit", name)
 	}
@@ -40,8 +41,8 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 }
 
-// CheckAddress reports what is wrong with a host:port address. The host is an
-// IP address or a host name; an IPv6 address stands in brackets.
+// CheckAddress returns an error if a host:port address is invalid. The host is
+// an IP address or a host name; an IPv6 address is enclosed in brackets.
 func CheckAddress(address string) error {
 	if address == "" {
 		return eris.New("the address is missing")
@@ -66,7 +67,7 @@
 		a, err := netip.ParseAddr(inner)
 		return closed && err == nil && a.Is6()
 	}
-	// A host of digits and dots that is no IP address is a mistyped one, not a name.
+	// A host of digits and dots that is not an IP address is a mistyped one.
 	if strings.Trim(host, "0123456789.") == "" {
 		_, err := netip.ParseAddr(host)
 		return err == nil
@@ -75,7 +76,7 @@
 }
 
 func validHostName(host string) bool {
-	if len(host) > maxHost {
+	if len(host) > maxHostLength {
 		return false
 	}
 	for _, label := range strings.Split(host, ".") {
--- a/coordination/ticket/names_test.go
+++ b/coordination/ticket/names_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// Guards against mistyped addresses that are accepted, and valid ones that are
-// refused.
+// Guards against accepting mistyped addresses and refusing valid ones.
 func TestCheckAddress(t *testing.T) {
 	for _, address := range []string{"10.1.0.21:7000", "[fd00::1]:7000", "localhost:1", "vm-1.fes.example:65535", "a_b:80"} {
 		if err := CheckAddress(address); err != nil {
@@ -21,7 +20,7 @@
 	}
 }
 
-// Guards against names that would not fit into a path, a metric label or the
+// Guards against names that do not fit into a path, a metric label or the
 // start-up message of a client.
 func TestCheckName(t *testing.T) {
 	for _, name := range []string{"a", "Ledger-1.b_c", "9", strings.Repeat("x", 63)} {
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -1,10 +1,10 @@
 // Package ticket decides about configuration changes: whether a ticket is
-// valid, what it changes, how its application goes on after a conflict or a
-// lost answer, and which configuration a VM moves to.
+// valid, what it changes, how its application continues after a conflict or a
+// lost answer, and which configuration a VM adopts.
 //
-// A ticket carries the whole new state of each object that it touches. It is
-// merged into the configuration in force and written back by one conditional
-// update, so it takes effect as a whole or not at all.
+// A ticket contains the complete new state of each object that it changes. It
+// is merged into the current configuration and written back with one
+// conditional update, so it takes effect atomically.
 package ticket
 
 import (
@@ -16,10 +16,11 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Kind is a kind of object. Its value is the key of such objects in files.
+// Kind is a kind of configuration object. Its value is the key of these objects
+// in files.
 type Kind string
 
-// Kinds of objects in the order in which they are listed.
+// Kinds of objects, in the order in which they are listed.
 const (
 	Customers   Kind = "customers"
 	Groups      Kind = "groups"
@@ -27,19 +28,19 @@
 	DataCentres Kind = "data_centres"
 )
 
-// Kinds lists all kinds.
+// Kinds lists all kinds in their order.
 var Kinds = []Kind{Customers, Groups, Routes, DataCentres}
 
-// Ref names an object.
+// Ref identifies an object.
 type Ref struct {
 	Kind Kind
 	Name string
 }
 
-// String gives the reference as "kind/name".
+// String returns the reference as "kind/name".
 func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
 
-// compareRefs orders references by kind and name.
+// compareRefs orders references by kind, then by name.
 func compareRefs(a, b Ref) int {
 	if a.Kind != b.Kind {
 		return slices.Index(Kinds, a.Kind) - slices.Index(Kinds, b.Kind)
@@ -47,13 +48,13 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// Ticket is a change that an operator asks for.
+// Ticket is a change requested by an operator.
 type Ticket struct {
 	ID       state.TicketID
 	Operator string
 	Reason   string
 
-	// The whole new state of each object that the ticket adds or changes.
+	// Complete new state of each object that the ticket adds or changes.
 	Customers   map[string]*state.Customer
 	Groups      map[string]*state.Group
 	Routes      map[string]*state.Route
@@ -63,35 +64,38 @@
 	Remove map[Kind][]string
 }
 
-// Record says that a ticket was applied.
+// Record is the record of an applied ticket.
 type Record struct {
 	ID          state.TicketID
 	Operator    string
 	Reason      string
 	Time        time.Time // by the operator's clock, in whole seconds
 	Changed     []string  // objects as "kind/name", at most MaxChanged
-	ChangedMore int       // number of further objects
+	ChangedMore int       // number of changed objects that Changed omits
 }
 
-// Limits of the records kept with the configuration.
+// Limits of the records stored with the configuration.
 const (
-	// MaxRecords is how many records are kept. An apply whose answer was lost finds
-	// its ticket among them, unless more tickets than that were applied since.
+	// MaxRecords is the number of records kept. After a lost answer, the record
+	// shows whether the ticket was applied, unless more tickets have been
+	// applied since.
 	MaxRecords = 100
-	// MaxChanged is how many objects a record names. 100 records of 20 names of 30
-	// bytes take 60 KB of the 1 MB that a value may have.
+	// MaxChanged is the maximum number of objects listed in a record. 100
+	// records of 20 names of 30 bytes take 60 KB of the 1 MB that a value may
+	// have.
 	MaxChanged = 20
-	// MaxReason is the longest reason in bytes, so that records stay small.
+	// MaxReason is the maximum length of a reason in bytes, which limits the
+	// size of records.
 	MaxReason = 500
 )
 
-// Object is the content of the store's object that holds the configuration.
+// Object is the content of the stored object that holds the configuration.
 type Object struct {
 	Config  *state.Config
 	Records []Record // ascending by number, at most MaxRecords
 }
 
-// EmptyConfig returns the configuration before the first ticket.
+// EmptyConfig returns the configuration that precedes the first ticket.
 func EmptyConfig() *state.Config {
 	return &state.Config{
 		Customers:   map[string]*state.Customer{},
@@ -122,8 +126,8 @@
 	return refs
 }
 
-// Merge returns the configuration with the ticket's objects put in and taken
-// out. It shares the untouched objects with the current configuration.
+// Merge returns the current configuration with the ticket's objects set and
+// removed. Unchanged objects are shared with the current configuration.
 func Merge(current *state.Config, t *Ticket) *state.Config {
 	return &state.Config{
 		Ticket:      t.ID,
@@ -146,7 +150,7 @@
 	return merged
 }
 
-// append returns the object with the ticket applied to it: the merged
+// append returns the object after the ticket is applied: the merged
 // configuration and one more record.
 func (o *Object) append(t *Ticket, merged *state.Config, at time.Time) *Object {
 	changed := changedRefs(Diff(o.Config, merged))
@@ -164,7 +168,7 @@
 	return &Object{Config: merged, Records: records}
 }
 
-// record returns the record of the ticket with the number, or nil.
+// record returns the record of the ticket with the given number, or nil.
 func (o *Object) record(number uint64) *Record {
 	for i := range o.Records {
 		if o.Records[i].ID.Number == number {
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// latest returns the newest record, or an empty one.
+// latest returns the latest record, or one without details if there is none.
 func (o *Object) latest() Record {
 	if len(o.Records) == 0 {
 		return Record{ID: o.Config.Ticket}
@@ -182,26 +186,26 @@
 	return o.Records[len(o.Records)-1]
 }
 
-// Order says how an offered configuration relates to the one in force.
+// Order is the relation of an offered configuration to the current one.
 type Order int
 
 // Orders.
 const (
-	Older    Order = iota // ignore it, and offer ours
+	Older    Order = iota // ignore it and offer the current one
 	Same                  // nothing to do
-	Newer                 // move to it
-	Diverged              // same number, other content: the store or a VM is at fault; keep ours
+	Newer                 // adopt it
+	Diverged              // same number but different content, a fault of the store or of a VM; keep the current one
 )
 
-// Compare says whether a VM moves from one configuration to another. A VM only
-// moves to a higher number; the zero TicketID is that of no configuration.
-func Compare(have, offered state.TicketID) Order {
+// Compare decides whether a VM adopts an offered configuration. A VM only
+// adopts a higher number. The zero TicketID stands for no configuration.
+func Compare(current, offered state.TicketID) Order {
 	switch {
-	case offered.Number > have.Number:
+	case offered.Number > current.Number:
 		return Newer
-	case offered.Number < have.Number:
+	case offered.Number < current.Number:
 		return Older
-	case offered.Digest != have.Digest:
+	case offered.Digest != current.Digest:
 		return Diverged
 	default:
 		return Same
