--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -33,14 +33,14 @@
 		t.Errorf("lent to two ledgers: %v", got)
 	}
 	if got := lender.Lend("l1", "1", halves("c"), minLease, afterStart+minLease/2); len(got) != 1 {
-		t.Errorf("the loan was not extended: %v", got)
+		t.Errorf("the ledger did not get an extension: %v", got)
 	}
 	if got := lender.Lend("l2", "2", halves("c"), minLease, afterStart+minLease/2+minLease); len(got) != 1 {
-		t.Errorf("not lent after the loan had ended: %v", got)
+		t.Errorf("not lent after the loan expired: %v", got)
 	}
 	// The lender is its own ledger while its share is lent.
 	if got := lender.Take(customer, 0, 1, 100, afterStart+2*minLease); got > initialTokens {
-		t.Errorf("%d tokens granted of a share that is lent", got)
+		t.Errorf("%d tokens granted of a lent share", got)
 	}
 }
 
@@ -49,7 +49,7 @@
 func TestLoansEnd(t *testing.T) {
 	ledger := NewTable(0)
 	take := func(now time.Duration) int { return ledger.Take(customer, 0, 4, 1000, now) }
-	take(afterStart) // opens the account
+	take(afterStart) // creates the account
 	ledger.Receive("a", halves("c"), minLease, afterStart)
 	ledger.Receive("b", halves("c"), minLease, afterStart)
 	// Three of four shares of 100 per second for half a second.
@@ -59,7 +59,7 @@
 	take(afterStart + minLease)
 	// Only its own share.
 	if got := take(afterStart + 2*minLease); got > 13 {
-		t.Errorf("%d tokens after the loans had ended", got)
+		t.Errorf("%d tokens after the loans expired", got)
 	}
 }
 
@@ -68,10 +68,10 @@
 	table := NewTable(afterStart)
 	table.Take(customer, 0, 1, 1000, afterStart)
 	if got := table.Take(customer, 0, 1, 1000, afterStart+minLease*9/10); got > 0 {
-		t.Errorf("%d tokens within the lease of the previous run", got)
+		t.Errorf("%d tokens during loans of the previous run", got)
 	}
 	if got := table.Take(customer, 0, 1, 1000, afterStart+3*minLease); got == 0 {
-		t.Error("no tokens after the lease of the previous run")
+		t.Error("no tokens after loans of the previous run expired")
 	}
 }
 
@@ -118,7 +118,7 @@
 	table.Lend("l", "1", halves("c"), time.Minute, afterStart) // half 0
 	now := afterStart + 400*time.Millisecond
 	if lent, kept := take(0, now), take(1, now); lent > 0 || kept < 39 || kept > 40 {
-		t.Errorf("%d tokens of the half that is lent, %d of the other one, which earns 100 a second", lent, kept)
+		t.Errorf("%d tokens of the half that is lent, %d of the other one, which earns 100 per second", lent, kept)
 	}
 }
 
@@ -128,10 +128,10 @@
 	table.Admit("c", afterStart)
 	table.GrantedLate("c", 2, afterStart)
 	if got := table.Granted("c", 0, afterStart); got != 1 {
-		t.Errorf("%d operations admitted by the tokens of a late answer", got)
+		t.Errorf("%d operations admitted by tokens of a late answer", got)
 	}
 	if a := table.Admit("c", afterStart+maxCacheAge); a.Admitted {
-		t.Error("a late token was kept for longer than its time")
+		t.Error("a late token was cached for longer than maxCacheAge")
 	}
 }
 
@@ -154,27 +154,27 @@
 		t.Fatalf("first operation: %+v", a)
 	}
 	if b := table.Admit("c", afterStart); b.Admitted || b.Ask != 0 {
-		t.Errorf("second operation while a question is under way: %+v", b)
+		t.Errorf("second operation while a request is outstanding: %+v", b)
 	}
 	if got := table.Granted("c", 1, afterStart); got != 1 {
 		t.Errorf("%d operations admitted by one token", got)
 	}
 	if got := table.AskAgain("c"); got != 1 {
-		t.Errorf("%d tokens asked for one waiting operation", got)
+		t.Errorf("%d tokens requested for one waiting operation", got)
 	}
 	if got := table.AskAgain("c"); got != 0 {
-		t.Errorf("%d tokens asked while a question is under way", got)
+		t.Errorf("%d tokens requested while a request is outstanding", got)
 	}
 	table.Granted("c", 0, afterStart)
 	table.Refuse("c", 1)
 	if got := table.AskAgain("c"); got != 0 {
-		t.Errorf("%d tokens asked for no operation", got)
+		t.Errorf("%d tokens requested for no operation", got)
 	}
 	// Tokens granted in advance expire.
 	table.Admit("c", afterStart)
 	table.Granted("c", 3, afterStart)
 	if got := table.Admit("c", afterStart+maxCacheAge); got.Admitted {
-		t.Error("a token was kept for longer than its time")
+		t.Error("a token was cached for longer than maxCacheAge")
 	}
 }
 
@@ -186,17 +186,17 @@
 	lender.Lend("l", "1", halves("c"), minLease, afterStart)
 	lender.LinkClosed("1", afterStart)
 	if got := lender.Lend("m", "3", halves("c"), minLease, afterStart); len(got) != 1 {
-		t.Error("a share stays with a ledger whose link broke")
+		t.Error("a share stays lent to a ledger whose link closed")
 	}
 	lender = NewTable(0)
 	lender.Lend("l", "1", halves("c"), minLease, afterStart)
 	lender.Lend("l", "2", halves("c"), minLease, afterStart)
 	lender.LinkClosed("1", afterStart)
 	if got := lender.Lend("m", "3", halves("c"), minLease, afterStart); len(got) != 0 {
-		t.Error("a share is lent twice after the ledger has dialled again")
+		t.Error("a share is lent twice after the ledger reconnected")
 	}
 	ledger := NewTable(0)
-	ledger.Take(customer, 0, 2, 1000, afterStart) // opens the account and empties it
+	ledger.Take(customer, 0, 2, 1000, afterStart) // creates the account and empties it
 	ledger.Receive("a", halves("c"), minLease, afterStart)
 	ledger.LenderLost("a")
 	// Its own share, half of 100 per second, for half a second.
@@ -215,7 +215,7 @@
 	table.Lend("l", "1", halves("c"), time.Minute, afterStart)
 	table.LinkClosed("1", afterStart+10*time.Second)
 	if got := take(afterStart + 10*time.Second + 100*time.Millisecond); got > 10 {
-		t.Errorf("%d tokens for 100 ms at 100 a second", got)
+		t.Errorf("%d tokens for 100 ms at 100 per second", got)
 	}
 	table.Receive("b", halves("c"), minLease, afterStart+20*time.Second)
 	table.Take(customer, 0, 2, 1000, afterStart+20*time.Second+minLease)
@@ -233,21 +233,21 @@
 func TestLedgerGivesUp(t *testing.T) {
 	lender := NewTable(0)
 	lender.Lend("l", "1", halves("c", "d"), minLease, afterStart)
-	lender.Release("l", "2", nil, afterStart) // said on another link
+	lender.Release("l", "2", nil, afterStart) // sent on another link
 	lender.Release("m", "1", nil, afterStart)
 	if got := lender.Lend("m", "3", halves("c", "d"), minLease, afterStart); len(got) != 0 {
 		t.Errorf("%v are lent twice", got)
 	}
 	lender.Release("l", "1", halves("d"), afterStart)
 	if got := lender.Lend("m", "3", halves("c", "d"), minLease, afterStart); len(got) != 1 || got[0].Customer != "c" {
-		t.Errorf("%v are free after the ledger gave up c", got)
+		t.Errorf("%v can be lent after the ledger released c", got)
 	}
 	ledger := NewTable(0)
-	ledger.Take(customer, 0, 2, 1000, afterStart) // opens the account and empties it
+	ledger.Take(customer, 0, 2, 1000, afterStart) // creates the account and empties it
 	ledger.Receive("a", halves("c"), minLease, afterStart)
 	ledger.Keep(halves("d"))
 	// Its own share, half of 100 per second, for half a second.
 	if got := ledger.Take(customer, 0, 2, 1000, afterStart+minLease/2); got > 26 {
-		t.Errorf("%d tokens with a share that was given up", got)
+		t.Errorf("%d tokens with a released share", got)
 	}
 }
--- a/coordination/ticket/apply_test.go
+++ b/coordination/ticket/apply_test.go
@@ -230,9 +230,9 @@
 		switch {
 		case !done || f.Result.Outcome == Unknown:
 		case applied != (f.Result.Outcome == Applied):
-			t.Fatalf("%s was told outcome %v; records %v", a.ticket.Operator, f.Result.Outcome, o.Records)
+			t.Fatalf("%s got outcome %v; records %v", a.ticket.Operator, f.Result.Outcome, o.Records)
 		case f.Result.Outcome == LostRace && f.Result.Winner.Operator == a.ticket.Operator:
-			t.Fatalf("%s lost against itself", a.ticket.Operator)
+			t.Fatalf("%s lost the race against itself", a.ticket.Operator)
 		}
 	}
 	for name, dc := range o.Config.DataCentres {
