--- a/state/lockrank/lockrank.go
+++ b/state/lockrank/lockrank.go
@@ -1,7 +1,7 @@
 // Package lockrank provides mutexes with a rank. A goroutine may lock a mutex
-// only if its rank is higher than every rank it already holds; the order is
-// listed in docs/design.md. The check costs a stack inspection per lock, so it
-// is enabled in tests only.
+// only if its rank is higher than every rank that the goroutine already holds.
+// The order is listed in docs/design.md. The check inspects the stack on every
+// lock, so it is enabled in tests only.
 package lockrank
 
 import (
@@ -13,15 +13,16 @@
 	"sync/atomic"
 )
 
-// Rank orders locks. Locks are taken in ascending rank.
+// Rank is the position of a lock in the lock order. Locks are acquired in
+// ascending order.
 type Rank int
 
-// Ranks of all locks in the system, in the order in which they may be taken.
+// Ranks of all locks of the system, in the order in which they may be acquired.
 const (
-	Sessions Rank = 10 // the map of sessions; the documents of the directory
-	Session  Rank = 20 // one session's state; operations that wait for tokens; the steward's groups
-	Config   Rank = 30 // the ticket in force and the freshness of the configuration
-	Members  Rank = 40 // VMs heard of
+	Sessions Rank = 10 // map of sessions; documents of the directory
+	Session  Rank = 20 // state of one session; operations that wait for tokens; groups whose failover this VM manages
+	Config   Rank = 30 // current ticket and freshness of the configuration
+	Members  Rank = 40 // known VMs
 	Lease    Rank = 50 // confirmations of this VM's incarnation
 	Shares   Rank = 60 // rate, burst and connection shares
 	Groups   Rank = 70 // views of database groups and their position waiters
@@ -29,25 +30,25 @@
 	Counters Rank = 90 // counters read by status and metrics
 )
 
-var checks atomic.Bool
+var checksEnabled atomic.Bool
 
 var held struct {
 	sync.Mutex  // guards byGoroutine
 	byGoroutine map[uint64][]Rank
 }
 
-// EnableChecks turns on the assertion of the lock order for the whole process.
-// Call it before any ranked mutex is locked, usually from TestMain.
+// EnableChecks enables the check of the lock order for the whole process. It
+// must be called before any ranked mutex is locked, usually from TestMain.
 func EnableChecks() {
 	held.Lock()
 	defer held.Unlock()
 	if held.byGoroutine == nil {
 		held.byGoroutine = make(map[uint64][]Rank)
 	}
-	checks.Store(true)
+	checksEnabled.Store(true)
 }
 
-// Mutex is a mutual exclusion lock with a rank. Create it with New.
+// Mutex is a mutual exclusion lock with a rank. It must be created with New.
 type Mutex struct {
 	mu   sync.Mutex
 	rank Rank
@@ -56,10 +57,10 @@
 // New returns an unlocked mutex of the given rank.
 func New(rank Rank) Mutex { return Mutex{rank: rank} }
 
-// Lock locks m. With checks enabled it panics if the calling goroutine already
-// holds a lock of the same or a higher rank.
+// Lock locks m. If checks are enabled, it panics if the calling goroutine
+// already holds a lock of the same or a higher rank.
 func (m *Mutex) Lock() {
-	if checks.Load() {
+	if checksEnabled.Load() {
 		acquire(m.rank)
 	}
 	m.mu.Lock()
@@ -68,7 +69,7 @@
 // Unlock unlocks m.
 func (m *Mutex) Unlock() {
 	m.mu.Unlock()
-	if checks.Load() {
+	if checksEnabled.Load() {
 		release(m.rank)
 	}
 }
@@ -104,7 +105,8 @@
 }
 
 // goroutineID parses the identifier from the first line of the stack trace,
-// "goroutine 18 [running]:". The runtime offers no other way to get it.
+// which has the form "goroutine 18 [running]:". The runtime has no other way to
+// get it.
 func goroutineID() uint64 {
 	var buf [64]byte
 	line := buf[:runtime.Stack(buf[:], false)]
--- a/state/lockrank/lockrank_test.go
+++ b/state/lockrank/lockrank_test.go
@@ -7,8 +7,8 @@
 	m.Run()
 }
 
-// Guards against a deadlock between two workers that take the same two tables
-// in opposite orders.
+// Guards against a deadlock of two workers that lock the same two tables in
+// opposite orders.
 func TestDescendingOrderPanics(t *testing.T) {
 	low, high := New(Config), New(Backends)
 	high.Lock()
@@ -21,6 +21,8 @@
 	low.Lock()
 }
 
+// Guards against a check that rejects the permitted order, or a released lock
+// that still counts as held.
 func TestAscendingOrderIsAllowed(t *testing.T) {
 	low, high := New(Config), New(Backends)
 	entered := 0
