--- a/state/statement/statement.go
+++ b/state/statement/statement.go
@@ -1,100 +1,100 @@
-// Package statement holds the typed requests of SQL sessions and the answers to
-// them, independent of any wire protocol.
+// Package statement defines the requests of SQL sessions and their answers,
+// independent of any wire protocol.
 package statement
 
 import "github.com/chestnutdyke/chestnutdyke/state"
 
-// Verb says what a request does.
+// Verb is the kind of a request.
 type Verb uint8
 
-// Verbs. Those from Discard on are sent by the proxy only.
+// Verbs. Those from Discard on are sent only by the proxy.
 const (
-	Unknown       Verb = iota // a text that the protocol does not define
-	Begin                     // begins a transaction that may write
-	BeginReadOnly             // begins a transaction that only reads
+	Unknown       Verb = iota // text that the protocol does not define
+	Begin                     // begins a read-write transaction
+	BeginReadOnly             // begins a read-only transaction
 	Commit
 	Rollback
 	Read
 	Write
-	Set     // sets a session value
-	Prepare // names a statement
+	Set     // sets a session variable
+	Prepare // creates a prepared statement
 	Execute // runs a prepared statement
-	Close   // forgets a prepared name
-	Discard // drops a connection's session values and prepared names
-	Status  // asks a backend server for its role and position
+	Close   // drops a prepared statement
+	Discard // drops a connection's session variables and prepared statements
+	Status  // queries the role and position of a backend server
 	StepDown
-	verbs
+	verbCount
 )
 
-// Valid reports whether the verb is one of this version's.
-func (v Verb) Valid() bool { return v < verbs }
+// Valid reports whether this version defines the verb.
+func (v Verb) Valid() bool { return v < verbCount }
 
-// Request is one request of a client.
+// Request is a request of a client.
 type Request struct {
 	ID   string
 	Verb Verb
-	Name string // session value or prepared statement
-	// Payload is what follows the verb (and the name), as the client sent it.
+	Name string // session variable or prepared statement
+	// Payload is the text after the verb and the name, as sent by the client.
 	Payload string
 	Writes  bool // Prepare: the statement writes
 }
 
-// Prepared is a prepared statement. Name is unique for its contents, so that
-// sessions which prepare the same statement can share it on a connection.
+// Prepared is a prepared statement. Name is derived from its contents, so that
+// sessions that prepare the same statement share it on a connection.
 type Prepared struct {
 	Name   string
 	Writes bool
 	Shape  string
 }
 
-// Value is a session value.
+// Value is a session variable with its value.
 type Value struct {
 	Name string
 	Data string
 }
 
-// Command is what is sent to a backend server.
+// Command is a command to a backend server.
 type Command struct {
-	ID      string // empty for the proxy's own commands
+	ID      string // empty for commands of the proxy itself
 	Verb    Verb
 	Name    string
 	Payload string
 	Writes  bool        // Prepare
-	After   state.Point // Read, Begin*: the server must hold this point; zero asks for nothing
+	After   state.Point // Read, Begin, BeginReadOnly: point that the server must hold; zero means none
 	Term    uint64      // StepDown
 }
 
 // Code is the outcome of a request.
 type Code uint8
 
-// Outcomes. Lost, Unreachable and Down occur inside the fleet only.
+// Outcomes. Lost, Unreachable and Down are used only inside the fleet.
 const (
 	OK               Code = iota
 	Busy                  // not run: no capacity
-	Aborted               // nothing of the transaction is kept
-	Lagging               // not run: the server lacks the point asked for
+	Aborted               // none of the transaction's changes are kept
+	Lagging               // not run: the server does not hold the requested point
 	ReadOnly              // not run: the server is not the primary
-	WrongServer           // not run: the address belongs to another server now
-	ConnectionLimit       // not run: the server takes no more connections
+	WrongServer           // not run: the address now belongs to another server
+	ConnectionLimit       // not run: the server accepts no more connections
 	InDoubt               // may have taken effect
 	Timeout               // may have taken effect
 	Failed                // ran and failed
 	Malformed             // not run: the request is not valid in this state
 	UnknownDatabase       // not run
 	AccessDenied          // not run: unknown or revoked key
-	UnknownStatement      // not run: no prepared statement of that name
-	Lost                  // sent, and the connection broke before the answer was complete
+	UnknownStatement      // not run: no prepared statement has this name
+	Lost                  // sent, but the connection broke before the answer was complete
 	Unreachable           // not sent
-	Down                  // not sent: nothing listens at the server's address
-	codes
+	Down                  // not sent: no process listens at the server's address
+	codeCount
 )
 
-var codeNames = [codes]string{
+var codeNames = [codeCount]string{
 	"ok", "busy", "aborted", "lagging", "read_only", "wrong_server", "connection_limit", "in_doubt", "timeout",
 	"failed", "malformed", "unknown_database", "access_denied", "unknown_statement", "lost", "unreachable", "down",
 }
 
-// String returns the code's name in logs and metrics.
+// String returns the name of the code in logs and metrics.
 func (c Code) String() string {
 	if !c.Valid() {
 		return "invalid"
@@ -102,10 +102,10 @@
 	return codeNames[c]
 }
 
-// Valid reports whether the code is one of this version's.
-func (c Code) Valid() bool { return c < codes }
+// Valid reports whether this version defines the code.
+func (c Code) Valid() bool { return c < codeCount }
 
-// Internal reports whether the code occurs inside the fleet only.
+// Internal reports whether the code is used only inside the fleet.
 func (c Code) Internal() bool { return c == Lost || c == Unreachable || c == Down }
 
 // NotRun reports whether the code proves that the statement did not run.
@@ -125,21 +125,21 @@
 	Idle     TxState = iota
 	InTx             // a transaction is open
 	FailedTx         // the transaction failed; only its end is accepted
-	txStates
+	txStateCount
 )
 
-// Valid reports whether the state is one of this version's.
-func (s TxState) Valid() bool { return s < txStates }
+// Valid reports whether this version defines the state.
+func (s TxState) Valid() bool { return s < txStateCount }
 
 // Answer is the complete answer to a request or command.
 type Answer struct {
 	Code      Code
-	Text      string // further words of an error
+	Text      string // details of an error
 	Rows      []string
 	Signature string      // proves which server ran the statement; empty for the proxy's own answers
 	State     TxState     // after the statement
-	At        state.Point // the server's log after the statement; zero if not known
+	At        state.Point // end of the server's log after the statement; zero if unknown
 }
 
-// Refusal returns the answer of a request that the proxy refuses itself.
+// Refusal returns the answer to a request that the proxy refuses.
 func Refusal(code Code, text string) Answer { return Answer{Code: code, Text: text} }
--- a/state/statement/work.go
+++ b/state/statement/work.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// Work is a statement for the VM that holds the customer's connections.
+// Work is a statement sent to the VM that holds the connections used for the
+// customer.
 type Work struct {
 	Customer string
 	Group    string
 	Server   string
 	Command  Command
-	// Proof asks that a read runs only on a server that leads the group: in a
-	// transaction that may write, which a server that lost the lead refuses.
+	// Proof requires that a read runs only on the group's current primary. It
+	// then runs in a read-write transaction, which a server that is no longer
+	// the primary refuses.
 	Proof bool
-	// Tx is the open transaction to run in; zero for none. With Opens the
-	// statement begins a new one, which ReadOnlyTx makes a reading one.
+	// Tx is the open transaction to run in; zero if there is none. If Opens is
+	// set, the statement begins a new one, which is read-only if ReadOnlyTx is
+	// set.
 	Tx         uint64
 	Opens      bool
 	ReadOnlyTx bool
 	Values     []Value
-	Prepared   *Prepared     // the statement that Execute needs
-	Timeout    time.Duration // from its arrival; whole milliseconds
-	Wait       time.Duration // longest wait for a connection; whole milliseconds
+	Prepared   *Prepared     // the statement required by Execute
+	Timeout    time.Duration // from arrival; whole milliseconds
+	Wait       time.Duration // maximum wait for a connection; whole milliseconds
 	Trace      Trace
 }
 
-// Trace names the span that a statement's next hop belongs to. The zero value
+// Trace identifies the parent span of the statement's next hop. The zero value
 // is not traced.
 type Trace struct {
 	TraceID [16]byte
 	SpanID  [8]byte
 }
 
-// Result answers a Work.
+// Result is the answer to a Work.
 type Result struct {
 	Answer Answer
-	Proven bool   // the server led the group while the statement ran
-	Tx     uint64 // the open transaction; zero if none is open
+	Proven bool   // the server was the group's primary while the statement ran
+	Tx     uint64 // the open transaction; zero if there is none
 }
 
 // Writes reports whether the statement changes data.
@@ -42,11 +45,13 @@
 	return w.Command.Verb == Write || w.Prepared != nil && w.Prepared.Writes
 }
 
-// Wrapped reports whether the statement needs a transaction of its own that is
-// rolled back, to prove the lead.
+// Wrapped reports whether the statement must run in a read-write transaction of
+// its own that is rolled back afterwards, to prove that the server is the
+// primary.
 func (w *Work) Wrapped() bool { return w.Proof && !w.Opens && w.Tx == 0 }
 
-// Proves reports whether success of the statement proves the lead.
+// Proves reports whether success of the statement proves that the server is the
+// primary.
 func (w *Work) Proves() bool {
 	return w.Command.Verb != Commit && (w.Writes() || w.Proof || w.Opens && !w.ReadOnlyTx)
 }
