--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -1,5 +1,6 @@
-// Package catalog holds what a VM knows of the deployment: the operators'
-// configuration, the backend servers and the data centres out of service.
+// Package catalog holds a VM's view of the deployment: the operators'
+// configuration, the backend servers and the data centres that are out of
+// service.
 package catalog
 
 import (
@@ -12,17 +13,17 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Consistency says what a read on a route must see.
+// Consistency is the guarantee that a route gives to reads.
 type Consistency uint8
 
-// Consistencies of routes.
+// Consistency levels of routes.
 const (
 	Latest         Consistency = iota // every acknowledged commit
-	BoundedStale                      // every commit acknowledged MaxStaleness ago
+	BoundedStale                      // every commit acknowledged at least MaxStaleness ago
 	ReadYourWrites                    // as BoundedStale, and every commit of the same session
 )
 
-// Route is what clients connect to by its database name.
+// Route is selected by clients through its database name.
 type Route struct {
 	Name          string
 	Database      string
@@ -32,13 +33,13 @@
 	TargetLatency time.Duration // of a whole operation
 	Priority      int           // 0 is the highest
 	Group         string
-	Public        bool // open to clients without a known key
+	Public        bool // accepts clients without a known key
 }
 
-// Customer owns keys and a limit that counts over all VMs.
+// Customer has keys and a limit that applies to all VMs together.
 type Customer struct {
 	Name  string
-	Rate  float64 // operations a second
+	Rate  float64 // operations per second
 	Burst float64 // operations
 	Keys  []state.KeyHash
 }
@@ -46,16 +47,16 @@
 // Group is a database group.
 type Group struct {
 	Name           string
-	MaxConnections int // on each of its servers, from all VMs together
+	MaxConnections int // to each of its servers, from all VMs together
 }
 
-// Config is one version of the operators' configuration. It is immutable.
+// Config is a version of the operators' configuration. It is immutable.
 type Config struct {
 	Version   uint64
 	Routes    []Route
 	Customers []Customer
 	Groups    []Group
-	TxIdle    time.Duration // a transaction that rests longer may be ended
+	TxIdle    time.Duration // transactions that are idle for longer may be ended
 
 	byDatabase map[string]*Route
 	byKey      map[state.KeyHash]*Customer
@@ -65,7 +66,7 @@
 	rateRank   map[string]int
 }
 
-// Index prepares the lookups of a decoded configuration.
+// Index builds the lookup tables of a decoded configuration.
 func (c *Config) Index() {
 	c.byDatabase = make(map[string]*Route, len(c.Routes))
 	c.byKey = make(map[state.KeyHash]*Customer)
@@ -95,10 +96,10 @@
 	}
 }
 
-// Route returns the route of a database name, or nil.
+// Route returns the route with the given database name, or nil.
 func (c *Config) Route(database string) *Route { return c.byDatabase[database] }
 
-// Holder returns the customer that holds the key, or nil.
+// Holder returns the customer to which the key belongs, or nil.
 func (c *Config) Holder(key state.KeyHash) *Customer { return c.byKey[key] }
 
 // Customer returns the named customer, or nil.
@@ -107,8 +108,8 @@
 // Group returns the named group, or nil.
 func (c *Config) Group(name string) *Group { return c.byGroup[name] }
 
-// RateRank returns the customer's place by rate, the highest first. Customers
-// that the configuration does not know come last.
+// RateRank returns the customer's index in descending order of rate. Unknown
+// customers come last.
 func (c *Config) RateRank(customer string) int {
 	if rank, known := c.rateRank[customer]; known {
 		return rank
@@ -116,44 +117,47 @@
 	return len(c.rateRank)
 }
 
-// RateShare returns the customer's part of all customers' rates, 0 to 1.
+// RateShare returns the customer's fraction of the sum of all customers' rates.
 func (c *Config) RateShare(customer string) float64 {
-	owner := c.byName[customer]
-	if owner == nil || c.totalRate <= 0 {
+	found := c.byName[customer]
+	if found == nil || c.totalRate <= 0 {
 		return 0
 	}
-	return owner.Rate / c.totalRate
+	return found.Rate / c.totalRate
 }
 
-// Server is a backend server as it registered itself.
+// Server is a backend server as registered by itself.
 type Server struct {
 	ID         string
 	Group      string
 	Address    string
 	DataCentre string
-	Primary    bool // as it sees itself
+	Primary    bool // according to the server itself
 	Draining   bool
-	Born       int64  // time of its start, Unix milliseconds
+	Born       int64  // start time, Unix milliseconds
 	Revision   uint64 // of the registration
 }
 
-// Deployment is all that the store says, as of one moment. It is immutable.
+// Deployment is the content of the store at one time, as known to this VM. It
+// is immutable.
 type Deployment struct {
-	Config  *Config            // nil until the first one is known
+	Config  *Config            // nil until a configuration is known
 	Servers map[string]*Server // by id
-	Out     map[string]bool    // data centres whose servers take nothing
-	// UnfitSince has the servers that take no new work, draining or in a data
-	// centre that is out, with the time at which this VM learned of it.
+	Out     map[string]bool    // data centres whose servers take no work
+	// UnfitSince has the servers that take no new work, because they are
+	// draining or their data centre is out of service, with the time at which
+	// this VM learned it.
 	UnfitSince map[string]time.Duration
-	// RegisteredAt is when this VM last learned of a server that it did not know.
+	// RegisteredAt is when this VM last learned of a new server.
 	RegisteredAt time.Duration
 }
 
-// handoverTime is how long a primary that should take no new work is still sent
-// what only a primary runs. Operators allow 5 s for evacuations, 7 s for draining.
-const handoverTime = 3500 * time.Millisecond
+// primaryHandoverPeriod is how long a primary that takes no new work still
+// receives operations that only a primary can run. Operators allow 5 s for
+// evacuations and 7 s for draining.
+const primaryHandoverPeriod = 3500 * time.Millisecond
 
-// GroupServers returns the servers of a group, ordered by id.
+// GroupServers returns the servers of a group sorted by ID.
 func (d *Deployment) GroupServers(group string) []*Server {
 	var servers []*Server
 	for _, s := range d.Servers {
@@ -165,17 +169,18 @@
 	return servers
 }
 
-// Usable reports whether the server may be sent new work.
+// Usable reports whether the server may receive new work.
 func (d *Deployment) Usable(s *Server) bool { return !s.Draining && !d.Out[s.DataCentre] }
 
-// UsableAsPrimary reports whether the server may be sent what only a primary
-// runs. A primary on its way out runs it until another one takes over.
+// UsableAsPrimary reports whether the server may receive operations that only a
+// primary can run. A primary that is being taken out of service runs them until
+// another server takes over, for at most primaryHandoverPeriod.
 func (d *Deployment) UsableAsPrimary(s *Server, now time.Duration) bool {
 	if d.Usable(s) {
 		return true
 	}
 	since, known := d.UnfitSince[s.ID]
-	return known && now-since < handoverTime
+	return known && now-since < primaryHandoverPeriod
 }
 
 // Table holds the current deployment. Readers take no lock, so they may hold
@@ -192,10 +197,10 @@
 	return t
 }
 
-// Current returns the deployment in force.
+// Current returns the current deployment.
 func (t *Table) Current() *Deployment { return t.current.Load() }
 
-// Update puts f's result in force.
+// Update replaces the current deployment by the result of f.
 func (t *Table) Update(f func(Deployment) Deployment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,10 +208,12 @@
 	t.current.Store(&next)
 }
 
-// Halves is the number of parts of a customer's limit, which different VMs count.
+// Halves is the number of halves of a customer's limit, which are counted by
+// different VMs.
 const Halves = 2
 
-// Half is a part of a customer's limit: an equal part of its rate and burst.
+// Half identifies a half of a customer's limit, with an equal share of its rate
+// and burst.
 type Half struct {
 	Customer string
 	Index    uint8 // less than Halves
