--- a/state/backend.go
+++ b/state/backend.go
@@ -16,7 +16,7 @@
 	Deadline time.Time
 }
 
-// BusyConn is a backend connection that a request holds.
+// BusyConn is a backend connection that is in use by a request.
 type BusyConn struct {
 	Holder WaiterID
 	Since  time.Time
@@ -26,32 +26,32 @@
 type IdleConn struct {
 	ID      ConnID
 	Since   time.Time
-	Session uint64 // that used it last; zero if none has
+	Session uint64 // session that used it last; zero if none
 }
 
 // ServerConns are this VM's connections to one backend server and the requests
 // that wait for one.
 type ServerConns struct {
 	Server   string
-	Limit    int // connections that this VM may have open, connecting ones included
+	Limit    int // connections that this VM may have open, including those being opened
 	Opening  int
 	Busy     map[ConnID]BusyConn
-	Idle     []IdleConn // the most recently used is last
+	Idle     []IdleConn // ordered by last use, the latest last
 	Waiters  []ConnWaiter
 	Virtual  float64            // virtual time of the fair queue
 	Finish   map[string]float64 // virtual finish time by customer
-	Service  time.Duration      // moving average of the time that a request holds a connection
-	Failures int                // failed attempts to connect in a row
-	RetryAt  time.Time          // no attempt to connect before this time
+	Service  time.Duration      // moving average of the time for which a request holds a connection
+	Failures int                // consecutive failed attempts to connect
+	RetryAt  time.Time          // earliest time of the next attempt to connect
 }
 
-// Open returns the number of connections that count against the limit.
+// Open returns the number of connections that count towards the limit.
 func (s *ServerConns) Open() int { return s.Opening + len(s.Busy) + len(s.Idle) }
 
-// Wanted returns the number of connections that the VM has a use for.
+// Wanted returns the number of connections that the VM can use.
 func (s *ServerConns) Wanted() int { return len(s.Busy) + len(s.Waiters) }
 
-// RetryBudget bounds the retries of requests to one database group.
+// RetryBudget limits the retries of requests to one database group.
 type RetryBudget struct {
 	Tokens  float64
 	Updated time.Time
@@ -74,8 +74,9 @@
 	}
 }
 
-// With calls f with the connections to the named server under the table's lock,
-// created with no limit if they do not exist. f must not keep them.
+// With calls f with the connections to the named server while holding the
+// table's lock. It creates them with Limit 0 if they do not exist. f must not
+// retain them.
 func (t *BackendTable) With(server string, f func(s *ServerConns)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +88,8 @@
 	f(s)
 }
 
-// Each calls f with the connections to every server under the table's lock.
+// Each calls f with the connections to every server while holding the table's
+// lock.
 func (t *BackendTable) Each(f func(s *ServerConns)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +98,8 @@
 	}
 }
 
-// Servers returns the names of the servers that the VM has or had connections to.
+// Servers returns the names of the servers that the VM has or had connections
+// to.
 func (t *BackendTable) Servers() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,8 +110,8 @@
 	return names
 }
 
-// WithRetries calls f with the retry budget of the named group under the
-// table's lock.
+// WithRetries calls f with the retry budget of the named group while holding
+// the table's lock.
 func (t *BackendTable) WithRetries(group string, f func(b *RetryBudget)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,8 +131,8 @@
 	return t.nextID
 }
 
-// Load returns the requests of this VM that run on or wait for the server, for
-// each connection that the VM may open to it.
+// Load returns the number of this VM's requests that run on or wait for the
+// server, divided by the number of connections that the VM may open to it.
 func (t *BackendTable) Load(server string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/config.go
+++ b/state/config.go
@@ -1,6 +1,6 @@
 // Package state holds the shared tables: typed data and the locks that guard
-// it. Tables know nothing of events, messages or sockets. The lock order is in
-// package lockrank.
+// it. Tables do not depend on events, messages or sockets. The lock order is
+// defined in package lockrank.
 package state
 
 import (
@@ -13,10 +13,10 @@
 // ServiceState says whether a VM, a backend server or a data centre takes work.
 type ServiceState string
 
-// Service states, as operators write them in tickets.
+// Service states as written in tickets.
 const (
-	InService ServiceState = "in_service" // takes new work
-	Leaving   ServiceState = "leaving"    // finishes its work and takes none
+	InService ServiceState = "in_service" // accepts new work
+	Leaving   ServiceState = "leaving"    // finishes its work and accepts no new work
 	Out       ServiceState = "out"        // does no work
 )
 
@@ -32,40 +32,41 @@
 // KeyHash is the SHA-256 hash of a customer's key.
 type KeyHash [32]byte
 
-// Key is one key of a customer. Only its hash is known.
+// Key is one key of a customer. Only its hash is stored.
 type Key struct {
 	ID      string
 	Hash    KeyHash
 	Revoked bool
 }
 
-// CutOffPolicy says how long a VM that hears neither the store nor a VM that
-// does goes on serving a customer whose keys may have been revoked meanwhile.
+// CutOffPolicy limits how long a partitioned VM continues to serve a customer
+// whose keys may have been revoked in the meantime. A VM is partitioned if it
+// reaches neither the store nor another VM that does.
 type CutOffPolicy struct {
-	Always   bool          // serve without limit
-	ServeFor time.Duration // limit, if not Always
-	Reason   string        // operators' reason for this choice
+	Always   bool          // no limit
+	ServeFor time.Duration // limit unless Always is set
+	Reason   string        // operators' reason for the policy
 }
 
-// Customer owns keys and a limit that counts across all VMs together.
+// Customer has keys and a limit that applies to all VMs together.
 type Customer struct {
 	Name   string
-	Rate   float64 // requests a second
+	Rate   float64 // requests per second
 	Burst  float64 // requests
 	Keys   []Key
 	CutOff CutOffPolicy
 }
 
-// Route is what clients connect to by database name.
+// Route is selected by clients through its database name.
 type Route struct {
 	Name         string
 	Group        string
 	Access       Access
-	Open         bool          // needs no key
-	ChargedTo    string        // customer whose limit open requests count against
-	Customers    []string      // customers allowed in; empty allows all
-	MaxStaleness time.Duration // age that reads accept; zero asks for read-your-writes
-	Deadline     time.Duration // longest time from arrival to answer
+	Open         bool          // requires no key
+	ChargedTo    string        // customer whose limit applies to open requests
+	Customers    []string      // customers that may use the route; empty allows all
+	MaxStaleness time.Duration // accepted staleness of reads; zero requires read-your-writes
+	Deadline     time.Duration // maximum time from arrival to answer
 }
 
 // Allows reports whether the customer may use the route.
@@ -81,24 +82,25 @@
 	return false
 }
 
-// BackendServer is one server of a database group.
+// BackendServer is a server of a database group.
 type BackendServer struct {
 	Name           string
 	DataCentre     string
 	Address        string // wire protocol, host:port
 	ControlAddress string // control interface, host:port
 	Connections    int    // limit for all VMs together
-	Slots          int    // requests that the server runs at once
+	Slots          int    // requests that the server runs concurrently
 	State          ServiceState
 }
 
-// Group is a database group: one primary and its replicas.
+// Group is a database group, which consists of one primary and its replicas.
 type Group struct {
 	Name    string
 	Servers []BackendServer
 }
 
-// Majority is the number of servers that every two majorities share one of.
+// Majority returns the smallest number of servers such that any two sets of
+// this size share a server.
 func (g *Group) Majority() int { return len(g.Servers)/2 + 1 }
 
 // Server returns the named server, or nil.
@@ -111,11 +113,11 @@
 	return nil
 }
 
-// VM is one process of the system, as described by operators.
+// VM is one process of the system, as configured by operators.
 type VM struct {
 	Name         string
 	Address      string // peer interface, host:port
-	AdminAddress string // admin interface, host:port; empty if operators reach it in no such way
+	AdminAddress string // admin interface, host:port; empty if operators have no access to it
 	State        ServiceState
 }
 
@@ -127,15 +129,15 @@
 	VMs    []VM
 }
 
-// TicketID identifies a ticket. Number orders tickets; Digest tells two tickets
-// with the same number apart.
+// TicketID identifies a ticket. Number orders tickets; Digest distinguishes two
+// tickets with the same number.
 type TicketID struct {
 	Number uint64
 	Digest string
 }
 
-// Config is the whole state that tickets describe. It is immutable once
-// published; every change makes a new value.
+// Config is the whole configuration described by tickets. It is immutable once
+// published; every change creates a new value.
 type Config struct {
 	Ticket      TicketID
 	Customers   map[string]*Customer
@@ -156,7 +158,7 @@
 	return nil, nil
 }
 
-// VMIndex returns the position of the named VM among all VMs in order of name.
+// VMIndex returns the index of the named VM among all VMs sorted by name.
 func (c *Config) VMIndex(name string) (index int, listed bool) {
 	for _, dc := range c.DataCentres {
 		for i := range dc.VMs {
@@ -186,8 +188,8 @@
 	return names[index], true
 }
 
-// ServerState returns the state of a backend server with its data centre taken
-// into account: a server is in service only if its data centre is.
+// ServerState returns the effective state of a backend server: a server is in
+// service only if its data centre is.
 func (c *Config) ServerState(s *BackendServer) ServiceState {
 	if dc := c.DataCentres[s.DataCentre]; dc != nil && dc.State != InService {
 		return dc.State
@@ -195,14 +197,14 @@
 	return s.State
 }
 
-// Freshness says how recently the configuration was confirmed.
+// Freshness describes how recently the configuration was confirmed.
 type Freshness struct {
-	ConfirmedAt  time.Time // latest time at which the store confirmed it to us or to a VM we heard
-	StoreDown    bool      // no VM of any data centre reaches the store, and all data centres are heard
+	ConfirmedAt  time.Time // latest time at which the store confirmed it to this VM or to one that informed this VM
+	StoreDown    bool      // no VM of any data centre reaches the store, and this VM has contact with all data centres
 	StoreReached bool      // this VM reaches the store
 }
 
-// ConfigTable holds the configuration in force.
+// ConfigTable holds the current configuration.
 type ConfigTable struct {
 	mu        lockrank.Mutex // guards the fields below
 	current   *Config
@@ -215,16 +217,15 @@
 	return &ConfigTable{mu: lockrank.New(lockrank.Config), changed: make(chan struct{})}
 }
 
-// Current returns the configuration in force, or nil if none is known yet.
+// Current returns the current configuration, or nil if none is known yet.
 func (t *ConfigTable) Current() *Config {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.current
 }
 
-// Advance puts a configuration in force if its ticket number is higher than
-// that of the current one. It reports whether it did. The number never
-// decreases.
+// Advance replaces the current configuration if c has a higher ticket number,
+// and reports whether it did. The ticket number never decreases.
 func (t *ConfigTable) Advance(c *Config) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -251,8 +252,8 @@
 	return t.freshness
 }
 
-// Confirm records that the configuration was confirmed at the given time. An
-// earlier time than the recorded one changes nothing.
+// Confirm records that the configuration was confirmed at the given time. A
+// time before the recorded one is ignored.
 func (t *ConfigTable) Confirm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/group.go
+++ b/state/group.go
@@ -6,18 +6,19 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// PositionSample says that the primary of Term had reached Position by At.
+// PositionSample records that the primary of Term had reached Position by At.
 type PositionSample struct {
 	At       time.Time // when the query was sent
 	Term     uint64
 	Position uint64
 	// Unconfirmed is set until a majority is known not to have promised to a
-	// later term before At. An isolated primary that was replaced still answers,
-	// and being level with it says nothing about age.
+	// later term before At. An isolated primary that was replaced still
+	// answers, and a replica that has reached its position may still be stale.
 	Unconfirmed bool
 }
 
-// GroupState is what this VM knows of a database group and who waits for it.
+// GroupState is this VM's view of a database group and the requests that wait
+// for it.
 type GroupState struct {
 	Name    string
 	Term    uint64 // highest term under which a primary was seen
@@ -28,18 +29,18 @@
 	Round   PositionRound
 	// Failover is this VM's part in the group's failover.
 	Failover FailoverState
-	// Majority is the number of servers that make a majority; zero until the
-	// group was configured.
+	// Majority is the number of servers that form a majority; zero until the
+	// group is configured.
 	Majority   int
 	configured *Group
 }
 
-// The positions of the primary that are remembered per group to measure the age
-// of replicas. Under load positions arrive every millisecond; without a spacing
-// the samples would reach back less far than replicas lag.
+// Limits of the primary's positions that are kept per group to measure the
+// staleness of replicas. Under load positions arrive every millisecond; without
+// a minimum interval the samples would cover less time than replicas lag.
 const (
-	maxSamples    = 128
-	sampleSpacing = 25 * time.Millisecond // least time between two samples before the latest
+	maxSamples        = 128
+	minSampleInterval = 25 * time.Millisecond // between two samples before the latest
 )
 
 // GroupTable holds the views of all groups.
@@ -53,8 +54,8 @@
 	return &GroupTable{mu: lockrank.New(lockrank.Groups), groups: make(map[string]*GroupState)}
 }
 
-// With calls f with the state of the named group under the table's lock. The
-// state is created if it does not exist. f must not keep it.
+// With calls f with the state of the named group while holding the table's
+// lock. It creates the state if it does not exist. f must not retain it.
 func (t *GroupTable) With(name string, f func(g *GroupState)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +67,7 @@
 	f(g)
 }
 
-// Each calls f with the state of every group under the table's lock.
+// Each calls f with the state of every group while holding the table's lock.
 func (t *GroupTable) Each(f func(g *GroupState)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +76,8 @@
 	}
 }
 
-// View returns the view of the named server, created if it does not exist.
+// View returns the view of the named server and creates it if it does not
+// exist.
 func (g *GroupState) View(server string) *ServerView {
 	v := g.Servers[server]
 	if v == nil {
@@ -85,29 +87,29 @@
 	return v
 }
 
-// Configure records the configured servers of the group and forgets servers
-// that it no longer has. grp is nil if the group is not configured.
-func (g *GroupState) Configure(grp *Group) {
-	if grp == g.configured {
+// Configure records the configured servers of the group and drops the views of
+// servers that are no longer part of it. group is nil if it is not configured.
+func (g *GroupState) Configure(group *Group) {
+	if group == g.configured {
 		return
 	}
-	g.configured = grp
-	if grp == nil {
+	g.configured = group
+	if group == nil {
 		return
 	}
-	g.Majority = grp.Majority()
+	g.Majority = group.Majority()
 	for name := range g.Servers {
-		if grp.Server(name) == nil {
+		if group.Server(name) == nil {
 			delete(g.Servers, name)
 		}
 	}
 }
 
-// Observe records the answer to a query that was sent at asked. Answers that
-// are older than the recorded one are ignored.
+// Observe records the answer to a status query sent at asked. An answer older
+// than the recorded one is ignored.
 func (g *GroupState) Observe(st ServerStatus, asked time.Time) {
 	v := g.View(st.Server)
-	// The adopted term never decreases, so it orders answers whose queries
+	// The adopted term never decreases, so it orders answers to queries that
 	// overlapped.
 	switch later := st.AdoptedTerm > v.Status.AdoptedTerm; {
 	case asked.Before(v.AskedAt) && !later:
@@ -124,7 +126,7 @@
 	if !asked.Before(v.FailedAt) {
 		v.FailedAt = time.Time{}
 	}
-	v.noteIntact()
+	v.recordTruncations()
 	g.observePrimary(&st, asked)
 	g.confirmSamples()
 }
@@ -142,7 +144,7 @@
 	switch {
 	case n > 0 && s.At.Before(g.Samples[n-1].At):
 		return
-	case n > 1 && g.Samples[n-1].Term == s.Term && g.Samples[n-1].At.Sub(g.Samples[n-2].At) < sampleSpacing:
+	case n > 1 && g.Samples[n-1].Term == s.Term && g.Samples[n-1].At.Sub(g.Samples[n-2].At) < minSampleInterval:
 		g.Samples[n-1] = s
 		return
 	case n == maxSamples:
@@ -151,7 +153,7 @@
 	g.Samples = append(g.Samples, s)
 }
 
-// Learn records that primary was promoted under term. It reports whether that
+// Learn records that primary was promoted under term. It reports whether this
 // was new. The term never decreases.
 func (g *GroupState) Learn(term uint64, primary string) bool {
 	if term < g.Term || term == g.Term && g.Primary != "" {
@@ -162,17 +164,18 @@
 }
 
 // confirmSamples marks the samples at whose time no later primary can have
-// existed: a majority answered queries sent since then without a later term.
+// existed, because a majority answered queries sent since then without a later
+// term.
 func (g *GroupState) confirmSamples() {
 	for i := len(g.Samples) - 1; i >= 0 && g.Samples[i].Unconfirmed; i-- {
 		s := &g.Samples[i]
-		s.Unconfirmed = g.supporters(s.Term, s.At) < g.Majority
+		s.Unconfirmed = g.countNotPromisedBeyond(s.Term, s.At) < g.Majority
 	}
 }
 
-// supporters counts the servers that answered a query sent since the given
-// time and had promised to no term above the given one.
-func (g *GroupState) supporters(term uint64, since time.Time) int {
+// countNotPromisedBeyond counts the servers that answered a query sent at or
+// after the given time and had not promised to a term above the given one.
+func (g *GroupState) countNotPromisedBeyond(term uint64, since time.Time) int {
 	n := 0
 	for _, v := range g.Servers {
 		if !v.AskedAt.IsZero() && !v.AskedAt.Before(since) && v.Status.AdoptedTerm <= term {
@@ -182,8 +185,7 @@
 	return n
 }
 
-// ObserveFailure records that a contact with the server failed at the given
-// time.
+// ObserveFailure records that contacting the server failed at the given time.
 func (g *GroupState) ObserveFailure(server string, at time.Time) {
 	v := g.View(server)
 	if at.Before(v.AskedAt) {
@@ -192,8 +194,8 @@
 	v.FailedAt = at
 }
 
-// UsablePrimary returns the primary and its term, unless it is not known, known
-// to have failed, deposed or drained for a switchover.
+// UsablePrimary returns the primary and its term. ok is false if the primary is
+// unknown, known to have failed, deposed, or draining for a switchover.
 func (g *GroupState) UsablePrimary() (server string, term uint64, ok bool) {
 	if g.Primary == "" {
 		return "", 0, false
@@ -208,9 +210,9 @@
 	return g.Primary, g.Term, true
 }
 
-// Age returns the greatest age that the server's data can have: the time since
-// the latest moment at which the primary was known to be no further than the
-// server is now known to be. It is unknown if there is no such moment.
+// Age returns an upper bound of the staleness of the server's data: the time
+// since the latest sample of the primary that the server is known to have
+// reached. known is false if there is no such sample.
 func (g *GroupState) Age(server string, now time.Time) (age time.Duration, known bool) {
 	v := g.Servers[server]
 	if v == nil || v.AskedAt.IsZero() {
--- a/state/lease.go
+++ b/state/lease.go
@@ -9,30 +9,30 @@
 // Hold is a period during which this process may spend the VM's shares.
 type Hold struct {
 	Since time.Time // when a majority of the voters first confirmed this process
-	Until time.Time // when the confirmations known so far run out
+	Until time.Time // when the confirmations received so far expire
 }
 
 // Valid reports whether the hold covers the given time.
 func (h Hold) Valid(now time.Time) bool { return !h.Since.IsZero() && now.Before(h.Until) }
 
-// LeaseQuery is a query to a voter that has not been answered yet.
+// LeaseQuery is an unanswered query to a voter.
 type LeaseQuery struct {
 	Voter  string
 	SentAt time.Time
 }
 
-// VoterRecord is what this VM, as a voter, knows of the processes that run
-// under one VM name.
+// VoterRecord is what this VM, as a voter, knows of the processes that use one
+// VM name.
 type VoterRecord struct {
-	Highest     uint64    // highest incarnation heard of
-	Confirmed   uint64    // incarnation confirmed last; zero if none
-	ConfirmedAt time.Time // when it was confirmed last
+	Highest     uint64    // highest known incarnation
+	Confirmed   uint64    // latest confirmed incarnation; zero if none
+	ConfirmedAt time.Time // time of the latest confirmation
 }
 
-// Lease is the state of the lease on this VM's incarnation, and this VM's
-// memory as a voter for others.
+// Lease is the state of the lease on this VM's incarnation, together with this
+// VM's records as a voter for other VMs.
 type Lease struct {
-	Started    time.Time // when this process started; zero until then
+	Started    time.Time // start time of this process; zero before it starts
 	Superseded bool      // a higher incarnation of this VM's name exists
 	Queries    map[uint64]LeaseQuery
 	NextQuery  uint64
@@ -48,7 +48,7 @@
 	lease Lease
 }
 
-// NewLeaseTable returns a table of a process that has not started.
+// NewLeaseTable returns the table of a process that has not started.
 func NewLeaseTable() *LeaseTable {
 	return &LeaseTable{
 		mu: lockrank.New(lockrank.Lease),
@@ -60,22 +60,22 @@
 	}
 }
 
-// With calls f with the lease under the table's lock. f must not keep it.
+// With calls f with the lease while holding the table's lock. f must not retain
+// it.
 func (t *LeaseTable) With(f func(l *Lease)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.lease)
 }
 
-// Hold returns the latest hold, which may have ended.
+// Hold returns the latest hold, which may have expired.
 func (t *LeaseTable) Hold() Hold {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lease.Hold
 }
 
-// Record returns what is known of the processes of a VM name, created if
-// nothing is.
+// Record returns the record of a VM name and creates it if it does not exist.
 func (l *Lease) Record(name string) *VoterRecord {
 	r := l.Known[name]
 	if r == nil {
--- a/state/member.go
+++ b/state/member.go
@@ -6,31 +6,32 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Member is what this VM knows of a VM, itself included. An entry is versioned
-// by (Incarnation, Sequence).
+// Member is this VM's knowledge of a VM, which may be this VM itself. An entry
+// is versioned by (Incarnation, Sequence).
 type Member struct {
 	Name          string
 	Incarnation   uint64
-	Sequence      uint64 // message of the incarnation that the entry reflects
+	Sequence      uint64 // message of the incarnation that the entry is based on
 	DataCentre    string
 	Address       string // peer interface, host:port
 	State         ServiceState
 	AppliedTicket uint64    // highest ticket that the incarnation reported as applied
-	Contact       time.Time // latest local time at which the VM was heard, by this VM or by one that passed it on; zero if never
+	Contact       time.Time // latest local time at which this VM, or one that relayed it, received a message of the VM; zero if never
 	Changed       time.Time // local time of the latest change of incarnation, data centre, address or state
-	Silent        bool      // not heard within the bound for its data centre, when last looked at
-	Listed        bool      // listed by the configuration, when last looked at
+	Silent        bool      // no message within the limit for its data centre, as of the last check
+	Listed        bool      // listed in the configuration, as of the last check
 }
 
-// Age returns the time since the VM was heard.
+// Age returns the time since the latest contact with the VM.
 func (m *Member) Age(now time.Time) time.Duration { return now.Sub(m.Contact) }
 
-// Members are the VMs heard of, by name.
+// Members are the known VMs by name.
 type Members struct {
 	ByName map[string]*Member
-	// StoreMissed holds, by data centre, the local time of sending of the latest
-	// exchange whose answer said that the data centre does not reach the store.
-	// A data centre that reached it since, or was not asked, has no entry.
+	// StoreMissed has, by data centre, the local sending time of the latest
+	// exchange whose answer reported that the data centre does not reach the
+	// store. A data centre that has reached it since, or was not queried, has
+	// no entry.
 	StoreMissed map[string]time.Time
 }
 
@@ -39,7 +40,7 @@
 	return &Members{ByName: make(map[string]*Member), StoreMissed: make(map[string]time.Time)}
 }
 
-// MemberTable holds the VMs heard of.
+// MemberTable holds the known VMs.
 type MemberTable struct {
 	mu      lockrank.Mutex // guards members and everything reachable from it
 	members *Members
@@ -50,7 +51,8 @@
 	return &MemberTable{mu: lockrank.New(lockrank.Members), members: NewMembers()}
 }
 
-// With calls f with the members under the table's lock. f must not keep them.
+// With calls f with the members while holding the table's lock. f must not
+// retain them.
 func (t *MemberTable) With(f func(m *Members)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +69,7 @@
 	return Member{}, false
 }
 
-// All returns copies of all entries, in no order.
+// All returns copies of all entries in unspecified order.
 func (t *MemberTable) All() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/position.go
+++ b/state/position.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// WaitKind says what a position waiter waits for.
+// WaitKind is the condition that a position waiter waits for.
 type WaitKind int
 
 // Kinds of waiters.
 const (
-	WaitDurable WaitKind = iota // the writes so far are held by a majority under Term
-	WaitCover                   // the server covers Point, and is no older than MaxAge if that is set
-	WaitPrimary                 // a primary other than the one known to have failed
+	WaitDurable WaitKind = iota // a majority holds the writes so far under Term
+	WaitCover                   // the server covers Point and, if MaxAge is set, is no staler than MaxAge
+	WaitPrimary                 // there is a primary other than the one known to have failed
 )
 
-// WaiterID names the request that waits.
+// WaiterID identifies a waiting request.
 type WaiterID struct {
 	Session uint64
 	Request uint64
@@ -27,21 +27,21 @@
 	Term     uint64        // WaitDurable: the term under which the write ran
 	Server   string        // WaitDurable: the primary that ran the write; WaitCover: the replica
 	Point    Point         // WaitCover
-	MaxAge   time.Duration // WaitCover; zero sets no bound
-	Alone    bool          // WaitDurable: no other write is served by the same round; a baseline for measurements
+	MaxAge   time.Duration // WaitCover; zero means no limit
+	Alone    bool          // WaitDurable: serve no other write with the same round; a baseline for measurements
 
 	// The fields below are written by package replication.
 	FirstRound  uint64 // first round that started after the waiter joined
-	Target      Point  // WaitDurable: the point to be held
+	Target      Point  // WaitDurable: the point that a majority must hold
 	TargetKnown bool
 }
 
-// PositionRound is one query of the status of every server of a group.
+// PositionRound is one status query to every server of a group.
 type PositionRound struct {
 	Number   uint64
 	Started  time.Time
-	Pending  int           // answers outstanding
-	Answered int           // answers received
-	Settled  int           // waiters that got their result since the round started
-	Spacing  time.Duration // time from Started after which the next round may start
+	Pending  int           // outstanding answers
+	Answered int           // received answers
+	Settled  int           // waiters completed since the round started
+	Spacing  time.Duration // minimum time from Started to the start of the next round
 }
--- a/state/server.go
+++ b/state/server.go
@@ -11,13 +11,13 @@
 	Replica Role = "replica"
 )
 
-// TermStart is the position at which a term's log begins.
+// TermStart is the position at which the log of a term begins.
 type TermStart struct {
 	Term     uint64
 	Position uint64
 }
 
-// ServerStatus is what a backend server says of itself.
+// ServerStatus is the status that a backend server reports of itself.
 type ServerStatus struct {
 	Server      string
 	Role        Role
@@ -26,8 +26,8 @@
 	Position    uint64      // position of the last log record held
 	Primary     string      // server that a replica follows
 	SwitchingTo string      // successor for which a primary refuses writes; empty if it accepts them
-	History     []TermStart // starts of the most recent terms in the log, ascending
-	Truncations uint64      // how often the server has dropped a tail of its log; never decreases
+	History     []TermStart // starts of the latest terms in the log, ascending
+	Truncations uint64      // number of times the server has truncated its log; never decreases
 }
 
 // Leads reports whether the server can accept writes under the given term.
@@ -36,13 +36,13 @@
 }
 
 // Holds reports whether the server counts towards the majority that holds p:
-// it has p in its log and has promised to no later term.
+// its log contains p and it has promised to no later term.
 func (s *ServerStatus) Holds(p Point) bool {
 	return s.LogTerm == p.Term && s.AdoptedTerm == p.Term && s.Position >= p.Position
 }
 
 // Start returns the position at which the given term begins in the server's
-// log, if the server knows it.
+// log, if known.
 func (s *ServerStatus) Start(term uint64) (position uint64, known bool) {
 	for _, h := range s.History {
 		if h.Term == term {
@@ -53,7 +53,7 @@
 }
 
 // End returns the position at which the given term ends in the server's log,
-// which is the start of the term that directly follows it there.
+// which is where the next term in the log starts.
 func (s *ServerStatus) End(term uint64) (position uint64, known bool) {
 	for i, h := range s.History {
 		if h.Term == term && i+1 < len(s.History) {
@@ -63,15 +63,15 @@
 	return 0, false
 }
 
-// Point is a place in a group's log.
+// Point is a position in a group's log under a term.
 type Point struct {
 	Term     uint64
 	Position uint64
 }
 
 // Covers reports whether the server holds every acknowledged write up to p.
-// Acknowledged writes of an earlier term lie before the start of every later
-// term, so a server that has begun a later term holds them.
+// Acknowledged writes of an earlier term precede the start of every later term,
+// so a server whose log has reached a later term holds them.
 func (s *ServerStatus) Covers(p Point) bool {
 	switch {
 	case s.LogTerm == p.Term:
@@ -84,29 +84,29 @@
 	}
 }
 
-// ServerView is what this VM knows of a backend server.
+// ServerView is this VM's view of a backend server.
 type ServerView struct {
 	Status    ServerStatus
-	AskedAt   time.Time // when the query was sent that Status answers; zero if never
+	AskedAt   time.Time // sending time of the query that Status answers; zero if none
 	FailedAt  time.Time // latest failure after AskedAt; zero if none
-	ReturnsAt time.Time // when the server was seen to come back into service; its weight ramps up from here
+	ReturnsAt time.Time // when the server returned to service; its weight ramps up from then on
 
 	Round         uint64    // latest round that the server answered
-	Outstanding   uint64    // round of the status query that is unanswered; zero if none
-	SilentSince   time.Time // when the first query after the latest answer was sent; zero if none was
-	Missed        int       // status queries that failed since the latest answer
+	Outstanding   uint64    // round of the unanswered status query; zero if none
+	SilentSince   time.Time // sending time of the first query after the latest answer; zero if none
+	Missed        int       // failed status queries since the latest answer
 	Down          bool      // the latest of them was refused by the host: no process listens
 	IntactFrom    uint64    // lowest term that the server was seen to lead since its latest known truncation; zero if none
-	Truncations   uint64    // as the server said while it led IntactFrom
-	DetachedSince time.Time // since when the server is seen not to follow the primary; zero if it follows
-	FollowAt      time.Time // when it may be told again to follow
+	Truncations   uint64    // as reported by the server while it led IntactFrom
+	DetachedSince time.Time // when the server was first seen not to follow the primary; zero if it follows
+	FollowAt      time.Time // earliest time of the next follow order
 }
 
 // Reachable reports whether the latest contact with the server succeeded.
 func (v *ServerView) Reachable() bool { return !v.AskedAt.IsZero() && v.FailedAt.IsZero() }
 
-// noteIntact notes the server's number of truncations while it leads.
-func (v *ServerView) noteIntact() {
+// recordTruncations records the server's number of truncations while it leads.
+func (v *ServerView) recordTruncations() {
 	st := &v.Status
 	if !st.Leads(st.LogTerm) || v.IntactFrom != 0 && v.Truncations == st.Truncations {
 		return
@@ -114,10 +114,10 @@
 	v.IntactFrom, v.Truncations = st.LogTerm, st.Truncations
 }
 
-// LogEnd returns a point that lies behind every write that the server has
-// executed since it was first seen to lead the given term. It is known while the
-// server leads, and later as long as it has dropped nothing: whichever primary
-// it follows then, these writes are in its log up to its end.
+// LogEnd returns a point at or after every write that the server has executed
+// since it was first seen to lead the given term. The point is known while the
+// server leads, and afterwards as long as it has not truncated its log:
+// whichever primary it follows then, these writes remain in its log.
 func (v *ServerView) LogEnd(term uint64) (p Point, known bool) {
 	st := &v.Status
 	intact := v.IntactFrom != 0 && v.IntactFrom <= term && v.Truncations == st.Truncations
--- a/state/session.go
+++ b/state/session.go
@@ -6,7 +6,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Phase says what a session's current request waits for.
+// Phase is what a session's current request waits for.
 type Phase int
 
 // Phases of a request.
@@ -18,30 +18,31 @@
 	PhaseExecuting                  // sent; waits for the answer
 	PhaseAcknowledging              // answered; waits until a majority holds the write
 	PhaseBackoff                    // waits before a retry
-	PhaseClosed                     // the client is gone
+	PhaseClosed                     // the client has disconnected
 )
 
-// Class says how a request is routed.
+// Class determines how a request is routed.
 type Class int
 
 // Classes of requests.
 const (
-	ClassRead     Class = iota // may run on a replica; refused there before it runs if it writes
+	ClassRead     Class = iota // may run on a replica, which refuses it before running it if it writes
 	ClassWrite                 // runs on the primary
-	ClassBegin                 // opens a transaction on the primary
-	ClassBeginRO               // opens a read-only transaction
+	ClassBegin                 // begins a transaction on the primary
+	ClassBeginRO               // begins a read-only transaction
 	ClassEnd                   // ends a transaction
-	ClassRollback              // ends a transaction without effect
+	ClassRollback              // rolls back a transaction
 	ClassLocal                 // answered by the VM itself
 )
 
-// Request is one unit that a client waits on. Payload is opaque here: it is
-// what the protocol layer sends to a backend server.
+// Request is a unit of work whose answer a client waits for. Payload is what
+// the protocol layer sends to a backend server; this package does not interpret
+// it.
 type Request struct {
 	Number       uint64
 	Class        Class
-	MayCommit    bool // several statements, of which one may end a transaction
-	OnlyBegins   bool // begins a transaction and does nothing else
+	MayCommit    bool // several statements, one of which may end a transaction
+	OnlyBegins   bool // only begins a transaction
 	Payload      any
 	Idempotent   bool
 	MaxStaleness time.Duration
@@ -49,7 +50,8 @@
 	Deadline     time.Time
 }
 
-// ConnID names a backend connection within the VM. Zero is no connection.
+// ConnID identifies a backend connection within the VM. Zero means no
+// connection.
 type ConnID uint64
 
 // Variable is a session setting that is replayed on backend connections.
@@ -62,7 +64,7 @@
 // must cover.
 type Token map[string]Point
 
-// Merge raises the token's point for the group to p if p is later.
+// Merge advances the token's point for the group to p if p is later.
 func (t Token) Merge(group string, p Point) {
 	old, ok := t[group]
 	if !ok || p.Term > old.Term || p.Term == old.Term && p.Position > old.Position {
@@ -70,51 +72,51 @@
 	}
 }
 
-// Session is the state of one client's connection. The fields are written only
-// by the worker that runs the session's queue; the lock is for other readers.
+// Session is the state of a client's connection. Only the worker that runs the
+// session's queue writes the fields; the lock protects other readers.
 type Session struct {
 	ID uint64
 
 	mu lockrank.Mutex // guards the fields below
 
-	Login    string // user name that the client presented
+	Login    string // user name presented by the client
 	Customer string // customer whose limit the requests count against
 	Route    string
 	Key      KeyHash
-	HasKey   bool // false on routes open to all
+	HasKey   bool // false on open routes
 	Token    Token
 	TokenSet bool // the client presented a token, so Token is complete
 
-	MaxStaleness time.Duration // per session; zero takes the route's
+	MaxStaleness time.Duration // of the session; zero uses that of the route
 	Idempotent   bool
 	Variables    []Variable
 
 	Phase   Phase
 	Request Request
-	Server  string // backend server that the request goes to
-	Term    uint64 // term of the primary that the request goes to
-	// TargetsPrimary says that Server was chosen as the primary.
+	Server  string // backend server that the request is sent to
+	Term    uint64 // term of the primary that the request is sent to
+	// TargetsPrimary is set if Server was chosen as the primary.
 	TargetsPrimary bool
 	Conn           ConnID
-	Sent           bool      // a byte of the request was handed to Conn
-	Forwarded      bool      // a byte of the answer was handed to the client
-	Answering      bool      // a part of the answer has arrived
-	Completed      bool      // the answer so far holds a completed statement
-	Superseded     bool      // a later primary than the one that runs the request is known
-	CheckedAt      time.Time // when a check on the server began; zero if none is under way
-	Attempts       int       // times that the request was sent
-	Refusals       int       // times that a backend server refused it as a write
-	MayHaveRun     bool      // an earlier attempt was sent and its result is not known
+	Sent           bool      // at least one byte of the request was handed to Conn
+	Forwarded      bool      // at least one byte of the answer was handed to the client
+	Answering      bool      // part of the answer has arrived
+	Completed      bool      // the answer received so far contains a completed statement
+	Superseded     bool      // a primary later than the one that runs the request is known
+	CheckedAt      time.Time // when a check of the server began; zero if none is in progress
+	Attempts       int       // number of times the request was sent
+	Refusals       int       // number of times a backend server refused it as a write
+	MayHaveRun     bool      // an earlier attempt was sent and its result is unknown
 	Cancelled      bool      // a cancel request was sent while Conn was held
 	Excluded       string    // backend server that just failed this request
-	CoverAsked     string    // replica whose position was already asked for this request
+	CoverAsked     string    // replica whose position was already queried for this request
 
 	InTransaction bool
-	// Opening is the payload of the request that began the transaction, while
-	// nothing else has run in it; nil otherwise.
+	// Opening is the payload of the request that began the transaction, as long
+	// as nothing else has run in it; nil otherwise.
 	Opening   any
-	Reopening bool // the transaction is begun again on another server, with the current request
-	Draining  bool // close at the next moment without a request or transaction
+	Reopening bool // the transaction is begun again on another server, together with the current request
+	Draining  bool // close as soon as there is no request and no transaction
 }
 
 // Lock locks the session.
@@ -145,7 +147,7 @@
 	return s
 }
 
-// Remove forgets a session.
+// Remove removes a session.
 func (t *SessionTable) Remove(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +161,7 @@
 	return len(t.sessions)
 }
 
-// All returns the sessions at this moment, in no order.
+// All returns the current sessions in unspecified order.
 func (t *SessionTable) All() []*Session {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/share.go
+++ b/state/share.go
@@ -6,9 +6,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// RateShare is a part of a customer's limit.
+// RateShare is a share of a customer's limit.
 type RateShare struct {
-	Rate  float64 // requests a second
+	Rate  float64 // requests per second
 	Burst float64 // requests
 }
 
@@ -17,13 +17,13 @@
 	Config   *Config
 	Requests map[string]RateShare // by customer
 	Units    map[string]int       // connections by backend server
-	VMs      int                  // number of VMs that have base shares of connections
+	VMs      int                  // number of VMs with a base share of connections
 	Since    time.Time            // when this VM applied the ticket
-	Applied  map[string]bool      // VMs that are known to have applied this ticket
+	Applied  map[string]bool      // VMs known to have applied this ticket
 }
 
-// Lent is a loan that this VM granted. What it lends does not count as this
-// VM's own until EndsAt.
+// Lent is a loan granted by this VM. What it lends is not available to this VM
+// until EndsAt.
 type Lent struct {
 	Borrower    string
 	Incarnation uint64 // of the borrower
@@ -36,17 +36,17 @@
 	Refused     bool // the lender needs it back and does not extend it
 }
 
-// LoanPhase says how far a loan has come at its borrower.
+// LoanPhase is the phase of a loan at its borrower.
 type LoanPhase int
 
 // Phases of a loan.
 const (
-	LoanAsked   LoanPhase = iota // no answer yet
+	LoanAsked   LoanPhase = iota // not answered yet
 	LoanActive                   // in use until EndsAt
 	LoanClosing                  // connections above the remaining limit are being closed
 )
 
-// Borrowed is a loan that this VM asked for or uses.
+// Borrowed is a loan that this VM has requested or uses.
 type Borrowed struct {
 	Lender      string
 	Incarnation uint64 // of the lender; zero until the loan is granted
@@ -55,10 +55,10 @@
 	Remote      bool // the lender is in another data centre
 	Rate        float64
 	Burst       float64
-	Tokens      float64 // asked for; set while the phase is LoanAsked
+	Tokens      float64 // requested; set while the phase is LoanAsked
 	Units       int
-	Period      time.Duration // how long the loan may be used, from the sending of a request
-	EndsAt      time.Time     // when the use ends; for an unanswered request, when it is given up
+	Period      time.Duration // how long the loan may be used, counted from sending a request
+	EndsAt      time.Time     // end of use; the deadline of an unanswered request
 	AskedAt     time.Time     // when the latest request or renewal was sent
 	Attempts    int           // requests sent since the last answer
 	Final       bool          // the lender does not extend it
@@ -72,11 +72,11 @@
 	Units  int
 }
 
-// LenderNote is what this VM remembers of a possible lender.
+// LenderNote is this VM's record of a possible lender.
 type LenderNote struct {
-	Until     time.Time     // not worth a request before this time
-	Misses    int           // requests in a row that brought nothing
-	Spare     float64       // requests a second or units that it had left after its latest answer
+	Until     time.Time     // do not send a request before this time
+	Misses    int           // consecutive requests that yielded nothing
+	Spare     float64       // requests per second or units that the lender had left after its latest answer
 	RoundTrip time.Duration // of the latest request
 }
 
@@ -85,11 +85,11 @@
 type LoanBook struct {
 	Lent       []Lent
 	Borrowed   []Borrowed
-	Holders    []Holder // candidates for loans, in the order in which to ask; nil until needed
+	Holders    []Holder // possible lenders, in the order in which to ask; nil until needed
 	Notes      map[string]*LenderNote
-	UnmetSince time.Time // since when demand has exceeded what this VM has; zero if it does not
-	PlanAt     time.Time // when loans must be looked at again; zero if there is nothing to do
-	PlannedAt  time.Time // when loans were looked at last
+	UnmetSince time.Time // when demand began to exceed what this VM has; zero if it does not
+	PlanAt     time.Time // when loans must be planned next; zero if nothing is due
+	PlannedAt  time.Time // when loans were planned last
 }
 
 // ShareWaiter is a request that waits for a token.
@@ -102,46 +102,46 @@
 
 // Demand is a decaying average of the arrivals of one customer at this VM.
 type Demand struct {
-	Rate        float64 // requests a second at Updated
+	Rate        float64 // requests per second at Updated
 	Updated     time.Time
 	LastArrival time.Time
 }
 
-// CustomerShare is this VM's part of a customer's limit.
+// CustomerShare is this VM's share of a customer's limit.
 type CustomerShare struct {
 	Name    string
-	Limit   RateShare // of the whole fleet
+	Limit   RateShare // of all VMs together
 	Base    RateShare // of this VM
 	Level   float64   // tokens in the bucket at Updated
 	Updated time.Time
-	Waiters []ShareWaiter // in the order of arrival
+	Waiters []ShareWaiter // in order of arrival
 	Demand  Demand
 	Loans   LoanBook
 }
 
-// ConnectionShare is this VM's part of a backend server's connection limit.
+// ConnectionShare is this VM's share of a backend server's connection limit.
 type ConnectionShare struct {
 	Server       string
-	Limit        int // of the whole fleet
+	Limit        int // of all VMs together
 	Base         int // of this VM
-	ReportedBase int // of this VM, without tickets that it has not reported as applied
-	Lendable     int // units that may be lent, at most
-	MaxLendable  int // units that an earlier process of this VM can have lent, at most; never decreases
-	Wanted       int // connections that this VM has a use for
+	ReportedBase int // of this VM, under the tickets that it has reported as applied
+	Lendable     int // maximum number of units that may be lent
+	MaxLendable  int // maximum number of units that an earlier process of this VM can have lent; never decreases
+	Wanted       int // connections that this VM can use
 	Loans        LoanBook
 }
 
-// LoanRef says which loan book a borrowed loan is in.
+// LoanRef identifies the loan book that contains a borrowed loan.
 type LoanRef struct {
 	Connections bool   // Name is a backend server, not a customer
 	Name        string // customer or backend server
 }
 
-// Shares are this VM's parts of all fleet-wide limits.
+// Shares are this VM's shares of all fleet-wide limits.
 type Shares struct {
-	Static    bool            // measuring baseline: equal shares, no loans
+	Static    bool            // baseline for measurements: equal shares, no loans
 	Leaving   bool            // lends everything and borrows nothing
-	Tickets   []TicketShares  // ascending; from Agreed on, as far as known
+	Tickets   []TicketShares  // ascending, starting with Agreed, as far as known
 	Agreed    uint64          // highest ticket known to be applied by every VM
 	Reported  uint64          // ticket that this process last reported as applied
 	Idle      map[string]bool // VMs that have applied a ticket that takes them out of service
@@ -151,12 +151,13 @@
 	Borrowed  map[uint64]LoanRef       // by loan number
 	Returned  map[string]ReturnedLoans // by borrower
 
-	HeldSince        time.Time // start of the lease hold that the buckets were started in
-	FirstProcess     bool      // no earlier process of this VM's name can have a loan out
+	HeldSince        time.Time // start of the lease hold in which the buckets were started
+	FirstProcess     bool      // no earlier process of this VM's name can have an outstanding loan
 	EarlierLoansTill time.Time // when connection loans of other processes of this name have ended
 }
 
-// ReturnedLoans tells requests that were delayed in the network from new ones.
+// ReturnedLoans distinguishes requests that were delayed in the network from
+// new ones.
 type ReturnedLoans struct {
 	Incarnation uint64
 	Number      uint64 // highest number returned by the borrower
@@ -182,15 +183,17 @@
 	}
 }
 
-// With calls f with the shares under the table's lock. f must not keep them.
+// With calls f with the shares while holding the table's lock. f must not
+// retain them.
 func (t *ShareTable) With(f func(s *Shares)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.shares)
 }
 
-// Relevant returns the configurations that this VM keeps to, ascending: from the
-// highest one that every VM is known to have applied, as far as this VM has it.
+// Relevant returns the configurations that this VM must respect, ascending.
+// They start with the highest one that every VM is known to have applied, as
+// far as this VM has them.
 func (t *ShareTable) Relevant() []*Config {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/tables.go
+++ b/state/tables.go
@@ -12,7 +12,7 @@
 	Backends *BackendTable
 }
 
-// Self says who this VM is. It does not change while the process runs.
+// Self identifies this VM. It does not change while the process runs.
 type Self struct {
 	Name        string
 	DataCentre  string
