--- a/coordination/share/base.go
+++ b/coordination/share/base.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// minBurst is the smallest burst in requests that a customer's share is
-	// split into. A bucket of less than 2 is nearly always empty or full.
+	// minBurst is the minimum burst, in requests, of a VM's share. A bucket with a
+	// capacity below 2 is nearly always empty or full.
 	minBurst = 2
-	// minDataCentreBurst is the smallest burst in requests of a data centre. A
-	// bucket below 1 can never pay for a request.
+	// minDataCentreBurst is the minimum burst, in requests, of a data centre's part.
+	// A bucket with a capacity below 1 can never grant a request.
 	minDataCentreBurst = 1
 )
 
-// placed is a VM in service with its data centre.
-type placed struct {
+// vmLocation names a VM in service and its data centre.
+type vmLocation struct {
 	vm         string
 	dataCentre string
 }
 
-// inService returns the VMs that have base shares, grouped by the data centres
-// in service that have any, in the order of their names.
+// inService returns the data centres in service that have VMs in service, and these
+// VMs by data centre, both sorted by name.
 func inService(config *state.Config) (dataCentres []string, vms map[string][]string) {
 	vms = make(map[string][]string)
 	for name, dc := range config.DataCentres {
@@ -45,100 +45,102 @@
 	return dataCentres, vms
 }
 
-// layout is what base shares are computed from.
-type layout struct {
-	static      bool // the measuring baseline: equal shares of all VMs
+// topology holds the VMs in service, from which the base shares are computed.
+type topology struct {
+	static      bool // equal shares for all VMs, the baseline for measurements
 	dataCentres []string
 	vms         map[string][]string // in service, by data centre
-	all         []placed
+	all         []vmLocation
 }
 
-func layoutOf(config *state.Config, static bool) layout {
-	l := layout{static: static}
-	l.dataCentres, l.vms = inService(config)
-	for _, dc := range l.dataCentres {
-		for _, vm := range l.vms[dc] {
-			l.all = append(l.all, placed{vm, dc})
+func newTopology(config *state.Config, static bool) topology {
+	t := topology{static: static}
+	t.dataCentres, t.vms = inService(config)
+	for _, dc := range t.dataCentres {
+		for _, vm := range t.vms[dc] {
+			t.all = append(t.all, vmLocation{vm, dc})
 		}
 	}
-	return l
+	return t
 }
 
-// requestShare returns the base share of one VM: its data centre's part, split
-// over as many VMs as give each the minimum burst.
-func (l layout) requestShare(c *state.Customer, vm, dataCentre string) state.RateShare {
-	if l.static {
-		return l.staticShare(c, vm, dataCentre)
+// requestShare returns the base share of one VM. The limit is divided equally among
+// data centres, and each part among as many VMs as leave each one minBurst.
+func (t topology) requestShare(c *state.Customer, vm, dataCentre string) state.RateShare {
+	if t.static {
+		return t.staticShare(c, vm, dataCentre)
 	}
-	dcs := l.sharingDataCentres(c)
+	dcs := t.sharingDataCentres(c)
 	if !slices.Contains(dcs, dataCentre) {
 		return state.RateShare{}
 	}
 	part := divide(state.RateShare{Rate: c.Rate, Burst: c.Burst}, len(dcs))
-	sharing := l.sharingVMs(c, dataCentre, part.Burst)
+	sharing := t.sharingVMs(c, dataCentre, part.Burst)
 	if !slices.Contains(sharing, vm) {
 		return state.RateShare{}
 	}
 	return divide(part, len(sharing))
 }
 
-func (l layout) staticShare(c *state.Customer, vm, dataCentre string) state.RateShare {
-	if !slices.Contains(l.vms[dataCentre], vm) {
+func (t topology) staticShare(c *state.Customer, vm, dataCentre string) state.RateShare {
+	if !slices.Contains(t.vms[dataCentre], vm) {
 		return state.RateShare{}
 	}
-	return divide(state.RateShare{Rate: c.Rate, Burst: c.Burst}, len(l.all))
+	return divide(state.RateShare{Rate: c.Rate, Burst: c.Burst}, len(t.all))
 }
 
-// sharingDataCentres are all data centres in service, fewer only if the burst
-// is too small for all.
-func (l layout) sharingDataCentres(c *state.Customer) []string {
-	most := max(1, int(math.Floor(c.Burst/minDataCentreBurst)))
-	if most >= len(l.dataCentres) {
-		return l.dataCentres
+// sharingDataCentres returns the data centres that have a part of the customer's
+// limit: all of them, or fewer if the burst is too small for all.
+func (t topology) sharingDataCentres(c *state.Customer) []string {
+	maxCount := max(1, int(math.Floor(c.Burst/minDataCentreBurst)))
+	if maxCount >= len(t.dataCentres) {
+		return t.dataCentres
 	}
-	return lease.Rendezvous(c.Name, l.dataCentres)[:most]
+	return lease.Rendezvous(c.Name, t.dataCentres)[:maxCount]
 }
 
-func (l layout) sharingVMs(c *state.Customer, dataCentre string, burst float64) []string {
-	names := l.vms[dataCentre]
-	most := max(1, int(math.Floor(burst/minBurst)))
-	if most >= len(names) {
+// sharingVMs returns the VMs of a data centre that have a share of its part.
+func (t topology) sharingVMs(c *state.Customer, dataCentre string, burst float64) []string {
+	names := t.vms[dataCentre]
+	maxCount := max(1, int(math.Floor(burst/minBurst)))
+	if maxCount >= len(names) {
 		return names
 	}
-	return lease.Rendezvous(c.Name, names)[:most]
+	return lease.Rendezvous(c.Name, names)[:maxCount]
 }
 
-// requestHolders returns the VMs with a base share, other than self.
-func (l layout) requestHolders(c *state.Customer, self, dataCentre string) []state.Holder {
+// requestLenders returns the other VMs that have a base share of the customer's limit.
+func (t topology) requestLenders(c *state.Customer, self, dataCentre string) []state.Holder {
 	var holders []state.Holder
-	for _, p := range l.all {
-		share := l.requestShare(c, p.vm, p.dataCentre)
+	for _, p := range t.all {
+		share := t.requestShare(c, p.vm, p.dataCentre)
 		if p.vm != self && share.Rate > 0 {
 			holders = append(holders, state.Holder{VM: p.vm, Remote: p.dataCentre != dataCentre, Share: share})
 		}
 	}
-	return inAskingOrder(holders, self)
+	return sortLenders(holders, self)
 }
 
-// units returns a VM's base share of a backend server's connections: equal
-// whole parts, and one of the rest for the first VMs by rendezvous hashing.
-func (l layout) units(server string, limit int, vm, dataCentre string) int {
-	n := len(l.all)
-	if !slices.Contains(l.vms[dataCentre], vm) {
+// connectionShare returns a VM's base share of a backend server's connections: an
+// equal integer part, plus one for the VMs that rank first by rendezvous hashing
+// until the remainder is used up.
+func (t topology) connectionShare(server string, limit int, vm, dataCentre string) int {
+	n := len(t.all)
+	if !slices.Contains(t.vms[dataCentre], vm) {
 		return 0
 	}
 	units := limit / n
-	if rest := limit % n; rest > 0 && l.rank(server, vm) < rest {
+	if remainder := limit % n; remainder > 0 && t.rank(server, vm) < remainder {
 		units++
 	}
 	return units
 }
 
-// rank is the VM's place among all VMs by rendezvous hashing of the key.
-func (l layout) rank(key, vm string) int {
+// rank returns the VM's position among all VMs by rendezvous hashing of the key.
+func (t topology) rank(key, vm string) int {
 	own := lease.Score(key, vm)
 	rank := 0
-	for _, p := range l.all {
+	for _, p := range t.all {
 		score := lease.Score(key, p.vm)
 		if score > own || score == own && p.vm < vm {
 			rank++
@@ -147,15 +149,16 @@
 	return rank
 }
 
-// unitHolders returns the VMs with connections to the server, other than self.
-func (l layout) unitHolders(server string, limit int, self, dataCentre string) []state.Holder {
-	if len(l.all) == 0 {
+// connectionLenders returns the other VMs that have a base share of the server's
+// connections.
+func (t topology) connectionLenders(server string, limit int, self, dataCentre string) []state.Holder {
+	if len(t.all) == 0 {
 		return nil
 	}
-	extra := l.withExtraUnit(server, limit%len(l.all))
+	extra := t.vmsWithExtraConnection(server, limit%len(t.all))
 	var holders []state.Holder
-	for _, p := range l.all {
-		units := limit / len(l.all)
+	for _, p := range t.all {
+		units := limit / len(t.all)
 		if extra[p.vm] {
 			units++
 		}
@@ -163,13 +166,14 @@
 			holders = append(holders, state.Holder{VM: p.vm, Remote: p.dataCentre != dataCentre, Units: units})
 		}
 	}
-	return inAskingOrder(holders, self)
+	return sortLenders(holders, self)
 }
 
-// withExtraUnit returns the first n VMs by rendezvous hashing of the server.
-func (l layout) withExtraUnit(server string, n int) map[string]bool {
-	names := make([]string, len(l.all))
-	for i, p := range l.all {
+// vmsWithExtraConnection returns the n VMs that rank first by rendezvous hashing of
+// the server.
+func (t topology) vmsWithExtraConnection(server string, n int) map[string]bool {
+	names := make([]string, len(t.all))
+	for i, p := range t.all {
 		names[i] = p.vm
 	}
 	extra := make(map[string]bool, n)
@@ -179,9 +183,9 @@
 	return extra
 }
 
-// inAskingOrder puts VMs of the own data centre first, and otherwise orders
-// them differently on every VM, so that not all ask the same lender first.
-func inAskingOrder(holders []state.Holder, self string) []state.Holder {
+// sortLenders puts the VMs of the local data centre first. Within a data centre each
+// VM has a different order, so that not all ask the same lender first.
+func sortLenders(holders []state.Holder, self string) []state.Holder {
 	slices.SortFunc(holders, func(a, b state.Holder) int {
 		if a.Remote != b.Remote {
 			if a.Remote {
--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -11,58 +11,60 @@
 	// borrowHeadroom is the multiple of its demand that a borrower asks for.
 	borrowHeadroom = 1.1
 	// returnHeadroom is the multiple of its demand that a borrower keeps. It is
-	// higher than borrowHeadroom so that loans do not go back and forth.
+	// higher than borrowHeadroom so that loans do not oscillate.
 	returnHeadroom = 1.3
-	// smallestDemand is the demand in requests a second from which rate is
-	// borrowed. Below it, tokens are borrowed as requests need them: a rate spread
-	// over many VMs fills buckets of about one token, and the rest is lost. With 8
-	// instead of 30, a customer of 20 requests a second had 41 % instead of 11 % of
-	// its requests delayed.
-	smallestDemand = 30
-	// A loan of tokens lasts tokenRoundTrips round trips to its lender, as measured
-	// last, and firstTokenLoan while none is known.
-	tokenRoundTrips   = 10
-	shortestTokenLoan = 30 * time.Millisecond
-	firstTokenLoan    = 200 * time.Millisecond
-	// gainDominance and keepDominance are the parts of a customer's rate from
-	// which a VM borrows, and down to which it keeps, the whole rate.
-	gainDominance = 0.5
-	keepDominance = 0.25
-	// backlogTime is the time in which a borrower wants to serve the requests that
-	// wait already.
-	backlogTime = 200 * time.Millisecond
-	// patience is how long a request waits for this VM's own tokens before tokens
-	// are borrowed for it. A message and its answer take 2 to 3 ms.
-	patience = 5 * time.Millisecond
+	// minBorrowDemand is the demand in requests per second from which rate is
+	// borrowed. Below it, only tokens are borrowed, as requests need them: a rate
+	// spread over many VMs fills buckets with a capacity of about one token, and the
+	// excess is lost. With 8 instead of 30, a customer with 20 requests per second had
+	// 41 % instead of 11 % of its requests delayed.
+	minBorrowDemand = 30
+	// A loan of tokens lasts tokenLoanRoundTrips times the latest round trip to the
+	// lender, but at least minTokenLoan, and defaultTokenLoan if no round trip is
+	// known.
+	tokenLoanRoundTrips = 10
+	minTokenLoan        = 30 * time.Millisecond
+	defaultTokenLoan    = 200 * time.Millisecond
+	// A VM borrows the whole rate of a customer if its demand exceeds the fraction
+	// dominanceStart of it, and stops doing so at the fraction dominanceEnd.
+	dominanceStart = 0.5
+	dominanceEnd   = 0.25
+	// backlogDrainTime is the time in which a borrower aims to serve the requests that
+	// are already waiting.
+	backlogDrainTime = 200 * time.Millisecond
+	// localTokenWait is how long a request waits for this VM's own tokens before
+	// tokens are borrowed for it. A message and its answer take 2 to 3 ms.
+	localTokenWait = 5 * time.Millisecond
 
-	// resendAfter is when an unanswered request is sent again.
-	resendAfter = 300 * time.Millisecond
-	// giveUpAfter is when an unanswered request is given up.
-	giveUpAfter = 800 * time.Millisecond
-	// remoteAfter is how long demand is unmet before VMs of other data centres
-	// are asked although some of the own one may still lend. With 1 s, requests
-	// that a small remainder in the own data centre could not serve waited so long.
-	remoteAfter = 50 * time.Millisecond
-	// A VM that lent nothing is not asked again for firstBackoff, which doubles
-	// with each miss up to searchBackoff. After searchMisses it goes on doubling up
-	// to lastBackoff: by then, loans to a VM that a demand has left are returned.
-	firstBackoff  = 50 * time.Millisecond
-	searchBackoff = 200 * time.Millisecond
-	searchMisses  = 6
-	lastBackoff   = 2 * time.Second
-	// answerTime is how long an answer is counted on. Afterwards other VMs are
-	// asked as well.
-	answerTime = 100 * time.Millisecond
+	// resendTimeout is the time after which an unanswered request is sent again.
+	resendTimeout = 300 * time.Millisecond
+	// loanRequestTimeout is the time after which an unanswered request is abandoned.
+	loanRequestTimeout = 800 * time.Millisecond
+	// remoteBorrowDelay is how long demand is unmet before VMs of other data centres
+	// are asked although some in the local one may still lend. With 1 s, requests
+	// waited that long if the local data centre had only a small remainder to lend.
+	remoteBorrowDelay = 50 * time.Millisecond
+	// A VM that lent nothing is not asked again for minBackoff, which doubles with
+	// each refusal up to earlyMaxBackoff. After earlyMisses refusals it doubles
+	// further up to maxBackoff: by then, the loans to a VM that demand has moved away
+	// from have been returned.
+	minBackoff      = 50 * time.Millisecond
+	earlyMaxBackoff = 200 * time.Millisecond
+	earlyMisses     = 6
+	maxBackoff      = 2 * time.Second
+	// expectedAnswerTime is how long the amount of an unanswered request counts as
+	// expected. Afterwards other VMs are asked as well.
+	expectedAnswerTime = 100 * time.Millisecond
 )
 
-// Receive handles an answer to a loan request that was sent at sentAt, which
-// must not be later than the moment of sending: the use of the loan is counted
-// from it. It reports whether Advance should be called at once.
+// Receive applies an answer to a loan request that was sent at sentAt. sentAt must not
+// be later than the moment of sending, because the period of the loan is counted from
+// it. Receive reports whether Advance should be called at once.
 func Receive(tables *state.Tables, answer LoanAnswer, from Peer, sentAt, now time.Time) bool {
 	hold := tables.Lease.Hold()
 	advanceNow := false
 	tables.Shares.With(func(s *state.Shares) {
-		syncHold(s, hold)
+		resetOnNewHold(s, hold)
 		ref, known := s.Borrowed[answer.Number]
 		if !known {
 			return
@@ -71,7 +73,7 @@
 		tokens := func(float64) {}
 		if ref.Connections {
 			book = &s.Servers[ref.Name].Loans
-			for endNextLoan(s, book, now) {
+			for expireLoans(s, book, now) {
 			}
 		} else {
 			c := s.Customers[ref.Name]
@@ -79,18 +81,18 @@
 			advance(s, c, hold, now)
 			tokens = func(n float64) { c.Level = min(capacity(c), c.Level+n) }
 		}
-		if receive(s, book, answer, from, sentAt, now, tokens) {
-			planAt(book, now)
+		if applyAnswer(s, book, answer, from, sentAt, now, tokens) {
+			schedulePlan(book, now)
 			advanceNow = true
 		}
 	})
 	return advanceNow
 }
 
-// receive applies an answer to the loan that it belongs to, if there still is
-// one. Answers to loans that have ended are ignored: their tokens may have been
-// spent.
-func receive(s *state.Shares, b *state.LoanBook, a LoanAnswer, from Peer, sentAt, now time.Time, tokens func(float64)) bool {
+// applyAnswer applies an answer to its loan and reports whether loans should be
+// planned again. Answers to loans that have ended are ignored, because their tokens
+// may have been spent.
+func applyAnswer(s *state.Shares, b *state.LoanBook, a LoanAnswer, from Peer, sentAt, now time.Time, tokens func(float64)) bool {
 	i := slices.IndexFunc(b.Borrowed, func(r state.Borrowed) bool {
 		return r.Number == a.Number && r.Lender == from.Name
 	})
@@ -99,25 +101,25 @@
 	}
 	r := &b.Borrowed[i]
 	end := sentAt.Add(r.Period)
-	note(b, r.Lender).RoundTrip = now.Sub(sentAt)
+	lenderNote(b, r.Lender).RoundTrip = now.Sub(sentAt)
 	if r.Phase != state.LoanAsked {
-		return renewed(b, r, a, from, end)
+		return applyRenewal(b, r, a, from, end)
 	}
 	if a.refused() || !end.After(now) {
-		noteMiss(b, r.Lender, a.RetryAfter, now)
-		forget(s, b, i)
+		recordRefusal(b, r.Lender, a.RetryAfter, now)
+		removeBorrowed(s, b, i)
 		return true
 	}
-	noteHit(b, r, a, now)
+	recordGrant(b, r, a, now)
 	r.Phase, r.Incarnation, r.EndsAt, r.Attempts = state.LoanActive, from.Incarnation, end, 0
 	r.Rate, r.Burst, r.Units = a.Rate, a.Burst, a.Units
 	tokens(a.Tokens)
 	return true
 }
 
-// renewed applies an answer to a renewal. Another process of the lender's name
-// does not know the loan; what it says does not concern it.
-func renewed(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, from Peer, end time.Time) bool {
+// applyRenewal applies an answer to a renewal. An answer from another process with
+// the lender's name is ignored: that process does not know the loan.
+func applyRenewal(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, from Peer, end time.Time) bool {
 	if from.Incarnation != r.Incarnation {
 		return false
 	}
@@ -131,12 +133,14 @@
 	return false
 }
 
-func forget(s *state.Shares, b *state.LoanBook, i int) {
+// removeBorrowed removes the i-th loan that this VM asked for or uses.
+func removeBorrowed(s *state.Shares, b *state.LoanBook, i int) {
 	delete(s.Borrowed, b.Borrowed[i].Number)
 	b.Borrowed = slices.Delete(b.Borrowed, i, i+1)
 }
 
-func note(b *state.LoanBook, vm string) *state.LenderNote {
+// lenderNote returns this VM's record of a lender, creating it if needed.
+func lenderNote(b *state.LoanBook, vm string) *state.LenderNote {
 	if b.Notes == nil {
 		b.Notes = make(map[string]*state.LenderNote)
 	}
@@ -148,45 +152,47 @@
 	return n
 }
 
-// noteMiss remembers that a VM lent nothing, and not to ask it again too soon.
-func noteMiss(b *state.LoanBook, vm string, hint time.Duration, now time.Time) {
-	n := note(b, vm)
-	if now.Sub(n.Until) > lastBackoff {
+// recordRefusal records that a VM lent nothing, and backs off from it. hint is the
+// delay that the lender proposed, or zero.
+func recordRefusal(b *state.LoanBook, vm string, hint time.Duration, now time.Time) {
+	n := lenderNote(b, vm)
+	if now.Sub(n.Until) > maxBackoff {
 		n.Misses = 0
 	}
-	backoff := min(firstBackoff<<min(n.Misses, 10), searchBackoff)
-	if n.Misses > searchMisses {
-		backoff = min(searchBackoff<<min(n.Misses-searchMisses, 10), lastBackoff)
+	backoff := min(minBackoff<<min(n.Misses, 10), earlyMaxBackoff)
+	if n.Misses > earlyMisses {
+		backoff = min(earlyMaxBackoff<<min(n.Misses-earlyMisses, 10), maxBackoff)
 	}
 	if hint > 0 {
-		backoff = min(max(hint, patience), searchBackoff)
+		backoff = min(max(hint, localTokenWait), earlyMaxBackoff)
 	}
 	n.Misses++
 	n.Spare = 0
 	n.Until = now.Add(backoff)
 }
 
-// noteHit remembers what a lender has left.
-func noteHit(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, now time.Time) {
-	n := note(b, r.Lender)
+// recordGrant records what a lender can still lend, and backs off from it if it lent
+// less than requested.
+func recordGrant(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, now time.Time) {
+	n := lenderNote(b, r.Lender)
 	n.Misses = 0
 	n.Spare = a.Spare
 	n.Until = now
 	if a.Rate < r.Rate/2 || a.Tokens < r.Tokens || a.Units < r.Units {
-		n.Until = now.Add(firstBackoff)
+		n.Until = now.Add(minBackoff)
 		if a.RetryAfter > 0 {
-			n.Until = now.Add(min(max(a.RetryAfter, patience), searchBackoff))
+			n.Until = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
 		}
 	}
 }
 
-// returnRequests gives back loans of rate that the demand no longer needs.
-func (p *planner) returnRequests(c *state.CustomerShare) {
-	demand := demandNow(&c.Demand, p.now)
+// returnRateLoans returns loans of rate that the demand no longer needs.
+func (p *planner) returnRateLoans(c *state.CustomerShare) {
+	demand := currentDemand(&c.Demand, p.now)
 	switch {
-	case dominates(c, demand):
+	case hasDominantDemand(c, demand):
 		demand = c.Limit.Rate
-	case demand < smallestDemand/2:
+	case demand < minBorrowDemand/2:
 		demand = 0
 	}
 	demand *= returnHeadroom
@@ -197,84 +203,85 @@
 			continue
 		}
 		if p.s.Leaving || len(c.Waiters) == 0 && rate(c)-r.Rate >= demand {
-			p.returnLoan(c, i)
+			p.returnRateLoan(c, i)
 		}
 	}
 }
 
-// returnLoan stops using a loan and sends back the tokens that no longer fit.
-func (p *planner) returnLoan(c *state.CustomerShare, i int) {
+// returnRateLoan returns a loan together with the tokens that no longer fit into the
+// bucket.
+func (p *planner) returnRateLoan(c *state.CustomerShare, i int) {
 	tokens := max(0, c.Level-(capacity(c)-c.Loans.Borrowed[i].Burst))
 	tokens = min(tokens, c.Loans.Borrowed[i].Burst)
-	p.giveBack(&c.Loans, i, LoanRequest{Resource: Requests, Name: c.Name, Tokens: tokens})
+	p.returnLoan(&c.Loans, i, LoanRequest{Resource: Requests, Name: c.Name, Tokens: tokens})
 	c.Level = min(c.Level, capacity(c))
 }
 
-// renewRequests extends the loans of rate that are still in use.
-func (p *planner) renewRequests(c *state.CustomerShare) {
+// renewRateLoans renews the loans of rate that are still in use.
+func (p *planner) renewRateLoans(c *state.CustomerShare) {
 	b := &c.Loans
 	for i := range b.Borrowed {
 		r := &b.Borrowed[i]
-		if r.Phase == state.LoanActive && r.Rate > 0 && p.wantsRenewal(r) {
-			p.send(b, r, LoanRequest{Resource: Requests, Name: c.Name, Rate: r.Rate, Burst: r.Burst, Renewal: true})
+		if r.Phase == state.LoanActive && r.Rate > 0 && p.renewalDue(r) {
+			p.sendRequest(b, r, LoanRequest{Resource: Requests, Name: c.Name, Rate: r.Rate, Burst: r.Burst, Renewal: true})
 		}
 	}
 }
 
-// dominates reports whether most of the customer's demand comes to this VM. It
-// then borrows all that there is, since nobody else can make better use of it.
-func dominates(c *state.CustomerShare, demand float64) bool {
-	if c.Limit.Rate >= 2*smallestDemand {
+// hasDominantDemand reports whether most of the customer's demand arrives at this VM.
+// It then borrows the whole rate, since no other VM has more use for it.
+func hasDominantDemand(c *state.CustomerShare, demand float64) bool {
+	if c.Limit.Rate >= 2*minBorrowDemand {
 		return false
 	}
 	if slices.ContainsFunc(c.Loans.Borrowed, func(r state.Borrowed) bool { return r.Rate > 0 }) {
-		return demand > keepDominance*c.Limit.Rate
+		return demand > dominanceEnd*c.Limit.Rate
 	}
-	return demand > gainDominance*c.Limit.Rate
+	return demand > dominanceStart*c.Limit.Rate
 }
 
-// missing returns the rate and the tokens that the customer's demand lacks,
-// beyond what was asked for already.
-func missing(c *state.CustomerShare, now time.Time) (shortRate, shortTokens float64) {
+// shortfall returns the rate and the tokens that the customer's demand lacks, less
+// what has been requested and is still expected.
+func shortfall(c *state.CustomerShare, now time.Time) (shortRate, shortTokens float64) {
 	waiting := waitingCost(c)
 	shortTokens = waiting - c.Level
-	demand := demandNow(&c.Demand, now)
-	wanted := min(c.Limit.Rate, borrowHeadroom*demand+waiting/backlogTime.Seconds())
-	if dominates(c, demand) {
+	demand := currentDemand(&c.Demand, now)
+	wanted := min(c.Limit.Rate, borrowHeadroom*demand+waiting/backlogDrainTime.Seconds())
+	if hasDominantDemand(c, demand) {
 		wanted = c.Limit.Rate
 	}
 	shortRate = wanted - rate(c)
 	for i := range c.Loans.Borrowed {
-		if r := &c.Loans.Borrowed[i]; countedOn(r, now) {
+		if r := &c.Loans.Borrowed[i]; answerExpected(r, now) {
 			shortRate -= r.Rate
 			shortTokens -= r.Tokens
 		}
 	}
 	low := waiting > 0 || c.Level < capacity(c)/2
-	if !low || wanted < min(smallestDemand, c.Limit.Rate) || shortRate < smallestRate {
+	if !low || wanted < min(minBorrowDemand, c.Limit.Rate) || shortRate < minLoanRate {
 		shortRate = 0
 	}
-	if at, ok := viewOf(c).payableAt(waiting, 1, now); ok && at.Sub(now) <= patience {
+	if at, ok := snapshotBucket(c).affordableAt(waiting, 1, now); ok && at.Sub(now) <= localTokenWait {
 		shortTokens = 0
 	}
 	return shortRate, max(0, shortTokens)
 }
 
-// countedOn reports whether a loan was asked for and may be expected soon.
-func countedOn(r *state.Borrowed, now time.Time) bool {
-	return r.Phase == state.LoanAsked && now.Sub(r.AskedAt) < answerTime
+// answerExpected reports whether a loan was requested and an answer is expected soon.
+func answerExpected(r *state.Borrowed, now time.Time) bool {
+	return r.Phase == state.LoanAsked && now.Sub(r.AskedAt) < expectedAnswerTime
 }
 
-// borrowRequests asks for rate and burst, or for tokens alone.
-func (p *planner) borrowRequests(c *state.CustomerShare) {
-	shortRate, shortTokens := missing(c, p.now)
-	p.noteUnmet(&c.Loans, shortRate > 0 || shortTokens > 0)
+// borrowRateAndTokens requests loans of rate and burst, or of tokens alone.
+func (p *planner) borrowRateAndTokens(c *state.CustomerShare) {
+	shortRate, shortTokens := shortfall(c, p.now)
+	p.trackUnmetDemand(&c.Loans, shortRate > 0 || shortTokens > 0)
 	if shortRate <= 0 && shortTokens <= 0 || p.s.Leaving {
 		return
 	}
 	b := &c.Loans
 	if b.Holders == nil {
-		b.Holders = p.holders(c.Name)
+		b.Holders = p.lendersFor(c.Name)
 	}
 	for _, h := range p.candidates(b) {
 		switch {
@@ -282,29 +289,30 @@
 			r := min(shortRate, h.Share.Rate)
 			burst := min(h.Share.Burst, max(shortTokens, r*c.Limit.Burst/c.Limit.Rate))
 			tokens := min(burst, max(0, shortTokens))
-			p.ask(b, h, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
+			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
 			shortRate -= r
 			shortTokens -= tokens
 		case shortTokens > 0:
 			tokens := min(shortTokens, h.Share.Burst)
-			p.ask(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenPeriod(b.Notes[h.VM])})
+			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.Notes[h.VM])})
 			shortTokens -= tokens
 		}
 	}
 }
 
-// tokenPeriod is how long a loan of tokens is asked for.
-func tokenPeriod(n *state.LenderNote) time.Duration {
+// tokenLoanPeriod returns the period to request for a loan of tokens.
+func tokenLoanPeriod(n *state.LenderNote) time.Duration {
 	if n == nil || n.RoundTrip == 0 {
-		return firstTokenLoan
+		return defaultTokenLoan
 	}
-	return min(max(tokenRoundTrips*n.RoundTrip, shortestTokenLoan), longestTokenLoan)
+	return min(max(tokenLoanRoundTrips*n.RoundTrip, minTokenLoan), maxTokenLoan)
 }
 
-func (p *planner) holders(customer string) []state.Holder {
+// lendersFor returns the possible lenders of a customer's limit.
+func (p *planner) lendersFor(customer string) []state.Holder {
 	c := p.config().Customers[customer]
 	if c == nil {
 		return []state.Holder{}
 	}
-	return p.layout().requestHolders(c, p.tables.Self.Name, p.tables.Self.DataCentre)
+	return p.topology().requestLenders(c, p.tables.Self.Name, p.tables.Self.DataCentre)
 }
--- a/coordination/share/broken_test.go
+++ b/coordination/share/broken_test.go
@@ -9,33 +9,34 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// brokenPlans bounds the random runs in which a broken rule must be noticed.
-const brokenPlans = 100
+// maxBrokenRuleRuns is the number of random runs within which a broken rule must lead
+// to a violation.
+const maxBrokenRuleRuns = 100
 
-// rule is a decision with one rule left out.
+// rule is a rule of the protocol together with hooks that break it.
 type rule struct {
 	name   string
 	broken hooks
-	// script sets up the situation in which the rule matters, where random runs
-	// seldom come to it.
-	script func(w *world)
+	// script sets up the situation in which the rule matters, if random runs seldom
+	// reach it.
+	script func(w *simulation)
 }
 
-// calm is the plan that scripts run in.
-var calm = plan{Layout: []int{3}, Clocks: "fast"}
+// faultFreePlan is the plan for scripts.
+var faultFreePlan = plan{Layout: []int{3}, Clocks: "fast"}
 
-// twoOfVM1 starts a second process of vm1 at 10 s while the first goes on.
-func twoOfVM1(w *world) {
+// startSecondProcess starts a second process of vm1 at 10 s while the first continues.
+func startSecondProcess(w *simulation) {
 	w.f.after(10*time.Second, func() { w.f.start("vm1", "dc1", w.speed(), w.f.config) })
 }
 
-// saturate lets the buckets fill, then sends so much that every token is spent
-// at once, and starts a second process of vm1. A bucket that starts full then
-// holds tokens that the first process has spent.
-func saturate(w *world) {
+// saturateBuckets lets the buckets fill, then sends enough requests to spend every
+// token at once, and starts a second process of vm1. If the bucket of that process
+// started full, it would hold tokens that the first process has spent.
+func saturateBuckets(w *simulation) {
 	const begin = 25 * time.Second
 	w.f.after(begin+5*time.Second, func() { w.f.start("vm1", "dc1", w.speed(), w.f.config) })
-	w.script = func(string) (*proc, float64) {
+	w.script = func(string) (*process, float64) {
 		if w.f.now < begin {
 			return nil, 10
 		}
@@ -44,24 +45,24 @@
 	}
 }
 
-// lateAnswers delays what the first process of vm1 is answered, and keeps it
-// from hearing of the second one otherwise.
-func lateAnswers(w *world) {
-	twoOfVM1(w)
-	quick := w.f.latency
-	w.f.latency = func(from, to *proc) time.Duration {
+// delayAnswersToFirstProcess starts a second process of vm1 and delays all messages to
+// the first one, so that it learns late of the second.
+func delayAnswersToFirstProcess(w *simulation) {
+	startSecondProcess(w)
+	normalLatency := w.f.latency
+	w.f.latency = func(from, to *process) time.Duration {
 		if w.f.now > 5*time.Second && to.name == "vm1" && to.incarnation == 1 {
 			return 2500 * time.Millisecond
 		}
-		return quick(from, to)
+		return normalLatency(from, to)
 	}
 }
 
-// forgetfulVoter keeps vm2 from hearing of the second process of vm1 while vm3
-// does, and restarts vm2.
-func forgetfulVoter(w *world) {
-	twoOfVM1(w)
-	w.f.cut = func(from, to *proc) bool {
+// restartUninformedVoter starts a second process of vm1 that vm3 learns of but vm2 does
+// not, and restarts vm2.
+func restartUninformedVoter(w *simulation) {
+	startSecondProcess(w)
+	w.f.blocked = func(from, to *process) bool {
 		return w.f.now < 13500*time.Millisecond && w.f.now > 10*time.Second &&
 			(to.name == "vm2" && (from.name != "vm1" || from.incarnation == 2) || from.name == "vm3" && to.incarnation == 1)
 	}
@@ -71,13 +72,13 @@
 	})
 }
 
-// largeLoans makes vm1, whose clock is slow, borrow the shares of the others,
-// which need them back from time to time.
-func largeLoans(w *world) {
+// borrowLargeLoans makes vm1, whose clock is slow, borrow the shares of the other VMs,
+// which periodically need them back.
+func borrowLargeLoans(w *simulation) {
 	addCustomer(w.f.config, "large", 900, 9)
-	w.limits["large"] = &ideal{rate: 900, burst: 9, level: 9}
+	w.limits["large"] = &referenceBucket{rate: 900, burst: 9, level: 9}
 	w.f.after(0, func() { w.f.current["vm1"].speed = 0.99 })
-	w.script = func(customer string) (*proc, float64) {
+	w.script = func(customer string) (*process, float64) {
 		p := w.f.current["vm1"]
 		if others := w.f.running(); int(w.f.now/(4*time.Second))%2 == 1 {
 			p = others[w.f.rng.IntN(len(others))]
@@ -89,18 +90,18 @@
 	}
 }
 
-// replacedLender replaces a VM that lends its share. The new process has
-// requests of its own, while the borrower still knows the old one.
-func replacedLender(w *world) {
-	largeLoans(w)
+// replaceLender replaces a VM that has lent its share. The new process gets requests
+// of its own, while messages of the borrower still reach the old one.
+func replaceLender(w *simulation) {
+	borrowLargeLoans(w)
 	w.f.after(15*time.Second, func() { w.f.start("vm2", "dc1", w.speed(), w.f.config) })
-	w.f.address = func(from *proc, name string) *proc {
+	w.f.route = func(from *process, name string) *process {
 		if from.name == "vm1" && name == "vm2" {
 			return w.f.procs[1]
 		}
 		return w.f.target(name)
 	}
-	w.script = func(customer string) (*proc, float64) {
+	w.script = func(customer string) (*process, float64) {
 		p := w.f.current["vm1"]
 		if w.f.now > 15*time.Second && w.f.rng.IntN(2) == 0 {
 			p = w.f.current["vm2"]
@@ -112,24 +113,24 @@
 	}
 }
 
-// slowAnswers delays the answers to vm1 by 500 ms.
-func slowAnswers(w *world) {
-	largeLoans(w)
-	quick := w.f.latency
-	w.f.latency = func(from, to *proc) time.Duration {
+// delayAnswers delays the answers to vm1 by 500 ms.
+func delayAnswers(w *simulation) {
+	borrowLargeLoans(w)
+	normalLatency := w.f.latency
+	w.f.latency = func(from, to *process) time.Duration {
 		if to.name == "vm1" {
 			return 500 * time.Millisecond
 		}
-		return quick(from, to)
+		return normalLatency(from, to)
 	}
 }
 
-// restartedLender makes vm1 borrow connections of the others, which then need
-// theirs themselves, and restarts one of them. What its process has lent is in
-// use until after the hold of the next one has begun.
-func restartedLender(w *world) {
+// restartLender makes vm1 borrow connections of the other VMs, which then need them
+// themselves, and restarts one of these. The connections that its old process lent
+// are in use until after the lease hold of the new one has begun.
+func restartLender(w *simulation) {
 	const restart = 10500 * time.Millisecond // right after a renewal of the loans
-	w.wanted = func(p *proc) int {
+	w.wanted = func(p *process) int {
 		if p.name == "vm1" || w.f.now >= restart {
 			return 20
 		}
@@ -141,8 +142,8 @@
 	})
 }
 
-// record finds the lender's record of a loan.
-func record(s *state.Shares, from Peer, req LoanRequest) *state.Lent {
+// lentRecord returns the lender's record of a loan, or nil.
+func lentRecord(s *state.Shares, from Peer, req LoanRequest) *state.Lent {
 	var book *state.LoanBook
 	switch {
 	case req.Resource == Connections && s.Servers[req.Name] != nil:
@@ -160,18 +161,18 @@
 	return nil
 }
 
-// newestOnly makes a process keep to its newest ticket only.
-func newestOnly(p *proc) {
+// keepOnlyNewestTicket makes a process respect only its newest ticket.
+func keepOnlyNewestTicket(p *process) {
 	p.tables.Shares.With(func(s *state.Shares) {
 		s.Tickets = s.Tickets[len(s.Tickets)-1:]
 		s.Agreed = s.Tickets[0].Config.Ticket.Number
-		rebase(s)
+		updateBaseShares(s)
 	})
 }
 
-// takeWithOwnVote starts a hold with the confirmations that only suffice to keep
-// one.
-func takeWithOwnVote(p *proc) {
+// startHoldWithOwnVote starts a lease hold with as many confirmations as suffice only
+// to extend one.
+func startHoldWithOwnVote(p *process) {
 	voters := lease.VotersOf(p.tables.Config.Current(), p.name)
 	names := voters.VMs
 	if voters.Store {
@@ -192,20 +193,20 @@
 }
 
 func brokenRules() []rule {
-	held := make(map[*proc]time.Time)
+	held := make(map[*process]time.Time)
 	var until time.Time
 	return []rule{
-		{name: "lender reclaims without margin", script: largeLoans, broken: hooks{granted: func(p *proc, from Peer, req LoanRequest) {
+		{name: "lender reclaims without margin", script: borrowLargeLoans, broken: hooks{granted: func(p *process, from Peer, req LoanRequest) {
 			p.tables.Shares.With(func(s *state.Shares) {
-				if r := record(s, from, req); r != nil && !r.Refused {
+				if r := lentRecord(s, from, req); r != nil && !r.Refused {
 					r.EndsAt = p.local().Add(req.Period)
 				}
 			})
 		}}},
-		{name: "borrower counts from the receipt", script: slowAnswers, broken: hooks{receiving: func(p *proc, _ LoanAnswer, sentAt *time.Time) {
+		{name: "borrower counts from the receipt", script: delayAnswers, broken: hooks{receiving: func(p *process, _ LoanAnswer, sentAt *time.Time) {
 			*sentAt = p.local()
 		}}},
-		{name: "borrower counts tokens twice", broken: hooks{receiving: func(p *proc, a LoanAnswer, _ *time.Time) {
+		{name: "borrower counts tokens twice", broken: hooks{receiving: func(p *process, a LoanAnswer, _ *time.Time) {
 			p.tables.Shares.With(func(s *state.Shares) {
 				if ref, ok := s.Borrowed[a.Number]; ok && !ref.Connections {
 					b := s.Customers[ref.Name].Loans.Borrowed
@@ -217,7 +218,7 @@
 				}
 			})
 		}}},
-		{name: "lender forgets repeated requests", broken: hooks{granting: func(p *proc, req LoanRequest) {
+		{name: "lender forgets repeated requests", broken: hooks{granting: func(p *process, req LoanRequest) {
 			p.tables.Shares.With(func(s *state.Shares) {
 				if c := s.Customers[req.Name]; c != nil {
 					for i := range c.Loans.Lent {
@@ -228,8 +229,8 @@
 				}
 			})
 		}}},
-		{name: "lender's hold ends before its loans", script: replacedLender, broken: hooks{
-			granting: func(p *proc, _ LoanRequest) {
+		{name: "lender's hold ends before its loans", script: replaceLender, broken: hooks{
+			granting: func(p *process, _ LoanRequest) {
 				p.tables.Lease.With(func(l *state.Lease) {
 					until = l.Hold.Until
 					if l.Hold.Valid(p.local()) {
@@ -237,18 +238,18 @@
 					}
 				})
 			},
-			granted: func(p *proc, _ Peer, _ LoanRequest) {
+			granted: func(p *process, _ Peer, _ LoanRequest) {
 				p.tables.Lease.With(func(l *state.Lease) { l.Hold.Until = until })
 			},
 		}},
-		{name: "spends without lease", broken: hooks{counted: func(p *proc) {
+		{name: "spends without lease", broken: hooks{counted: func(p *process) {
 			p.tables.Lease.With(func(l *state.Lease) {
 				if !l.Hold.Since.IsZero() {
 					l.Hold.Until = p.local().Add(time.Hour)
 				}
 			})
 		}}},
-		{name: "hold counts from the receipt", script: lateAnswers, broken: hooks{counting: func(p *proc) {
+		{name: "hold counts from the receipt", script: delayAnswersToFirstProcess, broken: hooks{counting: func(p *process) {
 			p.tables.Lease.With(func(l *state.Lease) {
 				for n, q := range l.Queries {
 					q.SentAt = p.local()
@@ -256,17 +257,17 @@
 				}
 			})
 		}}},
-		{name: "own vote starts a hold", broken: hooks{counted: takeWithOwnVote}},
-		{name: "voter confirms the next process at once", broken: hooks{voting: func(p *proc, from string) {
+		{name: "own vote starts a hold", broken: hooks{counted: startHoldWithOwnVote}},
+		{name: "voter confirms the next process at once", broken: hooks{voting: func(p *process, from string) {
 			p.tables.Lease.With(func(l *state.Lease) { l.Record(from).Confirmed = 0 })
 		}}},
-		{name: "voter confirms right after its start", script: forgetfulVoter, broken: hooks{started: func(p *proc) {
+		{name: "voter confirms right after its start", script: restartUninformedVoter, broken: hooks{started: func(p *process) {
 			lease.Start(p.tables.Lease, p.local().Add(-time.Minute))
 		}}},
-		{name: "bucket starts full", script: saturate, broken: hooks{recomputed: func(p *proc) {
+		{name: "bucket starts full", script: saturateBuckets, broken: hooks{recomputed: func(p *process) {
 			hold := p.tables.Lease.Hold()
 			p.tables.Shares.With(func(s *state.Shares) {
-				if p.incarnation == 1 || !complete(s) || hold.Since.Equal(held[p]) {
+				if p.incarnation == 1 || !hasAgreedTicket(s) || hold.Since.Equal(held[p]) {
 					return
 				}
 				held[p] = hold.Since
@@ -275,31 +276,31 @@
 				}
 			})
 		}}},
-		{name: "bucket is refilled at the full rate", broken: hooks{recomputed: func(p *proc) {
+		{name: "bucket is refilled at the full rate", broken: hooks{recomputed: func(p *process) {
 			p.tables.Shares.With(func(s *state.Shares) {
-				rebase(s)
+				updateBaseShares(s)
 				for _, c := range s.Customers {
-					c.Base.Rate /= refill
+					c.Base.Rate /= refillFactor
 				}
 			})
 		}}},
-		{name: "only the newest ticket counts", broken: hooks{recomputed: newestOnly}},
-		{name: "ticket reported although loans exceed it", broken: hooks{report: func(p *proc, _ uint64) uint64 {
+		{name: "only the newest ticket counts", broken: hooks{recomputed: keepOnlyNewestTicket}},
+		{name: "ticket reported although loans exceed it", broken: hooks{report: func(p *process, _ uint64) uint64 {
 			return p.tables.Config.Current().Ticket.Number
 		}}},
-		{name: "new process uses all its connections", script: restartedLender, broken: hooks{recomputed: func(p *proc) {
+		{name: "new process uses all its connections", script: restartLender, broken: hooks{recomputed: func(p *process) {
 			p.tables.Shares.With(func(s *state.Shares) { s.EarlierLoansTill = time.Time{} })
 		}}},
 	}
 }
 
-// notice returns the first violation that the broken rule leads to.
-func (r rule) notice() string {
+// firstViolation returns the first violation that breaking the rule leads to.
+func (r rule) firstViolation() string {
 	if r.script != nil {
-		violation, _ := calm.run(r.broken, r.script)
+		violation, _ := faultFreePlan.run(r.broken, r.script)
 		return violation
 	}
-	for i := range brokenPlans {
+	for i := range maxBrokenRuleRuns {
 		if violation, _ := plans.Example(i).run(r.broken, nil); violation != "" {
 			return violation
 		}
@@ -307,22 +308,22 @@
 	return ""
 }
 
-// Guards against a check that would not notice a broken rule, and against rules
-// that are not needed.
+// Guards against checks that do not detect a broken rule, and against rules that are
+// not needed.
 func TestBrokenRulesAreNoticed(t *testing.T) {
 	for _, r := range brokenRules() {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
-			violation := r.notice()
+			violation := r.firstViolation()
 			if violation == "" {
-				t.Error("not noticed")
+				t.Error("breaking the rule led to no violation")
 			}
 			t.Log(violation)
 			if r.script == nil {
 				return
 			}
-			if violation, spends := calm.run(hooks{}, r.script); violation != "" || spends == 0 {
-				t.Errorf("with the rule: %d requests granted, %s", spends, violation)
+			if violation, spends := faultFreePlan.run(hooks{}, r.script); violation != "" || spends == 0 {
+				t.Errorf("rule intact: %d requests granted, violation: %q", spends, violation)
 			}
 		})
 	}
--- a/coordination/share/bucket.go
+++ b/coordination/share/bucket.go
@@ -7,25 +7,26 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// refill is the part of its rate that a bucket is refilled with. VM clocks may
-// run up to 1 % fast, and the limit is promised in real time.
-const refill = 0.99
+// refillFactor is the fraction of its rate at which a bucket is refilled. VM
+// clocks may run up to 1 % fast, and the limit is guaranteed in real time.
+const refillFactor = 0.99
 
-// rate returns what the bucket gains, in requests a second.
+// rate returns the rate of the bucket in requests per second, without refillFactor.
 func rate(c *state.CustomerShare) float64 {
-	lent, _ := lentOut(&c.Loans)
-	borrowed, _ := borrowedIn(&c.Loans)
+	lent, _ := totalLent(&c.Loans)
+	borrowed, _ := totalBorrowed(&c.Loans)
 	return max(0, c.Base.Rate-lent) + borrowed
 }
 
-// capacity returns the most tokens that the bucket holds.
+// capacity returns the maximum number of tokens in the bucket.
 func capacity(c *state.CustomerShare) float64 {
-	_, lent := lentOut(&c.Loans)
-	_, borrowed := borrowedIn(&c.Loans)
+	_, lent := totalLent(&c.Loans)
+	_, borrowed := totalBorrowed(&c.Loans)
 	return max(0, c.Base.Burst-lent) + borrowed
 }
 
-func lentOut(b *state.LoanBook) (rate, burst float64) {
+// totalLent sums up the loans that this VM granted.
+func totalLent(b *state.LoanBook) (rate, burst float64) {
 	for i := range b.Lent {
 		rate += b.Lent[i].Rate
 		burst += b.Lent[i].Burst
@@ -33,7 +34,8 @@
 	return rate, burst
 }
 
-func borrowedIn(b *state.LoanBook) (rate, burst float64) {
+// totalBorrowed sums up the active loans that this VM received.
+func totalBorrowed(b *state.LoanBook) (rate, burst float64) {
 	for i := range b.Borrowed {
 		if b.Borrowed[i].Phase == state.LoanActive {
 			rate += b.Borrowed[i].Rate
@@ -43,19 +45,19 @@
 	return rate, burst
 }
 
-// advanceAll brings all loans and buckets up to the given time.
+// advanceAll updates all buckets to the given time and ends expired loans.
 func advanceAll(s *state.Shares, hold state.Hold, now time.Time) {
 	for _, c := range s.Customers {
 		advance(s, c, hold, now)
 	}
 	for _, c := range s.Servers {
-		for endNextLoan(s, &c.Loans, now) {
+		for expireLoans(s, &c.Loans, now) {
 		}
 	}
 }
 
-// advance brings a customer's bucket up to the given time, ending loans in the
-// order of their ends.
+// advance updates a customer's bucket to the given time. Loans that expire before
+// then are ended in order of expiry, since each end changes rate and capacity.
 func advance(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) {
 	for {
 		end, ok := nextLoanEnd(&c.Loans)
@@ -63,14 +65,15 @@
 			break
 		}
 		accrue(c, hold, end)
-		endNextLoan(s, &c.Loans, end)
+		expireLoans(s, &c.Loans, end)
 		c.Level = min(c.Level, capacity(c))
 	}
 	accrue(c, hold, now)
 }
 
-// accrue adds the tokens gained since the last update, as far as the lease hold
-// covers the time. Another process of this VM's name may have gained the rest.
+// accrue adds the tokens for the time since the last update that the lease hold
+// covers. For the rest of the time, another process with this VM's name may have
+// accrued them.
 func accrue(c *state.CustomerShare, hold state.Hold, to time.Time) {
 	from, until := c.Updated, to
 	if hold.Since.After(from) {
@@ -80,26 +83,27 @@
 		until = hold.Until
 	}
 	if until.After(from) && !hold.Since.IsZero() {
-		c.Level = min(capacity(c), c.Level+rate(c)*refill*until.Sub(from).Seconds())
+		c.Level = min(capacity(c), c.Level+rate(c)*refillFactor*until.Sub(from).Seconds())
 	}
 	if to.After(c.Updated) {
 		c.Updated = to
 	}
 }
 
-// bucketView is a bucket at one moment.
-type bucketView struct {
+// bucketSnapshot is the state of a bucket at one point in time.
+type bucketSnapshot struct {
 	level, capacity, rate float64
 }
 
-func viewOf(c *state.CustomerShare) bucketView {
-	return bucketView{level: c.Level, capacity: capacity(c), rate: rate(c) * refill}
+func snapshotBucket(c *state.CustomerShare) bucketSnapshot {
+	return bucketSnapshot{level: c.Level, capacity: capacity(c), rate: rate(c) * refillFactor}
 }
 
-// payableAt returns when the bucket can pay for the given total, or false if it
-// cannot at its present rate. Tokens beyond the capacity are gained and spent in
-// turn, so only a single cost must fit into the capacity.
-func (b bucketView) payableAt(total, single float64, now time.Time) (time.Time, bool) {
+// affordableAt returns when the bucket will have supplied the given total, or false
+// if that takes longer than maxTokenWait at the current rate. The total may exceed
+// the capacity, because tokens are spent as they accrue; only the cost of a single
+// request must fit.
+func (b bucketSnapshot) affordableAt(total, single float64, now time.Time) (time.Time, bool) {
 	missing := total - b.level
 	if missing <= 0 {
 		return now, true
@@ -108,14 +112,14 @@
 		return time.Time{}, false
 	}
 	seconds := missing / b.rate
-	if seconds > longestWait.Seconds() {
+	if seconds > maxTokenWait.Seconds() {
 		return time.Time{}, false
 	}
-	return now.Add(roundUp(seconds)), true
+	return now.Add(ceilDuration(seconds)), true
 }
 
-// roundUp converts seconds to a duration that is not shorter, so that a token is
-// there when a timer for it fires.
-func roundUp(seconds float64) time.Duration {
+// ceilDuration converts seconds to a duration and rounds up to a microsecond, so
+// that the token is available when a timer for it fires.
+func ceilDuration(seconds float64) time.Duration {
 	return time.Duration(math.Ceil(seconds*1e6)) * time.Microsecond
 }
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -14,27 +14,27 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet runs the decisions of many processes in virtual time. It plays the
-// driver of each process, the network and the store.
+// fleet runs the decisions of many processes in virtual time. It simulates the driver
+// of each process, the network and the store.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Duration // real time
-	events  eventHeap
-	seq     int
-	procs   []*proc
-	current map[string]*proc
-	store   map[string]uint64 // incarnation in the lease object, by VM
-	config  *state.Config     // newest ticket
-	faults  faults
-	hooks   hooks
-	static  bool
-	latency func(from, to *proc) time.Duration
-	cut     func(from, to *proc) bool           // no message gets through; optional
-	address func(from *proc, name string) *proc // which process of a VM a message goes to; optional
-	onSpend func(p *proc, customer string)
-	onEnd   func(p *proc, id state.WaiterID, a Admission)
-	changed func(p *proc) // the limits of connections may have changed
-	loanMsg int           // messages with loan requests
+	rng          *rand.Rand
+	now          time.Duration // real time
+	events       eventQueue
+	seq          int
+	procs        []*process
+	current      map[string]*process
+	store        map[string]uint64 // incarnation in the lease object, by VM
+	config       *state.Config     // newest ticket
+	faults       faults
+	hooks        hooks
+	static       bool
+	latency      func(from, to *process) time.Duration
+	blocked      func(from, to *process) bool              // whether messages are lost; optional
+	route        func(from *process, name string) *process // process of a VM that a message goes to; optional
+	onSpend      func(p *process, customer string)
+	onEnd        func(p *process, id state.WaiterID, a Admission)
+	changed      func(p *process) // called when connection limits may have changed
+	loanMessages int              // number of messages with loan requests
 }
 
 // faults are probabilities for each message.
@@ -43,26 +43,26 @@
 	storeDown            bool
 }
 
-// hooks break single rules. All are optional.
+// hooks break single rules of the protocol. All are optional.
 type hooks struct {
-	started    func(p *proc)                                  // a process has started
-	voting     func(p *proc, from string)                     // before a voter answers
-	counting   func(p *proc)                                  // before a voter's answer is counted
-	counted    func(p *proc)                                  // after it
-	recomputed func(p *proc)                                  // after the base shares were computed
-	report     func(p *proc, ticket uint64) uint64            // the ticket reported as applied
-	granting   func(p *proc, req LoanRequest)                 // before a lender answers
-	granted    func(p *proc, from Peer, req LoanRequest)      // after it
-	receiving  func(p *proc, a LoanAnswer, sentAt *time.Time) // before a borrower uses an answer
+	started    func(p *process)                                  // after the start of a process
+	voting     func(p *process, from string)                     // before a voter answers
+	counting   func(p *process)                                  // before an answer of a voter is counted
+	counted    func(p *process)                                  // after it
+	recomputed func(p *process)                                  // after the base shares were computed
+	report     func(p *process, ticket uint64) uint64            // the ticket reported as applied
+	granting   func(p *process, req LoanRequest)                 // before a lender answers
+	granted    func(p *process, from Peer, req LoanRequest)      // after it
+	receiving  func(p *process, a LoanAnswer, sentAt *time.Time) // before a borrower applies an answer
 }
 
 // proc is one process of a VM.
-type proc struct {
+type process struct {
 	f           *fleet
 	name, dc    string
 	incarnation uint64
 	tables      *state.Tables
-	speed       float64 // of its clock
+	speed       float64 // of its clock, relative to real time
 	pausedUntil time.Duration
 	dead        bool
 	timer       int // generation of the timer for Advance
@@ -77,15 +77,15 @@
 	run func()
 }
 
-type eventHeap []event
+type eventQueue []event
 
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -95,34 +95,34 @@
 func newFleet(seed uint64, config *state.Config) *fleet {
 	return &fleet{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
-		current: make(map[string]*proc),
+		current: make(map[string]*process),
 		store:   make(map[string]uint64),
 		config:  config,
-		latency: func(from, to *proc) time.Duration {
+		latency: func(from, to *process) time.Duration {
 			if from.dc == to.dc {
 				return 300 * time.Microsecond
 			}
 			return 1200 * time.Microsecond
 		},
-		onSpend: func(*proc, string) {},
-		onEnd:   func(*proc, state.WaiterID, Admission) {},
-		changed: func(*proc) {},
+		onSpend: func(*process, string) {},
+		onEnd:   func(*process, state.WaiterID, Admission) {},
+		changed: func(*process) {},
 	}
 }
 
-// after runs f at a later real time.
+// after runs a function at a later real time.
 func (f *fleet) after(d time.Duration, run func()) {
 	f.seq++
 	heap.Push(&f.events, event{f.now + max(d, 0), f.seq, run})
 }
 
-// on runs f on a process at a later real time, or when its pause ends.
-func (f *fleet) on(p *proc, d time.Duration, run func()) {
+// runOn runs a function on a process at a later real time, or when its pause ends.
+func (f *fleet) runOn(p *process, d time.Duration, run func()) {
 	f.after(d, func() {
 		switch {
 		case p.dead:
 		case f.now < p.pausedUntil:
-			f.on(p, p.pausedUntil-f.now, run)
+			f.runOn(p, p.pausedUntil-f.now, run)
 		default:
 			run()
 		}
@@ -139,16 +139,16 @@
 }
 
 // send delivers a message to a process of the named VM, subject to faults.
-func (f *fleet) send(from *proc, to string, run func(q *proc)) {
-	f.deliver(from, func() *proc {
-		if f.address != nil {
-			return f.address(from, to)
+func (f *fleet) send(from *process, to string, run func(q *process)) {
+	f.deliver(from, func() *process {
+		if f.route != nil {
+			return f.route(from, to)
 		}
 		return f.target(to)
 	}, run)
 }
 
-func (f *fleet) deliver(from *proc, target func() *proc, run func(q *proc)) {
+func (f *fleet) deliver(from *process, target func() *process, run func(q *process)) {
 	copies := 1
 	if f.rng.Float64() < f.faults.lost {
 		copies = 0
@@ -158,39 +158,39 @@
 	}
 	for range copies {
 		q := target()
-		if q == nil || f.cut != nil && f.cut(from, q) {
+		if q == nil || f.blocked != nil && f.blocked(from, q) {
 			return
 		}
 		delay := f.latency(from, q)
 		if f.rng.Float64() < f.faults.slow {
 			delay += time.Duration(f.rng.ExpFloat64() * float64(time.Second))
 		}
-		f.on(q, delay, func() { run(q) })
+		f.runOn(q, delay, func() { run(q) })
 	}
 }
 
 // running returns the processes that have not been killed.
-func (f *fleet) running() []*proc {
-	return slices.DeleteFunc(slices.Clone(f.procs), func(p *proc) bool { return p.dead })
+func (f *fleet) running() []*process {
+	return slices.DeleteFunc(slices.Clone(f.procs), func(p *process) bool { return p.dead })
 }
 
-// target picks one of the processes that run under a VM name.
-func (f *fleet) target(name string) *proc {
-	running := slices.DeleteFunc(f.running(), func(p *proc) bool { return p.name != name })
+// target picks a random running process of a VM.
+func (f *fleet) target(name string) *process {
+	running := slices.DeleteFunc(f.running(), func(p *process) bool { return p.name != name })
 	if len(running) == 0 {
 		return nil
 	}
 	return running[f.rng.IntN(len(running))]
 }
 
-// reply delivers an answer to the process that asked.
-func (f *fleet) reply(from, to *proc, run func()) {
-	f.deliver(from, func() *proc { return to }, func(*proc) { run() })
+// reply delivers an answer to the process that sent the request.
+func (f *fleet) reply(from, to *process, run func()) {
+	f.deliver(from, func() *process { return to }, func(*process) { run() })
 }
 
 // start starts a process of a VM, which becomes the current one of its name.
-func (f *fleet) start(name, dc string, speed float64, config *state.Config) *proc {
-	p := &proc{f: f, name: name, dc: dc, incarnation: 1, speed: speed, reports: make(map[string]uint64)}
+func (f *fleet) start(name, dc string, speed float64, config *state.Config) *process {
+	p := &process{f: f, name: name, dc: dc, incarnation: 1, speed: speed, reports: make(map[string]uint64)}
 	first := f.current[name] == nil
 	if !first {
 		p.incarnation = f.current[name].incarnation + 1
@@ -204,28 +204,28 @@
 		f.hooks.started(p)
 	}
 	p.apply(config)
-	f.on(p, time.Duration(f.rng.Int64N(int64(lease.QueryInterval))), p.exchange)
+	f.runOn(p, time.Duration(f.rng.Int64N(int64(lease.QueryInterval))), p.exchange)
 	return p
 }
 
 // local reads the process's clock.
-func (p *proc) local() time.Time {
+func (p *process) local() time.Time {
 	return epoch.Add(time.Duration(float64(p.f.now+time.Minute) * p.speed))
 }
 
-// until returns the real time until the clock shows at, and a little more, as
-// timers never fire early.
-func (p *proc) until(at time.Time) time.Duration {
+// until returns the real time until the process's clock reaches at, plus a little,
+// because timers never fire early.
+func (p *process) until(at time.Time) time.Duration {
 	return time.Duration(float64(at.Sub(p.local()))/p.speed) + time.Microsecond
 }
 
-func (p *proc) apply(config *state.Config) {
+func (p *process) apply(config *state.Config) {
 	if p.tables.Config.Advance(config) {
 		p.recompute()
 	}
 }
 
-func (p *proc) recompute() {
+func (p *process) recompute() {
 	p.reports[p.name] = AppliedTicket(p.tables, p.local())
 	if p.f.hooks.report != nil {
 		p.reports[p.name] = p.f.hooks.report(p, p.reports[p.name])
@@ -238,16 +238,16 @@
 	p.f.changed(p)
 }
 
-// exchange sends the lease queries and what the exchange between VMs carries.
-func (p *proc) exchange() {
+// exchange sends the lease queries and the periodic messages between VMs.
+func (p *process) exchange() {
 	f := p.f
-	f.on(p, time.Duration(float64(lease.QueryInterval)/p.speed), p.exchange)
+	f.runOn(p, time.Duration(float64(lease.QueryInterval)/p.speed), p.exchange)
 	for _, out := range lease.Queries(p.tables, p.local()) {
 		if out.Voter == lease.Store {
 			p.askStore(out.Query)
 			continue
 		}
-		f.send(p, out.Voter, func(q *proc) {
+		f.send(p, out.Voter, func(q *process) {
 			if f.hooks.voting != nil {
 				f.hooks.voting(q, p.name)
 			}
@@ -260,7 +260,7 @@
 	applied, agreed := p.reports[p.name], p.tables.Shares.Agreed()
 	for _, name := range slices.Sorted(maps.Keys(f.current)) {
 		if name != p.name {
-			f.send(p, name, func(q *proc) {
+			f.send(p, name, func(q *process) {
 				lease.Learn(q.tables, p.name, p.incarnation)
 				q.reports[p.name] = max(q.reports[p.name], applied)
 				q.agreed = max(q.agreed, agreed)
@@ -270,12 +270,12 @@
 	}
 }
 
-// fetchHistory asks some VM for the tickets that it keeps to, as a new process
+// fetchHistory asks a random VM for the tickets that it respects, as a new process
 // does while a ticket is being applied.
-func (p *proc) fetchHistory() {
+func (p *process) fetchHistory() {
 	hold := p.tables.Lease.Hold()
 	names := slices.Sorted(maps.Keys(p.f.current))
-	p.f.send(p, names[p.f.rng.IntN(len(names))], func(q *proc) {
+	p.f.send(p, names[p.f.rng.IntN(len(names))], func(q *process) {
 		configs, agreed := q.tables.Shares.Relevant(), q.tables.Shares.Agreed()
 		current := q.tables.Config.Current()
 		p.f.reply(q, p, func() {
@@ -289,7 +289,7 @@
 	})
 }
 
-func (p *proc) receiveVote(voter string, answer lease.Answer) {
+func (p *process) receiveVote(voter string, answer lease.Answer) {
 	if p.f.hooks.counting != nil {
 		p.f.hooks.counting(p)
 	}
@@ -299,7 +299,7 @@
 	}
 }
 
-func (p *proc) askStore(q lease.Query) {
+func (p *process) askStore(q lease.Query) {
 	f := p.f
 	f.after(2*time.Millisecond, func() {
 		if f.faults.storeDown || f.rng.Float64() < f.faults.lost {
@@ -310,22 +310,22 @@
 			f.store[p.name] = q.Incarnation
 			answer, _ = lease.StoreAnswer(q, q.Incarnation)
 		}
-		f.on(p, 2*time.Millisecond, func() { p.receiveVote(lease.Store, answer) })
+		f.runOn(p, 2*time.Millisecond, func() { p.receiveVote(lease.Store, answer) })
 	})
 }
 
-// request is one request of a customer at this process.
-func (p *proc) request(customer string, deadline time.Duration) state.WaiterID {
+// request handles one request of a customer at this process.
+func (p *process) request(customer string, deadline time.Duration) state.WaiterID {
 	p.nextID++
 	id := state.WaiterID{Session: p.incarnation, Request: p.nextID}
 	now := p.local()
-	p.decided(customer, id, Take(p.tables, id, customer, 1, now, now.Add(deadline)))
+	p.handleAdmission(customer, id, Take(p.tables, id, customer, 1, now, now.Add(deadline)))
 	return id
 }
 
-func (p *proc) decided(customer string, id state.WaiterID, a Admission) {
+func (p *process) handleAdmission(customer string, id state.WaiterID, a Admission) {
 	if !a.Advance.IsZero() {
-		p.f.on(p, 50*time.Microsecond+p.until(a.Advance), p.advance)
+		p.f.runOn(p, 50*time.Microsecond+p.until(a.Advance), p.advance)
 	}
 	if a.Verdict == Granted {
 		p.f.onSpend(p, customer)
@@ -336,12 +336,12 @@
 }
 
 // advance calls Advance and carries out its effects.
-func (p *proc) advance() {
+func (p *process) advance() {
 	sentAt := p.local()
 	effects := Advance(p.tables, sentAt)
 	p.f.changed(p)
 	for _, d := range effects.Decisions {
-		p.decided(d.Customer, d.ID, d.Admission)
+		p.handleAdmission(d.Customer, d.ID, d.Admission)
 	}
 	for _, batch := range effects.Batches {
 		p.sendLoans(batch, sentAt)
@@ -349,7 +349,7 @@
 	if !effects.Next.IsZero() {
 		p.timer++
 		generation := p.timer
-		p.f.on(p, p.until(effects.Next), func() {
+		p.f.runOn(p, p.until(effects.Next), func() {
 			if p.timer == generation {
 				p.advance()
 			}
@@ -357,14 +357,14 @@
 	}
 }
 
-func (p *proc) sendLoans(batch Batch, sentAt time.Time) {
+func (p *process) sendLoans(batch Batch, sentAt time.Time) {
 	f := p.f
 	if len(batch.Loans) > MaxLoansPerMessage {
 		panic(fmt.Sprintf("%d loan requests in one message", len(batch.Loans)))
 	}
-	f.loanMsg++
+	f.loanMessages++
 	self := Peer{Name: p.name, Incarnation: p.incarnation}
-	f.send(p, batch.Peer, func(q *proc) {
+	f.send(p, batch.Peer, func(q *process) {
 		lender := Peer{Name: q.name, Incarnation: q.incarnation}
 		var answers []LoanAnswer
 		for _, req := range batch.Loans {
@@ -393,20 +393,21 @@
 	})
 }
 
-// ideal is one token bucket for the whole fleet.
-type ideal struct {
+// referenceBucket is a single token bucket for the whole fleet.
+type referenceBucket struct {
 	rate, burst, level float64
 	at                 time.Duration
 }
 
-func (b *ideal) advance(now time.Duration) {
+func (b *referenceBucket) advance(now time.Duration) {
 	b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
 	b.at = now
 }
 
-// spend reports whether a spend keeps to burst + rate x t in every interval that
-// ends now. That holds for all intervals exactly if the level stays above zero.
-func (b *ideal) spend(now time.Duration, cost float64) bool {
+// spend takes tokens and reports whether every interval that ends now keeps to
+// burst + rate x t. That holds for all intervals if and only if the level never falls
+// below zero.
+func (b *referenceBucket) spend(now time.Duration, cost float64) bool {
 	b.advance(now)
 	b.level -= cost
 	return b.level >= -1e-6
--- a/coordination/share/lend.go
+++ b/coordination/share/lend.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// LoanPeriod is how long a loan of rate and burst may be used. It has to end,
-	// margin included, while the lender's lease hold lasts: afterwards another
-	// process of the lender's name may spend from the same base share.
+	// LoanPeriod is the duration of a loan of rate and burst. The loan has to end,
+	// margin included, within the lender's lease hold: afterwards another process
+	// with the lender's name may spend from the same base share.
 	LoanPeriod = 2 * time.Second
-	// longestTokenLoan bounds how long a loan of tokens alone may be used. Such a
-	// loan serves requests that wait already, and the lender's bucket is smaller by
-	// it until it ends, so borrowers ask for a few round trips only.
-	longestTokenLoan = 500 * time.Millisecond
-	// tokenHorizon is the time for which a lender of tokens keeps those that its
-	// own demand needs beyond its rate.
-	tokenHorizon = 100 * time.Millisecond
-	// ConnectionLoanPeriod is how long a connection may be borrowed.
+	// maxTokenLoan is the longest duration of a loan of tokens without rate. Such a
+	// loan serves requests that are already waiting, and reduces the capacity of the
+	// lender's bucket until it ends, so borrowers ask for a few round trips only.
+	maxTokenLoan = 500 * time.Millisecond
+	// tokenReserveTime is the time for which a lender reserves the tokens that its own
+	// demand needs in excess of its rate.
+	tokenReserveTime = 100 * time.Millisecond
+	// ConnectionLoanPeriod is the duration of a loan of connections.
 	ConnectionLoanPeriod = 5 * time.Second
 
-	// lendHeadroom is the multiple of its own demand that a lender keeps.
+	// lendHeadroom is the multiple of its own demand that a lender reserves.
 	lendHeadroom = 1.2
-	// keptTokens stay in an idle lender's bucket, so that its next own request
-	// need not wait.
-	keptTokens = 1
-	// idleTime is how long a VM that had no request of a customer keeps nothing
-	// for its next one.
-	idleTime = 5 * time.Second
-	// smallestRate is the smallest rate in requests a second that is worth a loan.
-	smallestRate = 0.5
-	// smallestPart is the smallest part of the requested rate that is lent. Smaller
-	// ones would split a share into many loans while a demand fades away.
-	smallestPart = 0.25
+	// reservedTokens is the part of the burst that a lender does not lend, so that its
+	// own next request need not wait.
+	reservedTokens = 1
+	// idleTimeout is the time without a request of a customer after which a VM
+	// reserves nothing for the customer's next one.
+	idleTimeout = 5 * time.Second
+	// minLoanRate is the minimum rate of a loan in requests per second.
+	minLoanRate = 0.5
+	// minLoanFraction is the minimum fraction of the requested rate that is lent.
+	// Smaller loans would split a share into many while demand decays.
+	minLoanFraction = 0.25
 )
 
-// Grant answers a loan request. The loan is subtracted from this VM's own share
-// before the answer exists. For connections the caller must apply
-// ConnectionLimit before it sends the answer.
+// Grant answers a loan request. It subtracts the loan from this VM's own share before
+// it returns. For connections the caller must apply ConnectionLimit before it sends
+// the answer.
 func Grant(tables *state.Tables, req LoanRequest, from Peer, now time.Time) LoanAnswer {
 	hold := tables.Lease.Hold()
 	answer := LoanAnswer{Number: req.Number}
 	tables.Shares.With(func(s *state.Shares) {
-		syncHold(s, hold)
-		l := lender{s: s, hold: hold, now: now, from: from, req: req}
+		resetOnNewHold(s, hold)
+		h := grantHandler{s: s, hold: hold, now: now, from: from, req: req}
 		switch {
 		case s.Static || !hold.Valid(now):
 		case req.Resource == Requests && s.Customers[req.Name] != nil:
 			c := s.Customers[req.Name]
 			advance(s, c, hold, now)
-			l.book = &c.Loans
-			l.answerRequests(c, &answer)
+			h.book = &c.Loans
+			h.answerRequests(c, &answer)
 		case req.Resource == Connections && s.Servers[req.Name] != nil:
 			c := s.Servers[req.Name]
-			for endNextLoan(s, &c.Loans, now) {
+			for expireLoans(s, &c.Loans, now) {
 			}
-			l.book = &c.Loans
-			l.answerConnections(c, &answer)
+			h.book = &c.Loans
+			h.answerConnections(c, &answer)
 		}
 	})
 	return answer
 }
 
-// lender handles one loan request.
-type lender struct {
+// grantHandler holds the state for answering one loan request.
+type grantHandler struct {
 	s    *state.Shares
 	book *state.LoanBook
 	hold state.Hold
@@ -76,103 +76,107 @@
 	req  LoanRequest
 }
 
-func (l *lender) answerRequests(c *state.CustomerShare, answer *LoanAnswer) {
-	record := l.record()
+// answerRequests answers a request for a loan of rate, burst or tokens.
+func (h *grantHandler) answerRequests(c *state.CustomerShare, answer *LoanAnswer) {
+	record := h.lentRecord()
 	switch {
-	case l.req.Return:
+	case h.req.Return:
 		if record != nil {
-			tokens := max(0, min(l.req.Tokens, record.Burst))
-			l.takeBack()
+			tokens := max(0, min(h.req.Tokens, record.Burst))
+			h.removeReturnedLoan()
 			c.Level = min(capacity(c), c.Level+tokens)
 		}
 	case record != nil:
-		if l.keepsLending(c, record) && l.extend(record, LoanPeriod) {
+		if h.mayRenewRequests(c, record) && h.renew(record, LoanPeriod) {
 			answer.Rate, answer.Burst, answer.Tokens = record.Rate, record.Burst, record.Tokens
 		}
-	case l.grantable(LoanPeriod):
-		l.lendRequests(c, answer)
+	case h.mayGrant(LoanPeriod):
+		h.lendRequests(c, answer)
 	}
-	rate, _ := spareRequests(l.s, c, l.now)
+	rate, _ := spareRate(h.s, c, h.now)
 	answer.Spare = rate
 }
 
-// record returns this VM's record of the loan, or nil.
-func (l *lender) record() *state.Lent {
-	for i := range l.book.Lent {
-		r := &l.book.Lent[i]
-		if r.Borrower == l.from.Name && r.Incarnation == l.from.Incarnation && r.Number == l.req.Number {
+// lentRecord returns this VM's record of the loan, or nil.
+func (h *grantHandler) lentRecord() *state.Lent {
+	for i := range h.book.Lent {
+		r := &h.book.Lent[i]
+		if r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number {
 			return r
 		}
 	}
 	return nil
 }
 
-// takeBack ends a loan that its borrower returned. The number is remembered, so
-// that a late copy of the request does not start the loan anew.
-func (l *lender) takeBack() {
-	l.book.Lent = slices.DeleteFunc(l.book.Lent, func(r state.Lent) bool {
-		return r.Borrower == l.from.Name && r.Incarnation == l.from.Incarnation && r.Number == l.req.Number
+// removeReturnedLoan removes a loan that its borrower returned. The number is
+// recorded, so that a delayed copy of the request does not start the loan again.
+func (h *grantHandler) removeReturnedLoan() {
+	h.book.Lent = slices.DeleteFunc(h.book.Lent, func(r state.Lent) bool {
+		return r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number
 	})
-	returned := l.s.Returned[l.from.Name]
-	if returned.Incarnation != l.from.Incarnation {
-		returned = state.ReturnedLoans{Incarnation: l.from.Incarnation}
+	returned := h.s.Returned[h.from.Name]
+	if returned.Incarnation != h.from.Incarnation {
+		returned = state.ReturnedLoans{Incarnation: h.from.Incarnation}
 	}
-	returned.Number = max(returned.Number, l.req.Number)
-	l.s.Returned[l.from.Name] = returned
+	returned.Number = max(returned.Number, h.req.Number)
+	h.s.Returned[h.from.Name] = returned
 }
 
-// grantable reports whether a new loan may be granted at all.
-func (l *lender) grantable(longest time.Duration) bool {
-	returned := l.s.Returned[l.from.Name]
-	late := returned.Incarnation == l.from.Incarnation && l.req.Number <= returned.Number
-	return !l.req.Renewal && !late && l.req.Period > 0 && l.req.Period <= longest && l.covered()
+// mayGrant reports whether a new loan of the requested period may be granted.
+func (h *grantHandler) mayGrant(longest time.Duration) bool {
+	returned := h.s.Returned[h.from.Name]
+	late := returned.Incarnation == h.from.Incarnation && h.req.Number <= returned.Number
+	return !h.req.Renewal && !late && h.req.Period > 0 && h.req.Period <= longest && h.coveredByHold()
 }
 
-// endsAt is when the lender may count the loan as its own again. The borrower
-// counts from the sending of its request, which was earlier than now.
-func (l *lender) endsAt() time.Time { return l.now.Add(l.req.Period + lease.Margin(l.req.Period)) }
+// endsAt returns when the lender may reclaim the loan. The borrower counts the period
+// from the sending of its request, which was earlier than now.
+func (h *grantHandler) endsAt() time.Time {
+	return h.now.Add(h.req.Period + lease.Margin(h.req.Period))
+}
 
-// covered reports whether the loan ends while the lease hold lasts. Connection
-// loans may last longer; see lendable.
-func (l *lender) covered() bool {
-	return l.req.Resource == Connections || !l.endsAt().After(l.hold.Until)
+// coveredByHold reports whether the loan ends within the lease hold. Loans of
+// connections need not; see lendableConnections.
+func (h *grantHandler) coveredByHold() bool {
+	return h.req.Resource == Connections || !h.endsAt().After(h.hold.Until)
 }
 
-// extend moves the end of a loan. It never moves it to an earlier time.
-func (l *lender) extend(record *state.Lent, longest time.Duration) bool {
-	if l.req.Period <= 0 || l.req.Period > longest || !l.covered() {
+// renew moves the end of a loan. It never moves the end to an earlier time.
+func (h *grantHandler) renew(record *state.Lent, longest time.Duration) bool {
+	if h.req.Period <= 0 || h.req.Period > longest || !h.coveredByHold() {
 		return false
 	}
-	if end := l.endsAt(); end.After(record.EndsAt) {
+	if end := h.endsAt(); end.After(record.EndsAt) {
 		record.EndsAt = end
 	}
 	return true
 }
 
-// keepsLending reports whether a loan may be extended: the lender's own demand
-// is met by what it has and by the loans that it already refused to extend.
-func (l *lender) keepsLending(c *state.CustomerShare, record *state.Lent) bool {
-	coming := 0.0
-	for i := range l.book.Lent {
-		if l.book.Lent[i].Refused && &l.book.Lent[i] != record {
-			coming += l.book.Lent[i].Rate
+// mayRenewRequests reports whether a loan may be renewed, which requires that the
+// lender's own demand is met by its remaining share and by the loans that it has
+// already refused to renew. It records the result in record.Refused.
+func (h *grantHandler) mayRenewRequests(c *state.CustomerShare, record *state.Lent) bool {
+	returning := 0.0
+	for i := range h.book.Lent {
+		if h.book.Lent[i].Refused && &h.book.Lent[i] != record {
+			returning += h.book.Lent[i].Rate
 		}
 	}
-	needed := lendHeadroom * demandNow(&c.Demand, l.now)
-	if l.s.Leaving {
+	needed := lendHeadroom * currentDemand(&c.Demand, h.now)
+	if h.s.Leaving {
 		needed = 0
 	}
-	lent, _ := lentOut(l.book)
-	record.Refused = lent > c.Base.Rate || c.Base.Rate-lent+coming < needed
+	lent, _ := totalLent(h.book)
+	record.Refused = lent > c.Base.Rate || c.Base.Rate-lent+returning < needed
 	return !record.Refused
 }
 
-// spareRequests returns the rate and the burst that this VM can do without.
-func spareRequests(s *state.Shares, c *state.CustomerShare, now time.Time) (rate, burst float64) {
-	lentRate, lentBurst := lentOut(&c.Loans)
-	demand := lendHeadroom * demandNow(&c.Demand, now)
-	kept := float64(keptTokens) + waitingCost(c)
-	if s.Leaving || now.Sub(c.Demand.LastArrival) > idleTime {
+// spareRate returns the rate and the burst that this VM can lend.
+func spareRate(s *state.Shares, c *state.CustomerShare, now time.Time) (rate, burst float64) {
+	lentRate, lentBurst := totalLent(&c.Loans)
+	demand := lendHeadroom * currentDemand(&c.Demand, now)
+	kept := float64(reservedTokens) + waitingCost(c)
+	if s.Leaving || now.Sub(c.Demand.LastArrival) > idleTimeout {
 		demand, kept = 0, waitingCost(c)
 	}
 	rate = max(0, c.Base.Rate-lentRate-demand)
@@ -182,57 +186,58 @@
 	return rate, max(0, c.Base.Burst-lentBurst-kept)
 }
 
-// spareTokens returns the tokens in the bucket that this VM can do without.
+// spareTokens returns the tokens in the bucket that this VM can lend.
 func spareTokens(s *state.Shares, c *state.CustomerShare, now time.Time) float64 {
-	lentRate, lentBurst := lentOut(&c.Loans)
-	deficit := max(0, lendHeadroom*demandNow(&c.Demand, now)-max(0, c.Base.Rate-lentRate))
-	kept := waitingCost(c) + deficit*tokenHorizon.Seconds()
+	lentRate, lentBurst := totalLent(&c.Loans)
+	deficit := max(0, lendHeadroom*currentDemand(&c.Demand, now)-max(0, c.Base.Rate-lentRate))
+	kept := waitingCost(c) + deficit*tokenReserveTime.Seconds()
 	return max(0, min(c.Level, c.Base.Burst-lentBurst)-kept)
 }
 
-func (l *lender) lendRequests(c *state.CustomerShare, answer *LoanAnswer) {
-	if l.req.Rate > 0 {
-		l.lendRate(c, answer)
+// lendRequests grants a new loan and records it.
+func (h *grantHandler) lendRequests(c *state.CustomerShare, answer *LoanAnswer) {
+	if h.req.Rate > 0 {
+		h.lendRate(c, answer)
 	} else {
-		l.lendTokens(c, answer)
+		h.lendTokens(c, answer)
 	}
 	if answer.refused() {
 		return
 	}
-	l.book.Lent = append(l.book.Lent, state.Lent{
-		Borrower: l.from.Name, Incarnation: l.from.Incarnation, Number: l.req.Number,
-		Rate: answer.Rate, Burst: answer.Burst, Tokens: answer.Tokens, EndsAt: l.endsAt(),
+	h.book.Lent = append(h.book.Lent, state.Lent{
+		Borrower: h.from.Name, Incarnation: h.from.Incarnation, Number: h.req.Number,
+		Rate: answer.Rate, Burst: answer.Burst, Tokens: answer.Tokens, EndsAt: h.endsAt(),
 	})
 	c.Level = min(c.Level-answer.Tokens, capacity(c))
 }
 
-// lendRate lends rate and burst, and the tokens that go with the burst.
-func (l *lender) lendRate(c *state.CustomerShare, answer *LoanAnswer) {
-	rate, burst := spareRequests(l.s, c, l.now)
-	rate = min(rate, l.req.Rate)
-	if rate < max(smallestRate, smallestPart*l.req.Rate) {
+// lendRate lends rate and burst, and spare tokens up to that burst.
+func (h *grantHandler) lendRate(c *state.CustomerShare, answer *LoanAnswer) {
+	rate, burst := spareRate(h.s, c, h.now)
+	rate = min(rate, h.req.Rate)
+	if rate < max(minLoanRate, minLoanFraction*h.req.Rate) {
 		return
 	}
 	answer.Rate = rate
-	answer.Burst = min(burst, l.req.Burst)
+	answer.Burst = min(burst, h.req.Burst)
 	overflow := max(0, c.Level-(capacity(c)-answer.Burst))
-	answer.Tokens = min(answer.Burst, max(overflow, spareTokens(l.s, c, l.now)))
+	answer.Tokens = min(answer.Burst, max(overflow, spareTokens(h.s, c, h.now)))
 }
 
 // lendTokens lends whole tokens, or what was asked for if that is less than one.
-// Fractions would be lost wherever a request cannot be made up from several.
-func (l *lender) lendTokens(c *state.CustomerShare, answer *LoanAnswer) {
-	spare := spareTokens(l.s, c, l.now)
-	tokens := min(l.req.Burst, math.Floor(spare))
-	if l.req.Burst < 1 && spare >= l.req.Burst {
-		tokens = l.req.Burst
+// Fractions would be lost if a request cannot be paid from several loans.
+func (h *grantHandler) lendTokens(c *state.CustomerShare, answer *LoanAnswer) {
+	spare := spareTokens(h.s, c, h.now)
+	tokens := min(h.req.Burst, math.Floor(spare))
+	if h.req.Burst < 1 && spare >= h.req.Burst {
+		tokens = h.req.Burst
 	}
 	if tokens > 0 {
 		answer.Burst, answer.Tokens = tokens, tokens
 	}
-	if missing := min(1, l.req.Burst-answer.Tokens) - (spare - answer.Tokens); missing > 0 {
-		if r := rate(c) * refill; r > 0 {
-			answer.RetryAfter = min(roundUp(missing/r), LoanPeriod)
+	if missing := min(1, h.req.Burst-answer.Tokens) - (spare - answer.Tokens); missing > 0 {
+		if r := rate(c) * refillFactor; r > 0 {
+			answer.RetryAfter = min(ceilDuration(missing/r), LoanPeriod)
 		}
 	}
 }
@@ -241,23 +246,23 @@
 func nextLoanEnd(b *state.LoanBook) (time.Time, bool) {
 	var end time.Time
 	found := false
-	note := func(at time.Time) {
+	consider := func(at time.Time) {
 		if !found || at.Before(end) {
 			end, found = at, true
 		}
 	}
 	for i := range b.Lent {
-		note(b.Lent[i].EndsAt)
+		consider(b.Lent[i].EndsAt)
 	}
 	for i := range b.Borrowed {
-		note(b.Borrowed[i].EndsAt)
+		consider(b.Borrowed[i].EndsAt)
 	}
 	return end, found
 }
 
-// endNextLoan drops the loans that ended by the given time. It reports whether
+// expireLoans removes the loans that have ended by the given time. It reports whether
 // there were any.
-func endNextLoan(s *state.Shares, b *state.LoanBook, at time.Time) bool {
+func expireLoans(s *state.Shares, b *state.LoanBook, at time.Time) bool {
 	before := len(b.Lent) + len(b.Borrowed)
 	b.Lent = slices.DeleteFunc(b.Lent, func(r state.Lent) bool { return !r.EndsAt.After(at) })
 	b.Borrowed = slices.DeleteFunc(b.Borrowed, func(r state.Borrowed) bool {
@@ -265,7 +270,7 @@
 		if ended {
 			delete(s.Borrowed, r.Number)
 			if r.Phase == state.LoanAsked {
-				noteMiss(b, r.Lender, 0, at)
+				recordRefusal(b, r.Lender, 0, at)
 			}
 		}
 		return ended
--- a/coordination/share/limits_test.go
+++ b/coordination/share/limits_test.go
@@ -15,38 +15,38 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// planShards is the number of parallel parts of the plans. One after the other
-// they take a quarter of an hour under the race detector.
+// planShards is the number of parallel subtests that share the plans. Run one after
+// the other, the plans take a quarter of an hour under the race detector.
 const planShards = 4
 
 const (
-	planStart  = 8 * time.Second // by then the fleet is up
+	planStart  = 8 * time.Second // the fleet has started by then
 	planLength = 50 * time.Second
 )
 
-// disturbance is something that happens to the fleet.
-type disturbance struct {
+// faultEvent is a fault or a configuration change during a run.
+type faultEvent struct {
 	At   time.Duration
 	Kind string
 	VM   int
 	For  time.Duration
 }
 
-// plan is one run of a fleet under faults.
+// plan describes one run of a fleet under faults.
 type plan struct {
-	Seed         uint64
-	Layout       []int // VMs of each data centre
-	Lost         float64
-	Repeated     float64
-	Slow         float64
-	StoreDown    bool
-	Static       bool
-	Clocks       string
-	Disturbances []disturbance
+	Seed        uint64
+	Layout      []int // number of VMs in each data centre
+	Lost        float64
+	Repeated    float64
+	Slow        float64
+	StoreDown   bool
+	Static      bool
+	Clocks      string
+	FaultEvents []faultEvent
 }
 
-// times draws evenly between two times; IntRange prefers small numbers.
-func times(from, to time.Duration) *rapid.Generator[time.Duration] {
+// timeBetween draws uniformly between two times; IntRange prefers small numbers.
+func timeBetween(from, to time.Duration) *rapid.Generator[time.Duration] {
 	var all []time.Duration
 	for at := from; at < to; at += 50 * time.Millisecond {
 		all = append(all, at)
@@ -66,69 +66,69 @@
 	}
 	p.Clocks = rapid.SampledFrom([]string{"fast", "extreme", "any"}).Draw(t, "clocks")
 	kinds := []string{"pause", "kill", "replace", "replace", "replace paused", "rate", "take out", "put back", "add"}
-	p.Disturbances = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) disturbance {
-		return disturbance{
-			At:   times(planStart, planLength-5*time.Second).Draw(t, "at"),
+	p.FaultEvents = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) faultEvent {
+		return faultEvent{
+			At:   timeBetween(planStart, planLength-5*time.Second).Draw(t, "at"),
 			Kind: rapid.SampledFrom(kinds).Draw(t, "kind"),
 			VM:   rapid.SampledFrom([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}).Draw(t, "vm"),
-			For:  times(100*time.Millisecond, 9*time.Second).Draw(t, "for"),
+			For:  timeBetween(100*time.Millisecond, 9*time.Second).Draw(t, "for"),
 		}
 	}), 0, 12).Draw(t, "disturbances")
 	return p
 })
 
-// world checks the promises while a plan runs.
-type world struct {
+// simulation runs a plan and checks the limits.
+type simulation struct {
 	f         *fleet
 	clocks    string
-	script    func(customer string) (p *proc, load float64) // where requests go; optional
-	wanted    func(p *proc) int                             // connections to each server; optional
-	limits    map[string]*ideal                             // by customer with constant limits
+	script    func(customer string) (p *process, load float64) // target and load of requests; optional
+	wanted    func(p *process) int                             // connections wanted to each server; optional
+	limits    map[string]*referenceBucket                      // by customer
 	configs   []*state.Config
-	open      map[*proc]map[string]int // connections, by server
-	evaluated map[*proc]time.Duration  // when the connections were last brought to their limits
+	open      map[*process]map[string]int // connections, by server
+	evaluated map[*process]time.Duration  // when the connections were last adjusted to their limits
 	agreed    uint64
 	spends    int
 	violation string
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("%v: ", w.f.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 // run runs a plan and returns the first violation, if any. script may be nil.
-func (p plan) run(h hooks, script func(w *world)) (violation string, spends int) {
+func (p plan) run(h hooks, script func(w *simulation)) (violation string, spends int) {
 	config := fleetConfig(1, p.Layout...)
-	w := &world{
-		f: newFleet(p.Seed, config), clocks: p.Clocks, limits: make(map[string]*ideal), configs: []*state.Config{config},
-		open: make(map[*proc]map[string]int), evaluated: make(map[*proc]time.Duration),
+	w := &simulation{
+		f: newFleet(p.Seed, config), clocks: p.Clocks, limits: make(map[string]*referenceBucket), configs: []*state.Config{config},
+		open: make(map[*process]map[string]int), evaluated: make(map[*process]time.Duration),
 	}
 	addCustomer(config, "small", 2, 12)
 	addCustomer(config, "medium", 25, 10)
 	addCustomer(config, "changing", 20, 8)
 	for _, name := range []string{"small", "medium"} {
 		c := config.Customers[name]
-		w.limits[name] = &ideal{rate: c.Rate, burst: c.Burst, level: c.Burst}
+		w.limits[name] = &referenceBucket{rate: c.Rate, burst: c.Burst, level: c.Burst}
 	}
-	w.limits["changing"] = &ideal{}
+	w.limits["changing"] = &referenceBucket{}
 	config.Groups["g"] = &state.Group{Name: "g", Servers: []state.BackendServer{
 		{Name: "few", Connections: 3}, {Name: "some", Connections: 5}, {Name: "many", Connections: 17},
 	}}
 	f := w.f
 	f.hooks, f.static = h, p.Static
 	f.faults = faults{lost: p.Lost, repeated: p.Repeated, slow: p.Slow}
-	f.onSpend, f.changed = w.spent, w.resize
+	f.onSpend, f.changed = w.checkSpend, w.resize
 	if script != nil {
 		script(w)
 	}
 	f.startAll(w.speed)
-	for _, d := range p.Disturbances {
-		f.after(d.At, func() { w.disturb(d) })
+	for _, d := range p.FaultEvents {
+		f.after(d.At, func() { w.inject(d) })
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Customers)) {
-		f.after(time.Second, func() { w.demand(name) })
+		f.after(time.Second, func() { w.sendRequests(name) })
 	}
 	f.after(time.Second, w.wantConnections)
 	f.after(planStart, func() { f.faults.storeDown = p.StoreDown })
@@ -136,9 +136,9 @@
 	return w.violation, w.spends
 }
 
-// speed draws the speed of a clock, up to 1 % fast or slow. With all clocks
-// fast, the fleet uses its limits up to 0.01 %, and the check is sharpest.
-func (w *world) speed() float64 {
+// speed draws the speed of a clock, up to 1 % fast or slow. With all clocks fast, the
+// fleet uses its limits to within 0.01 %, which makes the check most sensitive.
+func (w *simulation) speed() float64 {
 	draw := w.f.rng.Float64()
 	switch w.clocks {
 	case "fast":
@@ -149,9 +149,9 @@
 	return 0.99 + 0.02*draw
 }
 
-// spent checks a spend: a valid lease hold, no other process of the name that
-// holds one, and the limit.
-func (w *world) spent(p *proc, customer string) {
+// checkSpend checks that a process that grants a request has a valid lease hold, that
+// no other process with its name has one, and that the limit is respected.
+func (w *simulation) checkSpend(p *process, customer string) {
 	w.spends++
 	if !lease.Valid(p.tables.Lease, p.local()) {
 		w.fail("%s/%d spends without a valid lease", p.name, p.incarnation)
@@ -166,9 +166,9 @@
 	}
 }
 
-// bound sets the limit of the changing customer to that of the highest ticket
-// that any process knows to be applied by all.
-func (w *world) bound(p *proc) {
+// updateChangingLimit sets the limit of the customer "changing" to that of the highest
+// ticket that any process knows to be applied by all.
+func (w *simulation) updateChangingLimit(p *process) {
 	w.agreed = max(w.agreed, p.tables.Shares.Agreed())
 	b := w.limits["changing"]
 	b.advance(w.f.now)
@@ -181,12 +181,12 @@
 	b.level = min(b.level, b.burst)
 }
 
-// demand sends requests of a customer, about 2.5 times its rate, most of it to
-// one VM that changes.
-func (w *world) demand(customer string) {
+// sendRequests sends requests of a customer at about 2.5 times its rate, most of them
+// to one VM, which changes over time.
+func (w *simulation) sendRequests(customer string) {
 	f := w.f
 	load := 2.5
-	var p *proc
+	var p *process
 	if w.script != nil {
 		p, load = w.script(customer)
 	} else if running := f.running(); len(running) > 0 {
@@ -197,21 +197,21 @@
 	}
 	if p != nil {
 		deadline := time.Duration(f.rng.IntN(1500)) * time.Millisecond
-		f.on(p, 0, func() { p.request(customer, deadline) })
+		f.runOn(p, 0, func() { p.request(customer, deadline) })
 	}
 	rate := load * f.config.Customers[customer].Rate
-	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.demand(customer) })
+	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.sendRequests(customer) })
 }
 
-// wantConnections changes the connections that VMs have a use for.
-func (w *world) wantConnections() {
+// wantConnections changes how many connections the VMs want.
+func (w *simulation) wantConnections() {
 	for _, p := range w.f.procs {
 		server := []string{"few", "some", "many"}[w.f.rng.IntN(3)]
 		wanted := w.f.rng.IntN(8)
 		if w.wanted != nil {
 			wanted = w.wanted(p)
 		}
-		w.f.on(p, 0, func() {
+		w.f.runOn(p, 0, func() {
 			if WantConnections(p.tables, server, wanted, p.local()) {
 				p.advance()
 			}
@@ -221,13 +221,14 @@
 	w.f.after(300*time.Millisecond, w.wantConnections)
 }
 
-// resize brings a process's connections to their limits and checks their sum.
-// All that may be opened are opened; those that may finish take a while.
-func (w *world) resize(p *proc) {
+// resize adjusts the connections of a process to its limits and checks their sum over
+// all processes. All allowed connections are opened; those that may finish are closed
+// after a random time.
+func (w *simulation) resize(p *process) {
 	if w.open[p] == nil {
 		w.open[p] = make(map[string]int)
 	}
-	w.bound(p)
+	w.updateChangingLimit(p)
 	w.evaluated[p] = w.f.now
 	for _, server := range []string{"few", "some", "many"} {
 		limits := ConnectionLimit(p.tables, server, p.local())
@@ -239,7 +240,7 @@
 		w.open[p][server] = open
 		p.tables.Backends.With(server, func(c *state.ServerConns) { c.Opening = open })
 		if open > 0 {
-			w.f.on(p, p.until(limits.Until), func() {
+			w.f.runOn(p, p.until(limits.Until), func() {
 				if w.evaluated[p] < w.f.now {
 					w.resize(p)
 				}
@@ -249,9 +250,9 @@
 	}
 }
 
-// checkConnections adds up the connections of all processes. Those of a paused
-// process do not count: nothing in the fleet can close them.
-func (w *world) checkConnections(server string) {
+// checkConnections checks the total of the connections of all processes. Those of a
+// paused process are not counted, because nothing in the fleet can close them.
+func (w *simulation) checkConnections(server string) {
 	total, limit := 0, 0
 	for _, s := range w.f.config.Groups["g"].Servers {
 		if s.Name == server {
@@ -268,7 +269,7 @@
 	}
 }
 
-func (w *world) disturb(d disturbance) {
+func (w *simulation) inject(d faultEvent) {
 	names := slices.Sorted(maps.Keys(w.f.current))
 	p := w.f.current[names[d.VM%len(names)]]
 	switch d.Kind {
@@ -306,12 +307,12 @@
 	}
 }
 
-// storeRetry is the pause of a process that finds no configuration.
+// storeRetry is the delay before a process that found no configuration tries again.
 const storeRetry = 500 * time.Millisecond
 
-// restart starts a new process of a VM. It gets its configuration from some
-// process that runs, else from the store.
-func (w *world) restart(old *proc) {
+// restart starts a new process of a VM. It gets its configuration from a running
+// process if there is one, otherwise from the store.
+func (w *simulation) restart(old *process) {
 	if w.f.current[old.name] != old {
 		return
 	}
@@ -325,10 +326,10 @@
 	w.f.start(old.name, old.dc, w.speed(), config)
 }
 
-// replace starts a new process while the old one is paused or goes on. Only one
-// VM of a data centre has two processes at a time: its voters have to be able to
+// replace starts a new process while the old one is paused or continues. Only one VM
+// of a data centre has two processes at a time, because the voters have to be able to
 // tell them apart.
-func (w *world) replace(p *proc, d disturbance, pause time.Duration) {
+func (w *simulation) replace(p *process, d faultEvent, pause time.Duration) {
 	for _, q := range w.f.procs {
 		if q.dc == p.dc && !q.dead && w.f.current[q.name] != q {
 			return
@@ -342,8 +343,8 @@
 	w.f.after(pause+d.For, func() { p.dead = true })
 }
 
-// publish applies a new ticket at different moments on different VMs.
-func (w *world) publish(change func(c *state.Config)) {
+// publish applies a new ticket at a different time on each VM.
+func (w *simulation) publish(change func(c *state.Config)) {
 	next := *w.f.config
 	next.Ticket.Number++
 	next.Customers = maps.Clone(next.Customers)
@@ -357,12 +358,12 @@
 	w.f.config = &next
 	w.configs = append(w.configs, &next)
 	for _, p := range w.f.procs {
-		w.f.on(p, time.Duration(w.f.rng.Int64N(int64(3*time.Second))), func() { p.apply(&next) })
+		w.f.runOn(p, time.Duration(w.f.rng.Int64N(int64(3*time.Second))), func() { p.apply(&next) })
 	}
 }
 
 // add adds a VM to a data centre and starts it.
-func (w *world) add(dc string) {
+func (w *simulation) add(dc string) {
 	name := fmt.Sprintf("vm%d", len(w.f.current)+1)
 	w.publish(func(c *state.Config) {
 		c.DataCentres[dc].VMs = append(c.DataCentres[dc].VMs, state.VM{Name: name, State: state.InService})
@@ -370,9 +371,9 @@
 	w.f.start(name, dc, w.speed(), w.f.config)
 }
 
-// Guards against any interval with more spends than burst + rate x t, spends
-// without a lease hold, two processes of one name that hold the lease at once,
-// and more connections than the limit.
+// Guards against any interval with more granted requests than burst + rate x t, grants
+// without a lease hold, two processes with one name that hold the lease at once, and
+// more connections than the limit.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	for shard := range planShards {
 		t.Run(strconv.Itoa(shard), func(t *testing.T) {
@@ -380,7 +381,7 @@
 			total := 0
 			rapid.Check(t, func(t *rapid.T) {
 				for range shard {
-					// Moves on in the random numbers, so that the shards differ.
+					// Skips random numbers, so that the shards differ.
 					rapid.Uint64().Draw(t, "skipped")
 				}
 				violation, spends := plans.Draw(t, "plan").run(hooks{}, nil)
--- a/coordination/share/main_test.go
+++ b/coordination/share/main_test.go
@@ -8,9 +8,9 @@
 	"github.com/chestnutdyke/chestnutdyke/internal/testseed"
 )
 
-// plansInAll is the number of plans of the shards together.
-const plansInAll = 100
+// totalPlans is the number of plans in all shards together.
+const totalPlans = 100
 
 func TestMain(m *testing.M) {
-	os.Exit(testseed.RunChecks(m, strconv.Itoa(plansInAll/planShards)))
+	os.Exit(testseed.RunChecks(m, strconv.Itoa(totalPlans/planShards)))
 }
--- a/coordination/share/messages.go
+++ b/coordination/share/messages.go
@@ -1,19 +1,19 @@
-// Package share decides how much of a fleet-wide limit this VM may spend: base
-// shares from the ticket, and loans between VMs.
+// Package share enforces fleet-wide limits on request rates and backend connections.
+// Each VM has a base share of a limit, computed from the ticket, and VMs lend each
+// other parts of their base shares.
 //
-// For every limit, the sum over all VMs of what they may spend (their base
-// shares, less what they lent, plus what they borrowed) never exceeds the limit:
-// a lender subtracts a loan before it answers and counts it as its own again
-// only when the borrower can no longer use it. All times are readings of this
-// VM's monotonic clock.
+// For every limit, the sum over all VMs of base share minus lent plus borrowed never
+// exceeds the limit: a lender subtracts a loan before it answers, and reclaims it
+// only when the borrower can no longer use it. All times are readings of this VM's
+// monotonic clock.
 package share
 
 import "time"
 
-// Resource says what a loan lends.
+// Resource is the kind of limit that a loan is taken from.
 type Resource string
 
-// Resources.
+// Kinds of Resource.
 const (
 	Requests    Resource = "requests"    // rate and burst of a customer
 	Connections Resource = "connections" // connections to a backend server
@@ -22,43 +22,43 @@
 // MaxLoansPerMessage bounds the loan requests in one message between VMs.
 const MaxLoansPerMessage = 32
 
-// LoanRequest asks a VM for a loan, extends one that it granted or returns it.
+// LoanRequest asks a VM for a new loan, or renews or returns one that it granted.
 type LoanRequest struct {
-	Number   uint64        // unique within the borrower's incarnation; repeated in retries, renewals and the return
-	Resource Resource      // what is asked for
+	Number   uint64        // unique within the borrower's incarnation; the same in retries, renewals and the return
+	Resource Resource      // limit to borrow from
 	Name     string        // customer or backend server
-	Rate     float64       // requests a second wanted
-	Burst    float64       // requests wanted
+	Rate     float64       // requests per second wanted
+	Burst    float64       // bucket capacity wanted, in requests
 	Units    int           // connections wanted
-	Period   time.Duration // time from the sending of the request until the loan ends
-	Renewal  bool          // the loan is in use; a lender that does not know it grants nothing
+	Period   time.Duration // duration of the loan from the sending of the request
+	Renewal  bool          // the loan is in use; refused if the lender has no record of it
 	Return   bool          // the borrower has stopped using the loan
 	Tokens   float64       // unused tokens that a return gives back, at most the loan's burst
 }
 
-// LoanAnswer is the answer to a LoanRequest with the same number. A loan of
-// nothing is a refusal. Repeated requests and renewals get the recorded amounts
-// again; the borrower counts the tokens once.
+// LoanAnswer is the answer to a LoanRequest with the same number. It is a refusal if
+// Rate, Burst and Units are zero. Repeated requests and renewals are answered with
+// the recorded amounts; the borrower adds the tokens only once.
 type LoanAnswer struct {
 	Number     uint64
-	Rate       float64       // requests a second lent
+	Rate       float64       // requests per second lent
 	Burst      float64       // bucket capacity lent
-	Tokens     float64       // tokens that come with it, at most Burst
+	Tokens     float64       // tokens lent, at most Burst
 	Units      int           // connections lent
-	Spare      float64       // requests a second or connections that the lender could still lend
-	RetryAfter time.Duration // after a refusal, when the lender expects to have something; zero if it does not know
+	Spare      float64       // requests per second or connections that the lender can still lend
+	RetryAfter time.Duration // delay after which the lender expects to have more to lend; zero if unknown
 }
 
 // refused reports whether the answer lends nothing.
 func (a LoanAnswer) refused() bool { return a.Rate == 0 && a.Burst == 0 && a.Units == 0 }
 
-// Peer is a process of another VM.
+// Peer identifies a process of another VM.
 type Peer struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Batch is the loan requests to send to one VM in one message.
+// Batch holds the loan requests to send to one VM in one message.
 type Batch struct {
 	Peer  string
 	Loans []LoanRequest
--- a/coordination/share/policy_test.go
+++ b/coordination/share/policy_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	policySeed   = flag.Uint64("policy.seed", 1, "seed of the policy simulation")
-	policyDetail = flag.Bool("policy.detail", false, "print the figures of each customer")
+	policySeed     = flag.Uint64("policy.seed", 1, "seed of the policy simulation")
+	printCustomers = flag.Bool("policy.detail", false, "print the figures of each customer")
 )
 
 const (
@@ -21,27 +21,27 @@
 	policyLoad     = 0.8 // of each customer's rate
 )
 
-// scenario says where and how often a customer sends.
+// scenario describes where and how often the customers send requests.
 type scenario struct {
 	name string
-	load func(customer int) float64                         // multiple of its rate
+	load func(customer int) float64                         // as a multiple of its rate
 	vm   func(f *fleet, customer int, at time.Duration) int // VM of a request
-	// burst sends the customer's whole burst at once every so often, instead of
-	// random arrivals.
+	// burst is the interval at which a customer sends its whole burst at once. If it
+	// is zero, arrivals are random.
 	burst time.Duration
 }
 
-func evenly(f *fleet, _ int, _ time.Duration) int { return f.rng.IntN(len(f.procs)) }
+func randomVM(f *fleet, _ int, _ time.Duration) int { return f.rng.IntN(len(f.procs)) }
 
-func inRate(int) float64 { return policyLoad }
+func loadWithinRate(int) float64 { return policyLoad }
 
 var scenarios = []scenario{
-	{name: "uniform", load: inRate, vm: evenly},
-	{name: "one VM", load: inRate, vm: func(f *fleet, c int, _ time.Duration) int { return c % len(f.procs) }},
-	{name: "moving", load: inRate, vm: func(f *fleet, c int, at time.Duration) int {
+	{name: "uniform", load: loadWithinRate, vm: randomVM},
+	{name: "one VM", load: loadWithinRate, vm: func(f *fleet, c int, _ time.Duration) int { return c % len(f.procs) }},
+	{name: "moving", load: loadWithinRate, vm: func(f *fleet, c int, at time.Duration) int {
 		return (c + int(at/(5*time.Second))) % len(f.procs)
 	}},
-	{name: "5x", vm: evenly, load: func(c int) float64 {
+	{name: "5x", vm: randomVM, load: func(c int) float64 {
 		if c == 0 || c == 2 {
 			return 5
 		}
@@ -51,43 +51,43 @@
 		if c == 0 || c == 2 {
 			return 0
 		}
-		return evenly(f, c, at)
+		return randomVM(f, c, at)
 	}, load: func(c int) float64 {
 		if c == 0 || c == 2 {
 			return 5
 		}
 		return policyLoad
 	}},
-	{name: "bursts", vm: evenly, burst: 4 * time.Second},
+	{name: "bursts", vm: randomVM, burst: 4 * time.Second},
 }
 
-// pending is a request of the simulation.
-type pending struct {
+// pendingRequest is a request that has not been decided yet.
+type pendingRequest struct {
 	customer int
 	arrived  time.Duration
-	inside   bool // a token bucket of the whole fleet would have granted it at once
+	inside   bool // a single token bucket for the whole fleet would have granted it at once
 }
 
 // policyResult counts requests after the warm-up.
 type policyResult struct {
-	inside, refused, over10, over100 int
-	granted                          [8]int
-	insideOf, lateOf                 [8]int
-	messages                         float64 // with loan requests, per VM and second
+	inside, refused, delayedOver10ms, delayedOver100ms int
+	granted                                            [8]int
+	insideOf, lateOf                                   [8]int
+	messages                                           float64 // messages with loan requests per VM and second
 }
 
 type waitKey struct {
-	p  *proc
+	p  *process
 	id state.WaiterID
 }
 
-// policySim is one run of a scenario.
+// policySim simulates a scenario.
 type policySim struct {
-	f       *fleet
-	s       scenario
-	ideals  []ideal
-	waiting map[waitKey]pending
-	result  policyResult
+	f                *fleet
+	s                scenario
+	referenceBuckets []referenceBucket
+	waiting          map[waitKey]pendingRequest
+	result           policyResult
 }
 
 func policyCustomers() (rates, bursts [8]float64) {
@@ -103,12 +103,12 @@
 func runPolicy(s scenario, static bool, seed uint64) policyResult {
 	config := fleetConfig(1, 3, 3, 2)
 	rates, bursts := policyCustomers()
-	sim := &policySim{f: newFleet(seed, config), s: s, waiting: make(map[waitKey]pending)}
+	sim := &policySim{f: newFleet(seed, config), s: s, waiting: make(map[waitKey]pendingRequest)}
 	sim.f.static = static
-	sim.f.onEnd = sim.ended
+	sim.f.onEnd = sim.recordEnd
 	for i := range rates {
 		addCustomer(config, customerName(i), rates[i], bursts[i])
-		sim.ideals = append(sim.ideals, ideal{rate: rates[i], burst: bursts[i], level: bursts[i]})
+		sim.referenceBuckets = append(sim.referenceBuckets, referenceBucket{rate: rates[i], burst: bursts[i], level: bursts[i]})
 	}
 	sim.f.startAll(func() float64 { return 1 })
 	for i := range rates {
@@ -116,22 +116,22 @@
 	}
 	sim.f.runUntil(policyWarmUp)
 	sim.result = policyResult{}
-	before := sim.f.loanMsg
+	before := sim.f.loanMessages
 	sim.f.runUntil(policyWarmUp + policyRun)
-	sim.result.messages = float64(sim.f.loanMsg-before) / policyRun.Seconds() / float64(len(sim.f.procs))
+	sim.result.messages = float64(sim.f.loanMessages-before) / policyRun.Seconds() / float64(len(sim.f.procs))
 	return sim.result
 }
 
 func customerName(i int) string { return fmt.Sprintf("customer%d", i+1) }
 
-// send sends the next requests of a customer and plans those after them.
+// send sends the next requests of a customer and schedules those after them.
 func (sim *policySim) send(i int) {
 	count, next := 1, time.Duration(0)
 	if sim.s.burst > 0 {
-		count = int(sim.ideals[i].burst)
+		count = int(sim.referenceBuckets[i].burst)
 		next = sim.s.burst
 	} else {
-		next = time.Duration(sim.f.rng.ExpFloat64() / (sim.s.load(i) * sim.ideals[i].rate) * float64(time.Second))
+		next = time.Duration(sim.f.rng.ExpFloat64() / (sim.s.load(i) * sim.referenceBuckets[i].rate) * float64(time.Second))
 	}
 	p := sim.f.procs[sim.s.vm(sim.f, i, sim.f.now)]
 	for range count {
@@ -140,13 +140,13 @@
 	sim.f.after(next, func() { sim.send(i) })
 }
 
-func (sim *policySim) request(p *proc, i int) {
-	b := &sim.ideals[i]
+func (sim *policySim) request(p *process, i int) {
+	b := &sim.referenceBuckets[i]
 	b.advance(sim.f.now)
-	r := pending{customer: i, arrived: sim.f.now, inside: b.level >= 1}
+	r := pendingRequest{customer: i, arrived: sim.f.now, inside: b.level >= 1}
 	if r.inside {
 		b.level--
-		if sim.keepsToRate(i) {
+		if sim.withinRate(i) {
 			sim.result.inside++
 			sim.result.insideOf[i]++
 		}
@@ -155,16 +155,16 @@
 	p.request(customerName(i), policyDeadline)
 }
 
-func (sim *policySim) keepsToRate(i int) bool { return sim.s.load == nil || sim.s.load(i) < 1 }
+func (sim *policySim) withinRate(i int) bool { return sim.s.load == nil || sim.s.load(i) < 1 }
 
-func (sim *policySim) ended(p *proc, id state.WaiterID, a Admission) {
+func (sim *policySim) recordEnd(p *process, id state.WaiterID, a Admission) {
 	r := sim.waiting[waitKey{p, id}]
 	delete(sim.waiting, waitKey{p, id})
 	wait := sim.f.now - r.arrived
 	if a.Verdict == Granted {
 		sim.result.granted[r.customer]++
 	}
-	if !r.inside || !sim.keepsToRate(r.customer) {
+	if !r.inside || !sim.withinRate(r.customer) {
 		return
 	}
 	late := true
@@ -172,9 +172,9 @@
 	case a.Verdict == Refused:
 		sim.result.refused++
 	case wait > 100*time.Millisecond:
-		sim.result.over100++
+		sim.result.delayedOver100ms++
 	case wait > 10*time.Millisecond:
-		sim.result.over10++
+		sim.result.delayedOver10ms++
 	default:
 		late = false
 	}
@@ -185,9 +185,10 @@
 
 func percent(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
 
-// Guards against a refusal inside the customer's rate while a data centre
-// returns: until all VMs have applied the ticket, each has the smaller of its
-// old and its new share, and the tokens for the rest come with the agreement.
+// Guards against refusing requests within the customer's rate while a data centre
+// returns to service: until all VMs have applied the ticket, each has the smaller of
+// its old and its new share, and gets the tokens for the rest once the ticket is
+// agreed.
 func TestRequestWaitsForAgreement(t *testing.T) {
 	hold := state.Hold{Since: epoch, Until: epoch.Add(time.Minute)}
 	customer := &state.CustomerShare{Name: "c", Limit: state.RateShare{Rate: 100, Burst: 10}}
@@ -210,8 +211,8 @@
 	}
 }
 
-// Guards against a policy that refuses or delays requests inside their
-// customer's rate more often than equal static shares do. Prints the figures.
+// Guards against loans that make requests within their customer's rate be refused or
+// delayed more often than equal static shares do. Prints the results.
 func TestPolicy(t *testing.T) {
 	fmt.Printf("%-11s %-8s %9s %9s %9s %9s %9s %9s %9s\n", "demand", "shares", "inside", "refused%", ">10ms%", ">100ms%", "worst%", "5x rate%", "msg/VM/s")
 	for _, s := range scenarios {
@@ -219,11 +220,11 @@
 		for i, static := range []bool{true, false} {
 			r := runPolicy(s, static, *policySeed)
 			name := map[bool]string{true: "static", false: "loans"}[static]
-			late[i] = percent(r.refused+r.over10+r.over100, r.inside)
+			late[i] = percent(r.refused+r.delayedOver10ms+r.delayedOver100ms, r.inside)
 			fmt.Printf("%-11s %-8s %9d %9.2f %9.2f %9.2f %9.2f %9.1f %9.1f\n", s.name, name, r.inside,
-				percent(r.refused, r.inside), percent(r.over10, r.inside), percent(r.over100, r.inside),
-				worst(s, r), overloadedRate(s, r), r.messages)
-			if *policyDetail {
+				percent(r.refused, r.inside), percent(r.delayedOver10ms, r.inside), percent(r.delayedOver100ms, r.inside),
+				worstCustomer(s, r), overloadedThroughput(s, r), r.messages)
+			if *printCustomers {
 				for i := range r.insideOf {
 					fmt.Printf("    customer%d: inside %d, late %.2f %%\n", i+1, r.insideOf[i], percent(r.lateOf[i], r.insideOf[i]))
 				}
@@ -235,9 +236,9 @@
 	}
 }
 
-// worst is the largest share of refused or delayed requests of any customer that
-// keeps to its rate.
-func worst(s scenario, r policyResult) float64 {
+// worstCustomer returns the largest percentage of refused or delayed requests of any
+// customer that stays within its rate.
+func worstCustomer(s scenario, r policyResult) float64 {
 	most := 0.0
 	for i := range r.insideOf {
 		most = max(most, percent(r.lateOf[i], r.insideOf[i]))
@@ -245,9 +246,9 @@
 	return most
 }
 
-// overloadedRate is what the first customer gets of its rate, in percent, if it
-// sends more.
-func overloadedRate(s scenario, r policyResult) float64 {
+// overloadedThroughput returns the granted requests of the first customer in percent
+// of its rate, or zero if it stays within its rate.
+func overloadedThroughput(s scenario, r policyResult) float64 {
 	if s.load == nil || s.load(0) < 1 {
 		return 0
 	}
--- a/coordination/share/spend.go
+++ b/coordination/share/spend.go
@@ -6,13 +6,12 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// A request that waits for a backend connection between its admission and its
-// sending must not spend its token before: the requests that waited together
-// would reach the backend server together, although their tokens were spent one
-// by one. Such a request is admitted by Admit, and spends its token by Spend when
-// it is sent.
+// A request may wait for a backend connection between its admission and its sending.
+// If it spent its token at admission, requests that waited together would reach the
+// backend server together, although their tokens were spent one by one. Such a request
+// is admitted by Admit, and its token is spent by Spend when it is sent.
 
-// Admit decides on a request like Take, but spends no token.
+// Admit decides on a request like Take, but does not spend its token.
 func Admit(tables *state.Tables, id state.WaiterID, customer string, cost float64, now, deadline time.Time) Admission {
 	a := Take(tables, id, customer, cost, now, deadline)
 	if a.Verdict == Granted {
@@ -21,8 +20,8 @@
 	return a
 }
 
-// GiveBack returns the token of a request that Advance has granted, to be spent
-// by Spend later.
+// GiveBack returns the token of a request that Advance has granted. The token is then
+// spent by Spend.
 func GiveBack(tables *state.Tables, customer string, cost float64) {
 	tables.Shares.With(func(s *state.Shares) {
 		if c := s.Customers[customer]; c != nil {
@@ -31,8 +30,8 @@
 	})
 }
 
-// Spend takes the token of a request that is about to be sent. If there is none
-// the request has to wait again, or is refused.
+// Spend spends the token of a request that is about to be sent. If there is none, the
+// request has to wait again or is refused.
 func Spend(tables *state.Tables, id state.WaiterID, customer string, cost float64, now, deadline time.Time) Admission {
 	return take(tables, customer, state.ShareWaiter{ID: id, Cost: cost, Joined: now, Deadline: deadline}, now, false)
 }
--- a/coordination/share/take.go
+++ b/coordination/share/take.go
@@ -7,59 +7,58 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Verdict is the kind of an Admission.
+// Verdict is the outcome of an Admission.
 type Verdict int
 
-// Verdicts.
+// Values of Verdict.
 const (
 	Granted Verdict = iota // the tokens are spent; run the request now
-	Wait                   // the request has a place in the queue; Advance decides on it
-	Refused                // not to be run
+	Wait                   // the request is queued; Advance decides on it
+	Refused                // the request must not be run
 )
 
 // Admission is the decision on one request.
 type Admission struct {
 	Verdict Verdict
-	Until   time.Time // Wait: when the tokens are expected; call Advance then at the latest
-	RetryAt time.Time // Refused: from when a retry can succeed, as far as can be foreseen
-	Advance time.Time // call Advance then at the latest, because a loan may be needed; zero if not
+	Until   time.Time // Wait: when tokens are expected; call Advance then at the latest
+	RetryAt time.Time // Refused: earliest time at which a retry is expected to succeed
+	Advance time.Time // latest time to call Advance, because a loan may be needed; zero if none is
 }
 
 const (
-	// longestWait bounds the time that a request waits for tokens that this VM
-	// gains itself.
-	longestWait = 2 * time.Second
-	// loanWait bounds the time that a request waits for a loan. A demand that
-	// moves to this VM is followed within about a second.
-	loanWait = time.Second
-	// retryUnknown is the delay proposed when it cannot be foreseen when tokens
-	// will be there.
-	retryUnknown = time.Second
-	// queueTime limits the queue of a customer to the requests that its whole
-	// rate pays for in this time.
-	queueTime = time.Second
-	minQueue  = 16
-	maxQueue  = 1024
-	// advanceInterval is the shortest time between two looks at a customer whose
-	// requests wait already.
-	advanceInterval = 5 * time.Millisecond
+	// maxTokenWait is the longest time that a request waits for tokens that this VM
+	// accrues itself.
+	maxTokenWait = 2 * time.Second
+	// maxLoanWait is the longest time that a request waits for a loan. Loans follow a
+	// demand that moves to this VM within about a second.
+	maxLoanWait = time.Second
+	// defaultRetryDelay is the retry delay proposed if the time at which tokens will
+	// be available is unknown.
+	defaultRetryDelay = time.Second
+	// The queue of a customer is limited to the requests that its whole rate serves
+	// in maxQueueTime, within minQueueLength and maxQueueLength.
+	maxQueueTime   = time.Second
+	minQueueLength = 16
+	maxQueueLength = 1024
+	// waitingPlanInterval is the minimum time between plans that new requests trigger
+	// for a customer that already has waiting requests.
+	waitingPlanInterval = 5 * time.Millisecond
 )
 
-// Take decides on a request of a customer. id names the request in the decisions
-// of Advance if it has to wait. now must be read right before the call, since
-// the lease is checked against it.
+// Take decides on a request of a customer, and spends its tokens if it is granted. id
+// identifies the request in the decisions of Advance if it has to wait. now must be
+// read right before the call, because the lease hold is checked against it.
 func Take(tables *state.Tables, id state.WaiterID, customer string, cost float64, now, deadline time.Time) Admission {
 	return take(tables, customer, state.ShareWaiter{ID: id, Cost: cost, Joined: now, Deadline: deadline}, now, true)
 }
 
-// take spends the tokens of a request or gives it a place in the queue. A
-// request that has just arrived counts as demand, and comes after those that
-// wait.
+// take spends the tokens of a request or queues it. If arrival is set, the request has
+// just arrived: it counts as demand, and comes after those that wait.
 func take(tables *state.Tables, customer string, w state.ShareWaiter, now time.Time, arrival bool) Admission {
 	hold := tables.Lease.Hold()
-	admission := Admission{Verdict: Refused, RetryAt: now.Add(retryUnknown)}
+	admission := Admission{Verdict: Refused, RetryAt: now.Add(defaultRetryDelay)}
 	tables.Shares.With(func(s *state.Shares) {
-		syncHold(s, hold)
+		resetOnNewHold(s, hold)
 		c := s.Customers[customer]
 		if c == nil {
 			return
@@ -68,17 +67,17 @@
 			recordArrival(&c.Demand, w.Cost, now)
 		}
 		advance(s, c, hold, now)
-		if !(arrival && len(c.Waiters) > 0) && pay(c, hold, w.Cost, now) {
+		if !(arrival && len(c.Waiters) > 0) && spendTokens(c, hold, w.Cost, now) {
 			admission = Admission{Verdict: Granted}
 		} else {
 			admission = enqueue(s, c, hold, w, now)
 		}
-		admission.Advance = wantsPlan(s, c, now)
+		admission.Advance = planForArrival(s, c, now)
 	})
 	return admission
 }
 
-// Cancel forgets a waiting request, for example because its client is gone.
+// Cancel removes a waiting request, for example because its client has disconnected.
 func Cancel(t *state.ShareTable, id state.WaiterID, customer string) {
 	t.With(func(s *state.Shares) {
 		if c := s.Customers[customer]; c != nil {
@@ -87,8 +86,8 @@
 	})
 }
 
-// pay spends tokens if they are there and the lease hold covers the time.
-func pay(c *state.CustomerShare, hold state.Hold, cost float64, now time.Time) bool {
+// spendTokens spends tokens if there are enough and the lease hold is valid.
+func spendTokens(c *state.CustomerShare, hold state.Hold, cost float64, now time.Time) bool {
 	if !hold.Valid(now) || c.Level < cost {
 		return false
 	}
@@ -96,10 +95,10 @@
 	return true
 }
 
-// enqueue gives the request a place in the queue if it can be served in time.
+// enqueue queues the request if it can be served in time, and refuses it otherwise.
 func enqueue(s *state.Shares, c *state.CustomerShare, hold state.Hold, w state.ShareWaiter, now time.Time) Admission {
 	total := waitingCost(c) + w.Cost
-	until, ok := prospectsOf(s, c, hold, now).until(w, total)
+	until, ok := estimateWait(s, c, hold, now).recheckAt(w, total)
 	if !ok || len(c.Waiters) >= queueLimit(c) {
 		return Admission{Verdict: Refused, RetryAt: retryAt(c, total, w.Cost, now)}
 	}
@@ -115,43 +114,45 @@
 	return total
 }
 
+// queueLimit returns the maximum number of waiting requests of a customer.
 func queueLimit(c *state.CustomerShare) int {
-	return min(max(int(c.Limit.Rate*queueTime.Seconds()), minQueue), maxQueue)
+	return min(max(int(c.Limit.Rate*maxQueueTime.Seconds()), minQueueLength), maxQueueLength)
 }
 
-// prospects are what a waiting request can hope for.
-type prospects struct {
-	bucket   bucketView
-	now      time.Time
-	leased   bool      // the lease hold is valid
-	loan     bool      // a loan may come
-	loanFrom time.Time // but not before this time
-	agreeing bool      // the base share may grow soon, when all VMs have applied the newest ticket
+// waitEstimate holds what determines whether a waiting request can be served in time.
+type waitEstimate struct {
+	bucket            bucketSnapshot
+	now               time.Time
+	leaseValid        bool      // the lease hold is valid
+	loanPossible      bool      // a loan may be granted
+	loanAvailableFrom time.Time // earliest time of a loan
+	agreementPending  bool      // the base share may grow when all VMs have applied the newest ticket
 }
 
-func prospectsOf(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) prospects {
-	p := prospects{bucket: viewOf(c), now: now, leased: hold.Valid(now)}
-	p.loanFrom, p.loan = loanFrom(s, c, now)
-	p.agreeing = len(s.Tickets) > 1 && !s.Static
+func estimateWait(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) waitEstimate {
+	p := waitEstimate{bucket: snapshotBucket(c), now: now, leaseValid: hold.Valid(now)}
+	p.loanAvailableFrom, p.loanPossible = loanAvailableFrom(s, c, now)
+	p.agreementPending = len(s.Tickets) > 1 && !s.Static
 	return p
 }
 
-// until returns when the request should be looked at again, or false if it
-// cannot be served in time. total is its cost and that of those before it.
-func (p prospects) until(w state.ShareWaiter, total float64) (time.Time, bool) {
-	if p.leased {
-		until, ok := p.bucket.payableAt(total, w.Cost, p.now)
-		if ok && !until.After(earlier(w.Deadline, w.Joined.Add(longestWait))) {
+// recheckAt returns when to check the request again, or false if it cannot be served
+// in time. total is the cost of the request and of those before it.
+func (p waitEstimate) recheckAt(w state.ShareWaiter, total float64) (time.Time, bool) {
+	if p.leaseValid {
+		until, ok := p.bucket.affordableAt(total, w.Cost, p.now)
+		if ok && !until.After(earlier(w.Deadline, w.Joined.Add(maxTokenWait))) {
 			return until, true
 		}
 	}
-	until := earlier(w.Deadline, w.Joined.Add(loanWait))
-	hope := !p.leased || p.agreeing || p.loan && p.loanFrom.Before(until)
-	return until, hope && p.now.Before(until)
+	until := earlier(w.Deadline, w.Joined.Add(maxLoanWait))
+	viable := !p.leaseValid || p.agreementPending || p.loanPossible && p.loanAvailableFrom.Before(until)
+	return until, viable && p.now.Before(until)
 }
 
-// loanFrom returns from when a loan can be hoped for.
-func loanFrom(s *state.Shares, c *state.CustomerShare, now time.Time) (time.Time, bool) {
+// loanAvailableFrom returns the earliest time at which a loan can be expected, or false
+// if none can.
+func loanAvailableFrom(s *state.Shares, c *state.CustomerShare, now time.Time) (time.Time, bool) {
 	if s.Static || s.Leaving || c.Limit.Rate <= 0 {
 		return time.Time{}, false
 	}
@@ -172,12 +173,12 @@
 	return from, len(c.Loans.Holders) > 0
 }
 
-// retryAt foresees when a request refused now could be granted.
+// retryAt estimates when a request refused now could be granted.
 func retryAt(c *state.CustomerShare, total, cost float64, now time.Time) time.Time {
-	if at, ok := viewOf(c).payableAt(total, cost, now); ok {
+	if at, ok := snapshotBucket(c).affordableAt(total, cost, now); ok {
 		return at
 	}
-	return now.Add(retryUnknown)
+	return now.Add(defaultRetryDelay)
 }
 
 // Decision is the admission of a request that waited.
@@ -187,9 +188,9 @@
 	Admission Admission
 }
 
-// settle grants the waiting requests that can be paid for, in order, and refuses
-// those that cannot be served in time any more.
-func settle(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) []Decision {
+// decideWaiting grants the waiting requests that can be paid for, in order, and
+// refuses those that can no longer be served in time.
+func decideWaiting(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) []Decision {
 	if len(c.Waiters) == 0 {
 		return nil
 	}
@@ -198,13 +199,13 @@
 		refusal := Admission{Verdict: Refused, RetryAt: retryAt(c, total, w.Cost, now)}
 		decisions = append(decisions, Decision{w.ID, c.Name, refusal})
 	}
-	p := prospectsOf(s, c, hold, now)
+	p := estimateWait(s, c, hold, now)
 	kept, total := c.Waiters[:0], 0.0
 	for _, w := range c.Waiters {
-		switch _, viable := p.until(w, total+w.Cost); {
+		switch _, viable := p.recheckAt(w, total+w.Cost); {
 		case !now.Before(w.Deadline):
 			refuse(w, total+w.Cost)
-		case len(kept) == 0 && pay(c, hold, w.Cost, now):
+		case len(kept) == 0 && spendTokens(c, hold, w.Cost, now):
 			decisions = append(decisions, Decision{w.ID, c.Name, Admission{Verdict: Granted}})
 			p.bucket.level = c.Level
 		case viable:
--- a/coordination/share/tickets.go
+++ b/coordination/share/tickets.go
@@ -8,16 +8,16 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// VMs apply tickets at different times. The sum of the base shares keeps to the
-// limit because at every moment there is a ticket under whose base shares every
-// VM stays: the highest one that all VMs have applied ("agreed"). A VM stays
-// below its base shares under every ticket that it has applied, from the highest
-// one that it knows to be agreed. A VM that lacks the agreed ticket itself (it
-// started later) has no base share until a ticket that it has is agreed.
+// VMs apply tickets at different times. The sum of the base shares still stays
+// within the limit, because every VM respects its base shares under the agreed
+// ticket, which is the highest one that all VMs have applied: a VM uses the minimum
+// of its base shares over the tickets that it has applied, starting with the highest
+// one that it knows to be agreed. A VM that started too late to have the agreed
+// ticket has no base share until a ticket that it has is agreed.
 
-// Start prepares the shares of a new process. firstProcess says that no process
-// of this VM's name ran in the last ConnectionLoanPeriod, so that none can have
-// lent connections; say so only if it is certain.
+// Start initializes the shares of a new process. firstProcess must be true only if
+// it is certain that no process with this VM's name ran in the last
+// ConnectionLoanPeriod, and so none can have lent connections.
 func Start(t *state.ShareTable, static, firstProcess bool) {
 	t.With(func(s *state.Shares) {
 		s.Static = static
@@ -27,13 +27,13 @@
 
 // Agreed returns the highest ticket that every VM is known to have applied.
 // reports holds the ticket that each VM last reported as applied, this VM
-// included. A VM counts for a ticket only if it was seen to report exactly this
-// one: a VM that reports a later ticket may have skipped it, and would not keep
-// to its base shares under it.
+// included. A VM counts for a ticket only if it has reported exactly that ticket:
+// a VM that reports a later one may have skipped it, and then does not respect its
+// base shares under it.
 func Agreed(t *state.ShareTable, reports map[string]uint64) uint64 {
 	var agreed uint64
 	t.With(func(s *state.Shares) {
-		noteReports(s, reports)
+		recordReports(s, reports)
 		agreed = s.Agreed
 		for i := len(s.Tickets) - 1; i >= 0 && s.Tickets[i].Config.Ticket.Number > agreed; i-- {
 			if appliedByAll(s, i) {
@@ -44,7 +44,9 @@
 	return agreed
 }
 
-func noteReports(s *state.Shares, reports map[string]uint64) {
+// recordReports records which tickets the VMs report as applied, and which VMs have
+// applied their removal from service.
+func recordReports(s *state.Shares, reports map[string]uint64) {
 	for vm, ticket := range reports {
 		i := slices.IndexFunc(s.Tickets, func(t state.TicketShares) bool { return t.Config.Ticket.Number == ticket })
 		if i < 0 {
@@ -54,7 +56,7 @@
 			continue
 		}
 		s.Tickets[i].Applied[vm] = true
-		if servesIn(s.Tickets[i].Config, vm) {
+		if isInService(s.Tickets[i].Config, vm) {
 			delete(s.Idle, vm)
 		} else {
 			s.Idle[vm] = true
@@ -63,13 +65,13 @@
 }
 
 // appliedByAll reports whether every VM listed in the newest ticket has applied
-// the i-th one. A VM that applied its removal from service and has not been put
-// back since spends nothing, and may be switched off.
+// the i-th one. A VM that has applied its removal from service and has not been put
+// back since is skipped: it spends nothing and may be switched off.
 func appliedByAll(s *state.Shares, i int) bool {
 	newest := s.Tickets[len(s.Tickets)-1].Config
 	for _, dc := range newest.DataCentres {
 		for _, vm := range dc.VMs {
-			idle := s.Idle[vm.Name] && !servesIn(newest, vm.Name)
+			idle := s.Idle[vm.Name] && !isInService(newest, vm.Name)
 			if !idle && !s.Tickets[i].Applied[vm.Name] {
 				return false
 			}
@@ -78,15 +80,15 @@
 	return true
 }
 
-func servesIn(config *state.Config, vm string) bool {
+func isInService(config *state.Config, vm string) bool {
 	v, dc := config.VM(vm)
 	return v != nil && dc.State == state.InService && v.State == state.InService
 }
 
-// Recompute derives the base shares after a new ticket, or after agreed (see
-// Agreed) has changed. What another VM knows to be agreed may be passed too. A
-// new process may also pass the configurations that a neighbour keeps to
-// (state.ShareTable.Relevant), if it fetched them after its lease hold began.
+// Recompute updates the base shares after a new ticket or a change of agreed (see
+// Agreed). agreed may also come from another VM. A new process may also pass the
+// configurations that another VM still respects (state.ShareTable.Relevant), if it
+// fetched them after its lease hold began.
 func Recompute(tables *state.Tables, config *state.Config, agreed uint64, now time.Time) {
 	hold := tables.Lease.Hold()
 	known := false
@@ -99,37 +101,37 @@
 	})
 	var shares state.TicketShares
 	if !known {
-		shares = sharesUnder(config, tables.Self, static)
+		shares = computeBaseShares(config, tables.Self, static)
 	}
 	tables.Shares.With(func(s *state.Shares) {
-		syncHold(s, hold)
+		resetOnNewHold(s, hold)
 		advanceAll(s, hold, now)
 		s.Agreed = max(s.Agreed, agreed)
 		if !known {
 			shares.Since = now
 			insertTicket(s, shares)
 		}
-		dropTickets(s)
-		rebase(s)
+		pruneTickets(s)
+		updateBaseShares(s)
 	})
 }
 
-// sharesUnder computes this VM's base shares under one ticket.
-func sharesUnder(config *state.Config, self state.Self, static bool) state.TicketShares {
-	l := layoutOf(config, static)
+// computeBaseShares computes this VM's base shares under one ticket.
+func computeBaseShares(config *state.Config, self state.Self, static bool) state.TicketShares {
+	placement := newTopology(config, static)
 	shares := state.TicketShares{
 		Config:   config,
 		Requests: make(map[string]state.RateShare),
 		Units:    make(map[string]int),
-		VMs:      len(l.all),
+		VMs:      len(placement.all),
 		Applied:  make(map[string]bool),
 	}
 	for name, customer := range config.Customers {
-		shares.Requests[name] = l.requestShare(customer, self.Name, self.DataCentre)
+		shares.Requests[name] = placement.requestShare(customer, self.Name, self.DataCentre)
 	}
 	for _, group := range config.Groups {
 		for _, server := range group.Servers {
-			shares.Units[server.Name] = l.units(server.Name, server.Connections, self.Name, self.DataCentre)
+			shares.Units[server.Name] = placement.connectionShare(server.Name, server.Connections, self.Name, self.DataCentre)
 		}
 	}
 	return shares
@@ -151,21 +153,21 @@
 	}
 }
 
-// dropTickets drops the tickets that no VM needs to stay below any more. The
-// newest one is kept always.
-func dropTickets(s *state.Shares) {
+// pruneTickets removes the tickets before the agreed one, whose base shares no
+// longer limit this VM. The newest ticket is always kept.
+func pruneTickets(s *state.Shares) {
 	for len(s.Tickets) > 1 && s.Tickets[0].Config.Ticket.Number < s.Agreed {
 		s.Tickets = slices.Delete(s.Tickets, 0, 1)
 	}
 }
 
 // complete reports whether this VM has the agreed ticket.
-func complete(s *state.Shares) bool {
+func hasAgreedTicket(s *state.Shares) bool {
 	return len(s.Tickets) > 0 && s.Agreed != 0 && s.Tickets[0].Config.Ticket.Number == s.Agreed
 }
 
-// rebase sets the base shares to the smallest under the relevant tickets.
-func rebase(s *state.Shares) {
+// updateBaseShares sets each base share to its minimum over the stored tickets.
+func updateBaseShares(s *state.Shares) {
 	if len(s.Tickets) == 0 {
 		return
 	}
@@ -184,20 +186,20 @@
 		}
 	}
 	for name, c := range s.Customers {
-		rebaseCustomer(s, c, newest.Customers[name])
+		updateCustomerBase(s, c, newest.Customers[name])
 	}
 	for _, c := range s.Servers {
-		rebaseServer(s, c)
+		updateServerBase(s, c)
 	}
 }
 
-func rebaseCustomer(s *state.Shares, c *state.CustomerShare, customer *state.Customer) {
+func updateCustomerBase(s *state.Shares, c *state.CustomerShare, customer *state.Customer) {
 	c.Loans.Holders = nil
 	c.Limit, c.Base = state.RateShare{}, state.RateShare{}
 	if customer != nil {
 		c.Limit = state.RateShare{Rate: customer.Rate, Burst: customer.Burst}
 	}
-	if complete(s) {
+	if hasAgreedTicket(s) {
 		c.Base = s.Tickets[0].Requests[c.Name]
 		for _, t := range s.Tickets[1:] {
 			c.Base.Rate = min(c.Base.Rate, t.Requests[c.Name].Rate)
@@ -207,10 +209,10 @@
 	c.Level = min(c.Level, capacity(c))
 }
 
-func rebaseServer(s *state.Shares, c *state.ConnectionShare) {
+func updateServerBase(s *state.Shares, c *state.ConnectionShare) {
 	c.Loans.Holders = nil
 	c.Base, c.ReportedBase, c.Lendable = 0, 0, 0
-	if !complete(s) {
+	if !hasAgreedTicket(s) {
 		return
 	}
 	c.Base = s.Tickets[0].Units[c.Server]
@@ -221,25 +223,25 @@
 		if t.Config.Ticket.Number <= s.Reported {
 			c.ReportedBase = min(c.ReportedBase, units)
 		}
-		c.MaxLendable = max(c.MaxLendable, lendable(units, c.Limit, t.VMs))
+		c.MaxLendable = max(c.MaxLendable, lendableConnections(units, c.Limit, t.VMs))
 	}
-	c.Lendable = lendable(c.Base, c.Limit, s.Tickets[len(s.Tickets)-1].VMs)
+	c.Lendable = lendableConnections(c.Base, c.Limit, s.Tickets[len(s.Tickets)-1].VMs)
 }
 
-// lendable is the number of units that a VM may lend out of its base share. It
-// is half, because a new process of the VM does not know what the one before it
-// lent, and can use at once what was not lendable. A single unit is lendable
-// where some VMs have none.
-func lendable(units, limit, vms int) int {
+// lendableConnections returns how many connections of its base share a VM may lend.
+// It is half of them: a new process of the VM does not know what its predecessor
+// lent, and can use the other half at once. A single connection is lendable if some
+// VMs have none.
+func lendableConnections(units, limit, vms int) int {
 	if units == 1 && limit < vms {
 		return 1
 	}
 	return units / 2
 }
 
-// syncHold starts the buckets anew when a lease hold has begun. Another process
-// of this VM's name may have spent from the same shares until then.
-func syncHold(s *state.Shares, hold state.Hold) {
+// resetOnNewHold empties the buckets when a new lease hold has begun. Another process
+// with this VM's name may have spent from the same shares until then.
+func resetOnNewHold(s *state.Shares, hold state.Hold) {
 	if hold.Since.Equal(s.HeldSince) {
 		return
 	}
@@ -250,14 +252,14 @@
 	for _, c := range s.Customers {
 		c.Level = 0
 	}
-	forgetTickets(s)
-	rebase(s)
+	keepNewestTicket(s)
+	updateBaseShares(s)
 }
 
-// forgetTickets keeps the newest ticket only. The other process may have
-// reported a ticket that this one has not seen as applied, so that what this one
-// held to be relevant may not be so any more.
-func forgetTickets(s *state.Shares) {
+// keepNewestTicket removes all tickets but the newest. The other process may have
+// reported a ticket as applied that this one has not seen, so the set of tickets
+// that this process respects may be outdated.
+func keepNewestTicket(s *state.Shares) {
 	n := len(s.Tickets)
 	if n == 0 {
 		return
@@ -268,24 +270,24 @@
 	}
 }
 
-// AppliedTicket returns the ticket that this VM reports as applied. A new ticket
-// is reported once nothing that exceeds this VM's share under it is lent or in
-// use any more, and once no confirmation is in use that this VM gave, as a voter
-// for others, under an older list of voters.
+// AppliedTicket returns the ticket that this VM reports as applied. A new ticket is
+// reported once loans and open connections fit this VM's share under it, and once
+// the lease confirmations that this VM gave as a voter under an older list of voters
+// have expired.
 func AppliedTicket(tables *state.Tables, now time.Time) uint64 {
 	hold := tables.Lease.Hold()
 	var started time.Time
 	tables.Lease.With(func(l *state.Lease) { started = l.Started })
 	var reported uint64
 	tables.Shares.With(func(s *state.Shares) {
-		syncHold(s, hold)
+		resetOnNewHold(s, hold)
 		advanceAll(s, hold, now)
 		if n := len(s.Tickets); n > 0 && hold.Valid(now) && now.Sub(started) >= lease.Exclusive {
 			newest := &s.Tickets[n-1]
 			number := newest.Config.Ticket.Number
-			if s.Reported != number && votesSettled(s, tables.Self.DataCentre, now) && fits(tables, s, newest, now) {
+			if s.Reported != number && voterChangeSettled(s, tables.Self.DataCentre, now) && usageFitsTicket(tables, s, newest, now) {
 				s.Reported = number
-				rebase(s)
+				updateBaseShares(s)
 			}
 		}
 		reported = s.Reported
@@ -293,9 +295,9 @@
 	return reported
 }
 
-// votesSettled reports whether the newest ticket leaves the list of VMs of this
-// data centre as it was, or was applied long enough ago.
-func votesSettled(s *state.Shares, dataCentre string, now time.Time) bool {
+// voterChangeSettled reports whether the newest ticket leaves the VMs of this data
+// centre unchanged, or was applied at least lease.Exclusive ago.
+func voterChangeSettled(s *state.Shares, dataCentre string, now time.Time) bool {
 	newest := s.Tickets[len(s.Tickets)-1]
 	if now.Sub(newest.Since) >= lease.Exclusive {
 		return true
@@ -309,36 +311,36 @@
 	return true
 }
 
-// fits reports whether everything lent or in use is within the ticket's shares.
-// Connections lent must be within what is lendable, since that is what the next
-// process of this VM takes to be lent at most.
-func fits(tables *state.Tables, s *state.Shares, t *state.TicketShares, now time.Time) bool {
+// usageFitsTicket reports whether loans and open connections fit this VM's shares
+// under the ticket. Connections lent must fit the lendable part, because the next
+// process of this VM assumes that no more than that is lent.
+func usageFitsTicket(tables *state.Tables, s *state.Shares, t *state.TicketShares, now time.Time) bool {
 	for name, c := range s.Customers {
-		rate, burst := lentOut(&c.Loans)
+		rate, burst := totalLent(&c.Loans)
 		if rate > t.Requests[name].Rate || burst > t.Requests[name].Burst {
 			return false
 		}
 	}
-	earlier := now.Before(s.EarlierLoansTill) && s.Agreed != t.Config.Ticket.Number
-	if earlier && !complete(s) && !s.Static {
+	earlierLoans := now.Before(s.EarlierLoansTill) && s.Agreed != t.Config.Ticket.Number
+	if earlierLoans && !hasAgreedTicket(s) && !s.Static {
 		return false
 	}
 	for name, c := range s.Servers {
-		lent := lentUnits(&c.Loans)
-		if earlier {
+		lent := lentConnections(&c.Loans)
+		if earlierLoans {
 			lent = max(lent, c.MaxLendable)
 		}
-		if lent > lendable(t.Units[name], c.Limit, t.VMs) {
+		if lent > lendableConnections(t.Units[name], c.Limit, t.VMs) {
 			return false
 		}
 	}
-	return connectionsFit(tables, s, now)
+	return openConnectionsFit(tables, s, now)
 }
 
-func connectionsFit(tables *state.Tables, s *state.Shares, now time.Time) bool {
+func openConnectionsFit(tables *state.Tables, s *state.Shares, now time.Time) bool {
 	ok := true
 	tables.Backends.Each(func(b *state.ServerConns) {
-		if c := s.Servers[b.Server]; c != nil && b.Open() > ownUnits(s, c, c.Base, now)+borrowedUnits(&c.Loans, now) {
+		if c := s.Servers[b.Server]; c != nil && b.Open() > ownConnections(s, c, c.Base, now)+borrowedConnections(&c.Loans, now) {
 			ok = false
 		}
 	})
