--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads a clock that also counts while the VM is suspended.
+// Package clock provides a monotonic clock that keeps counting while the VM is
+// suspended.
 package clock
 
 import (
@@ -8,24 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// source replaces the machine's clock in tests with virtual time.
-var source atomic.Pointer[func() time.Duration]
+// override replaces the system clock if set. Tests set it to virtual time.
+var override atomic.Pointer[func() time.Duration]
 
-// SetSource makes Now return f's readings; nil restores the machine's clock. It
-// is for tests.
+// SetSource makes Now return the readings of f; nil restores the system clock.
+// It is for tests only.
 func SetSource(f func() time.Duration) {
 	if f == nil {
-		source.Store(nil)
+		override.Store(nil)
 		return
 	}
-	source.Store(&f)
+	override.Store(&f)
 }
 
-// Now returns the time since the machine started. It never jumps, and unlike
-// the steady clock of package time it goes on while the machine is suspended.
-// Ages and leases are measured with it: a VM that wakes must find them expired.
+// Now returns the time since the machine booted. Changes of the wall clock do
+// not affect it and, unlike the monotonic clock of package time, it keeps
+// counting while the machine is suspended. Ages and leases are measured with
+// it, because a VM that resumes must find them expired.
 func Now() time.Duration {
-	if f := source.Load(); f != nil {
+	if f := override.Load(); f != nil {
 		return (*f)()
 	}
 	var ts unix.Timespec
