--- a/transport/network/accept.go
+++ b/transport/network/accept.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Accept calls serve on a goroutine of its own for each connection, until ctx is
-// done. Then it closes the listener and returns once all calls have. failed is
-// told of connections that could not be accepted; the next attempt is after
-// pause.
-func Accept(ctx context.Context, l net.Listener, pause time.Duration, serve func(net.Conn), failed func(error)) {
-	var serving sync.WaitGroup
-	defer serving.Wait()
+// Accept calls serve for each connection, each in its own goroutine, until ctx
+// is done. It then closes the listener and returns after all calls of serve have
+// returned. If a connection cannot be accepted, it calls onError and tries again
+// after retryDelay.
+func Accept(ctx context.Context, l net.Listener, retryDelay time.Duration, serve func(net.Conn), onError func(error)) {
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -22,10 +22,10 @@
 			if ctx.Err() != nil {
 				return
 			}
-			failed(err)
-			time.Sleep(pause)
+			onError(err)
+			time.Sleep(retryDelay)
 			continue
 		}
-		serving.Go(func() { serve(conn) })
+		handlers.Go(func() { serve(conn) })
 	}
 }
--- a/transport/network/network.go
+++ b/transport/network/network.go
@@ -1,5 +1,5 @@
-// Package network is the way in which the transport layer reaches other
-// processes. Tests put an in-memory network in its place.
+// Package network abstracts the connections of the transport layer to other
+// processes, so that tests can substitute an in-memory network.
 package network
 
 import (
@@ -7,13 +7,13 @@
 	"net"
 )
 
-// Network listens on and dials host:port addresses.
+// Network listens on and dials addresses of the form host:port.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// TCP is the operating system's TCP.
+// TCP implements Network with the TCP stack of the operating system.
 type TCP struct{}
 
 // Listen implements Network.
