--- a/transport/outbox/outbox.go
+++ b/transport/outbox/outbox.go
@@ -1,6 +1,6 @@
-// Package outbox writes to a connection without blocking the worker that has
-// something to write. A goroutine runs only while there is something to write,
-// so that an idle connection costs none.
+// Package outbox provides a write queue for a connection, so that workers do not
+// block on writes. A goroutine writes the queued bytes and ends when the queue
+// is empty; an idle connection has none.
 package outbox
 
 import (
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Outbox is a queue of bytes in front of a connection.
+// Outbox is the write queue of a connection.
 type Outbox struct {
 	conn net.Conn
 
-	mu      sync.Mutex // guards the fields below; no other lock is taken under it
-	space   *sync.Cond // signalled when size falls or err is set
-	pending [][]byte
-	size    int // bytes pending or being written
-	high    int // size from which Wait waits
-	writing bool
-	sealed  bool // no more bytes are taken
-	closing bool // close the connection when everything is written
-	err     error
+	mu            sync.Mutex // guards the fields below; no other lock is taken under it
+	changed       *sync.Cond // signalled when size falls or err is set
+	pending       [][]byte
+	size          int  // bytes pending or being written
+	highWaterMark int  // Wait blocks while size exceeds it
+	writing       bool // writeLoop is running
+	sealed        bool // Write drops further bytes
+	closing       bool // the connection is closed when everything is written
+	err           error
 }
 
-// New returns an outbox for the connection. Wait waits while more than high
-// bytes are queued.
-func New(conn net.Conn, high int) *Outbox {
-	o := &Outbox{conn: conn, high: high}
-	o.space = sync.NewCond(&o.mu)
+// New returns an outbox for the connection. Wait blocks while more than
+// highWaterMark bytes are queued.
+func New(conn net.Conn, highWaterMark int) *Outbox {
+	o := &Outbox{conn: conn, highWaterMark: highWaterMark}
+	o.changed = sync.NewCond(&o.mu)
 	return o
 }
 
-// Write queues bytes, which must not be changed afterwards. Bytes queued after
-// a failure, Seal or Finish are dropped; the reader of the connection sees the
-// failure.
+// Write queues b without blocking. The caller must not modify b afterwards.
+// Bytes queued after a failure, Seal or Finish are dropped; a failure is
+// reported to the goroutine that reads from the connection.
 func (o *Outbox) Write(b []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -46,32 +46,33 @@
 	o.startWriter()
 }
 
-// Wait waits until there is room. Readers call it, workers must not. It reports
-// false if the connection has failed.
+// Wait blocks until the queue is at or below the high-water mark. Goroutines
+// that read from connections call it; workers must not. It reports false if the
+// connection has failed.
 func (o *Outbox) Wait() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for o.size > o.high && o.err == nil {
-		o.space.Wait()
+	for o.size > o.highWaterMark && o.err == nil {
+		o.changed.Wait()
 	}
 	return o.err == nil
 }
 
-// Full reports whether Wait would wait.
+// Full reports whether Wait would block.
 func (o *Outbox) Full() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.size > o.high
+	return o.size > o.highWaterMark
 }
 
-// Seal takes no more bytes, writes what is queued and leaves the connection
-// open, so that the other side can read it. Reading from the connection fails
-// after the given time.
-func (o *Outbox) Seal(linger time.Duration) {
+// Seal drops all later writes. What is queued is still written and the
+// connection stays open, so that the other side can read it. Reads from the
+// connection fail after readTimeout.
+func (o *Outbox) Seal(readTimeout time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.sealed = true
-	if err := o.conn.SetReadDeadline(time.Now().Add(linger)); err != nil {
+	if err := o.conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 		o.fail(err)
 	}
 }
@@ -87,17 +88,17 @@
 	o.startWriter()
 }
 
-// WaitClosed waits until the connection is closed by Finish, Abort or a failure.
-// Workers must not call it.
+// WaitClosed blocks until the connection is closed by Finish, Abort or a
+// failure. Workers must not call it.
 func (o *Outbox) WaitClosed() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for o.err == nil {
-		o.space.Wait()
+		o.changed.Wait()
 	}
 }
 
-// Abort closes the connection at once.
+// Abort closes the connection at once and discards the queued bytes.
 func (o *Outbox) Abort() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -109,12 +110,12 @@
 		return
 	}
 	o.writing = true
-	go o.write()
+	go o.writeLoop()
 }
 
-func (o *Outbox) write() {
+func (o *Outbox) writeLoop() {
 	for {
-		batch, more := o.take()
+		batch, more := o.nextBatch()
 		if !more {
 			return
 		}
@@ -123,13 +124,13 @@
 			n += len(b)
 		}
 		_, err := batch.WriteTo(o.conn)
-		o.wrote(n, err)
+		o.batchWritten(n, err)
 	}
 }
 
-// take returns what is pending. It reports false when there is nothing, and the
-// writer must end.
-func (o *Outbox) take() (net.Buffers, bool) {
+// nextBatch returns the pending bytes. It reports false if there are none; the
+// write loop must then end.
+func (o *Outbox) nextBatch() (net.Buffers, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err == nil && len(o.pending) > 0 {
@@ -144,14 +145,14 @@
 	return nil, false
 }
 
-func (o *Outbox) wrote(n int, err error) {
+func (o *Outbox) batchWritten(n int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.size -= n
 	if err != nil {
 		o.fail(err)
 	}
-	o.space.Broadcast()
+	o.changed.Broadcast()
 }
 
 func (o *Outbox) fail(err error) {
@@ -161,5 +162,5 @@
 	o.err = err
 	o.pending = nil
 	o.conn.Close()
-	o.space.Broadcast()
+	o.changed.Broadcast()
 }
