--- a/transport/store/backoff.go
+++ b/transport/store/backoff.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// BackoffBase is the shortest pause after a failure.
+	// BackoffBase is the minimum delay after a failure.
 	BackoffBase = 100 * time.Millisecond
-	// BackoffMax is the longest pause after a failure. A configuration change has to
-	// be in effect within 5 s, so a returning store must be noticed within that time.
+	// BackoffMax is the maximum delay after a failure. A configuration change has to
+	// be in effect within 5 s, so clients must notice within that time that the
+	// store is available again.
 	BackoffMax = 5 * time.Second
 )
 
-// Backoff computes the pauses between attempts after failures. The upper bound
-// doubles with each failure; the pause is uniformly distributed below it, so
-// that callers which failed at the same time come back at different times.
+// Backoff computes retry delays by exponential backoff with jitter. The upper
+// bound doubles with each failure and the delay is uniformly distributed below
+// it, so that callers that failed at the same time retry at different times.
 type Backoff struct {
 	random func() float64 // in [0, 1)
 }
@@ -23,9 +24,9 @@
 // NewBackoff returns a Backoff with the given source of random numbers in [0, 1).
 func NewBackoff(random func() float64) Backoff { return Backoff{random} }
 
-// Delay returns the pause after the given number of failures in a row, at least
-// 1: between BackoffBase and the smaller of BackoffBase * 2^failures and
-// BackoffMax.
+// Delay returns the delay after the given number of consecutive failures, at
+// least 1. It lies between BackoffBase and the smaller of
+// BackoffBase * 2^failures and BackoffMax.
 func (b Backoff) Delay(failures int) time.Duration {
 	bound := BackoffBase
 	for i := 0; i < failures && bound < BackoffMax; i++ {
@@ -35,5 +36,5 @@
 	return BackoffBase + time.Duration(b.random()*float64(bound-BackoffBase))
 }
 
-// Wait pauses for Delay(failures), or until ctx is done.
+// Wait blocks for Delay(failures) or until ctx is done.
 func (b Backoff) Wait(ctx context.Context, failures int) { sleep(ctx, b.Delay(failures)) }
--- a/transport/store/client.go
+++ b/transport/store/client.go
@@ -1,5 +1,5 @@
-// Package store is the client of the platform's object API. It executes calls
-// and reports what came of them; it decides nothing beyond when to try again.
+// Package store is a client for the platform's object API. It makes calls and
+// returns their results. The only decision it makes is when to retry.
 package store
 
 import (
@@ -21,22 +21,22 @@
 )
 
 const (
-	// DefaultCallTimeout is the longest time for a call, beyond the wait of a
-	// watch. The store answers in milliseconds, so a call that takes this long is
-	// taken for lost.
+	// DefaultCallTimeout bounds a call; for a watch it is added to the wait. The
+	// store responds in milliseconds, so a call that takes this long is assumed to
+	// be lost.
 	DefaultCallTimeout = 2 * time.Second
-	// idleTimeout is how long an unused connection is kept. It is above the longest
-	// wait of a watch, so that the next call finds a connection.
+	// idleTimeout is how long an idle connection is kept open. It exceeds the
+	// longest wait of a watch, so that the next call can reuse a connection.
 	idleTimeout = 60 * time.Second
-	// maxIdle is the number of unused connections kept: one for a watch, one for
-	// calls beside it.
-	maxIdle = 2
-	// maxBody is the longest answer read in bytes. JSON may escape a value to more
-	// than its own size.
+	// maxIdleConns is the number of idle connections kept open: one for a watch
+	// and one for calls made in parallel.
+	maxIdleConns = 2
+	// maxBody is the maximum size of a response in bytes. It exceeds the size of a
+	// value because JSON may escape characters.
 	maxBody = 2 * storeapi.MaxValue
 )
 
-// Options are the parts and limits of a client. Network and Address are needed.
+// Options configure a client. Network and Address are required.
 type Options struct {
 	Network     network.Network
 	Address     string // host:port
@@ -56,7 +56,7 @@
 	counts  counters
 }
 
-// New returns a client. It connects with the first call.
+// New returns a client. It opens no connection before the first call.
 func New(o Options) *Client {
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = DefaultCallTimeout
@@ -71,7 +71,7 @@
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return o.Network.Dial(ctx, address)
 		},
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get reads an object. found is false if it does not exist.
@@ -105,7 +105,7 @@
 	case http.StatusNotFound:
 		return storeapi.Object{}, false, nil
 	default:
-		return storeapi.Object{}, false, unexpected(status, body)
+		return storeapi.Object{}, false, unexpectedStatus(status, body)
 	}
 }
 
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, unexpected(status, body)
+		return nil, unexpectedStatus(status, body)
 	}
 	var vms []storeapi.VM
 	if err := json.Unmarshal(body, &vms); err != nil {
@@ -127,8 +127,8 @@
 	return vms, nil
 }
 
-// get sends a GET request and reads the whole answer.
-func (c *Client) get(ctx context.Context, kind Kind, path string) (status int, body []byte, err error) {
+// get sends a GET request and reads the whole response.
+func (c *Client) get(ctx context.Context, kind CallKind, path string) (status int, body []byte, err error) {
 	defer func() { c.counts.add(kind, err != nil || status >= http.StatusInternalServerError) }()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -167,9 +167,9 @@
 	return o, nil
 }
 
-// maxQuoted is how much of an unexpected answer an error quotes, in bytes.
-const maxQuoted = 200
+// maxQuotedBody is how much of an unexpected response an error quotes, in bytes.
+const maxQuotedBody = 200
 
-func unexpected(status int, body []byte) error {
-	return eris.Errorf("the store answered with status %d: %.*s", status, maxQuoted, bytes.TrimSpace(body))
+func unexpectedStatus(status int, body []byte) error {
+	return eris.Errorf("the store answered with status %d: %.*s", status, maxQuotedBody, bytes.TrimSpace(body))
 }
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// Kind is a kind of call. The store counts every call, a pending watch as one.
-type Kind string
+// CallKind is a kind of call to the store. A pending watch is one call.
+type CallKind string
 
 // Kinds of calls.
 const (
-	Get   Kind = "get"
-	Put   Kind = "put"
-	Watch Kind = "watch"
-	VMs   Kind = "vms"
+	Get   CallKind = "get"
+	Put   CallKind = "put"
+	Watch CallKind = "watch"
+	VMs   CallKind = "vms"
 )
 
-// Count is the number of calls of a kind.
-type Count struct {
+// CallCount is the number of calls of a kind.
+type CallCount struct {
 	Calls  uint64
-	Failed uint64 // not answered, or answered with an error; for updates also refused, but not conflicts
+	Failed uint64 // without a response, or with status 5xx; updates also if rejected for another reason than a conflict
 }
 
 // counters counts calls by kind.
@@ -26,7 +26,7 @@
 
 type counter struct{ calls, failed atomic.Uint64 }
 
-func (c *counters) of(kind Kind) *counter {
+func (c *counters) byKind(kind CallKind) *counter {
 	switch kind {
 	case Get:
 		return &c.get
@@ -39,20 +39,20 @@
 	}
 }
 
-func (c *counters) add(kind Kind, failed bool) {
-	one := c.of(kind)
-	one.calls.Add(1)
+func (c *counters) add(kind CallKind, failed bool) {
+	counter := c.byKind(kind)
+	counter.calls.Add(1)
 	if failed {
-		one.failed.Add(1)
+		counter.failed.Add(1)
 	}
 }
 
 // Counts returns the number of calls by kind so far.
-func (c *Client) Counts() map[Kind]Count {
-	counts := make(map[Kind]Count)
-	for _, kind := range []Kind{Get, Put, Watch, VMs} {
-		one := c.counts.of(kind)
-		counts[kind] = Count{Calls: one.calls.Load(), Failed: one.failed.Load()}
+func (c *Client) Counts() map[CallKind]CallCount {
+	counts := make(map[CallKind]CallCount)
+	for _, kind := range []CallKind{Get, Put, Watch, VMs} {
+		counter := c.counts.byKind(kind)
+		counts[kind] = CallCount{Calls: counter.calls.Load(), Failed: counter.failed.Load()}
 	}
 	return counts
 }
--- a/transport/store/put.go
+++ b/transport/store/put.go
@@ -13,25 +13,25 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/storeapi"
 )
 
-// Outcome says what is known about a conditional update.
+// Outcome is what is known about the effect of a conditional update.
 type Outcome int
 
 // Outcomes.
 const (
-	Unknown  Outcome = iota // sent, and no answer arrived: it may have taken effect, or may still
+	Unknown  Outcome = iota // sent without a conclusive response: it may have taken effect or may do so later
 	Done                    // it took effect
-	Conflict                // it did not and will not: the version differs
-	NotDone                 // it did not and will not, for another reason
+	Conflict                // it did not and will not take effect, because the version differs
+	NotDone                 // it did not and will not take effect, for another reason
 )
 
 // PutResult is the result of a conditional update.
 type PutResult struct {
 	Outcome Outcome
-	Object  storeapi.Object // Conflict: the object as it is
-	Err     error           // Unknown, NotDone: the reason
+	Object  storeapi.Object // the current object; set if Outcome is Conflict
+	Err     error           // the reason; set if Outcome is Unknown or NotDone
 }
 
-// Put makes a conditional update. It is sent at most once.
+// Put makes a conditional update. It is never retried.
 func (c *Client) Put(ctx context.Context, name string, put storeapi.Put) (result PutResult) {
 	defer func() { c.counts.add(Put, result.Outcome == Unknown || result.Outcome == NotDone) }()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -56,12 +56,13 @@
 	case err != nil:
 		return PutResult{Outcome: Unknown, Err: eris.Wrap(err, "the store's answer was lost")}
 	}
-	return putResult(response)
+	return parsePutResponse(response)
 }
 
-// putResult interprets an answer. Status 4xx says that the store refused the
-// update. Status 5xx says nothing: a gateway may have lost the store's answer.
-func putResult(response *http.Response) PutResult {
+// parsePutResponse derives the outcome from a response. Status 4xx means that
+// the store rejected the update. After status 5xx the outcome is unknown, because
+// a gateway may have lost the store's response.
+func parsePutResponse(response *http.Response) PutResult {
 	body, err := readBody(response)
 	switch status := response.StatusCode; {
 	case status == http.StatusOK, status == http.StatusCreated, status == http.StatusNoContent:
@@ -73,8 +74,8 @@
 		}
 		return PutResult{Outcome: Conflict, Object: object}
 	case status >= 400 && status < 500:
-		return PutResult{Outcome: NotDone, Err: unexpected(status, body)}
+		return PutResult{Outcome: NotDone, Err: unexpectedStatus(status, body)}
 	default:
-		return PutResult{Outcome: Unknown, Err: unexpected(status, body)}
+		return PutResult{Outcome: Unknown, Err: unexpectedStatus(status, body)}
 	}
 }
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -27,7 +27,7 @@
 	client *Client
 }
 
-// run calls f in a bubble with a server that answers through handler.
+// run calls f in a synctest bubble with a server that responds through handler.
 func run(t *testing.T, handler http.HandlerFunc, f func(t *testing.T, x *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := testnet.New()
@@ -50,7 +50,7 @@
 	return New(Options{Network: n, Address: address, Log: &log.Logger{Handler: discard.New()}, Random: rand.New(rand.NewPCG(1, 2)).Float64})
 }
 
-func respond(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -58,36 +58,37 @@
 	}
 }
 
-// hang reads the body first, since only then the server notices that the client
-// is gone.
-func hang(_ http.ResponseWriter, r *http.Request) {
+// neverRespond reads the body before it blocks, because the server detects a
+// client's disconnect only after that.
+func neverRespond(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-func abort(_ http.ResponseWriter, r *http.Request) {
+func abortConnection(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
 
 // Guards against an update that is reported as not done although it may have
-// taken effect, and the reverse.
+// taken effect, and against one that is reported as done although it may not
+// have.
 func TestPutOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		handler http.HandlerFunc
 		want    Outcome
 		version uint64
 	}{
-		"done":                     {respond(200, `{"name":"config","version":4,"value":{}}`), Done, 0},
-		"done, answer unreadable":  {respond(200, `{"na`), Done, 0},
-		"conflict":                 {respond(409, `{"name":"config","version":7,"value":{}}`), Conflict, 7},
-		"conflict without object":  {respond(409, ``), NotDone, 0},
-		"too large":                {respond(413, `too large`), NotDone, 0},
-		"error after the request":  {respond(500, ``), Unknown, 0},
-		"gateway timeout":          {respond(504, ``), Unknown, 0},
-		"redirect":                 {respond(307, ``), Unknown, 0},
-		"connection cut":           {abort, Unknown, 0},
-		"no answer within timeout": {hang, Unknown, 0},
+		"done":                     {respondWith(200, `{"name":"config","version":4,"value":{}}`), Done, 0},
+		"done, answer unreadable":  {respondWith(200, `{"na`), Done, 0},
+		"conflict":                 {respondWith(409, `{"name":"config","version":7,"value":{}}`), Conflict, 7},
+		"conflict without object":  {respondWith(409, ``), NotDone, 0},
+		"too large":                {respondWith(413, `too large`), NotDone, 0},
+		"error after the request":  {respondWith(500, ``), Unknown, 0},
+		"gateway timeout":          {respondWith(504, ``), Unknown, 0},
+		"redirect":                 {respondWith(307, ``), Unknown, 0},
+		"connection cut":           {abortConnection, Unknown, 0},
+		"no answer within timeout": {neverRespond, Unknown, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +101,7 @@
 		})
 	}
 	t.Run("not connected", func(t *testing.T) {
-		run(t, hang, func(t *testing.T, x *fixture) {
+		run(t, neverRespond, func(t *testing.T, x *fixture) {
 			x.net.SetDown(address, true)
 			if r := x.client.Put(t.Context(), "config", storeapi.Put{Value: json.RawMessage(`{}`)}); r.Outcome != NotDone {
 				t.Errorf("got outcome %v", r.Outcome)
@@ -109,23 +110,23 @@
 	})
 }
 
-// Guards against a missing object that looks like a failure, against a call
-// without an end, and against a connection per call.
+// Guards against a missing object that is reported as an error, against calls
+// that never time out, and against a new connection for each call.
 func TestGet(t *testing.T) {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/v1/objects/groups/ledger 1":
-			respond(200, `{"name":"groups/ledger 1","version":2,"value":{"a":1}}`)(w, r)
+			respondWith(200, `{"name":"groups/ledger 1","version":2,"value":{"a":1}}`)(w, r)
 		case "/v1/objects/slow":
-			hang(w, r)
+			neverRespond(w, r)
 		case "/v1/vms":
-			respond(200, `[{"name":"m1","data_centre":"medina","address":"10.1.0.21:7000","leaving":true}]`)(w, r)
+			respondWith(200, `[{"name":"m1","data_centre":"medina","address":"10.1.0.21:7000","leaving":true}]`)(w, r)
 		case "/v1/objects/large":
 			_, _ = w.Write(make([]byte, maxBody+1))
 		case "/v1/objects/broken":
-			respond(200, `{`)(w, r)
+			respondWith(200, `{`)(w, r)
 		default:
-			respond(404, ``)(w, r)
+			respondWith(404, ``)(w, r)
 		}
 	}
 	run(t, handler, func(t *testing.T, x *fixture) {
@@ -148,24 +149,25 @@
 				t.Errorf("%s: error %v after %v", name, err, time.Since(start))
 			}
 		}
-		if got := x.client.Counts(); got[Get] != (Count{5, 2}) || got[VMs] != (Count{1, 0}) || got[Put] != (Count{}) {
+		if got := x.client.Counts(); got[Get] != (CallCount{5, 2}) || got[VMs] != (CallCount{1, 0}) || got[Put] != (CallCount{}) {
 			t.Errorf("counted %v", got)
 		}
 	})
 }
 
-// object is a stored object with watches, as the platform keeps it.
-type object struct {
-	mu      sync.Mutex // guards the fields below
-	version uint64
-	changed chan struct{}
-	refuse  bool
-	arrived []time.Time
+// watchedObject is an HTTP handler that serves watches of one object, like the
+// platform's store.
+type watchedObject struct {
+	mu          sync.Mutex // guards the fields below
+	version     uint64
+	changed     chan struct{}
+	unavailable bool
+	requests    []time.Time
 }
 
-func newObject() *object { return &object{version: 1} }
+func newWatchedObject() *watchedObject { return &watchedObject{version: 1} }
 
-func (o *object) set(f func()) {
+func (o *watchedObject) set(f func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f()
@@ -175,30 +177,31 @@
 	o.changed = nil
 }
 
-// state returns what a watch needs. The channel is made here, so that it belongs
-// to the bubble.
-func (o *object) state() (version uint64, changed chan struct{}, refuse bool) {
+// state returns the current state and a channel that is closed at the next
+// change. It creates the channel, so that the channel belongs to the synctest
+// bubble.
+func (o *watchedObject) state() (version uint64, changed chan struct{}, unavailable bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.changed == nil {
 		o.changed = make(chan struct{})
 	}
-	return o.version, o.changed, o.refuse
+	return o.version, o.changed, o.unavailable
 }
 
-func (o *object) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *watchedObject) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var after uint64
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	o.mu.Lock()
-	o.arrived = append(o.arrived, time.Now())
+	o.requests = append(o.requests, time.Now())
 	o.mu.Unlock()
 	for {
-		version, changed, refuse := o.state()
+		version, changed, unavailable := o.state()
 		switch {
-		case refuse:
+		case unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case version > after:
@@ -216,12 +219,12 @@
 	}
 }
 
-// Guards against changes that a watcher misses or sees twice, against a
-// confirmation that is dated too late, and against a watcher that stops after an
+// Guards against changes that Follow misses or reports twice, against
+// confirmations with too late a time, and against Follow giving up after an
 // outage.
 func TestFollow(t *testing.T) {
 	const wait = 2 * time.Second
-	o := newObject()
+	o := newWatchedObject()
 	run(t, o.ServeHTTP, func(t *testing.T, x *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		start := time.Now()
@@ -236,11 +239,11 @@
 		time.Sleep(3 * time.Second)
 		o.set(func() { o.version = 2 })
 		time.Sleep(time.Second)
-		o.set(func() { o.refuse = true })
+		o.set(func() { o.unavailable = true })
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		failed := len(events)
-		o.set(func() { o.refuse, o.version = false, 3 })
+		o.set(func() { o.unavailable, o.version = false, 3 })
 		time.Sleep(BackoffMax)
 		cancel()
 		<-done
@@ -259,11 +262,11 @@
 	})
 }
 
-// Guards against a watcher that calls without a pause when the store answers
-// early or has no such object.
+// Guards against a busy loop in Follow if the store responds early or the object
+// does not exist.
 func TestFollowDoesNotSpin(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"missing": respond(404, ``), "unchanged": respond(304, ``), "old version": respond(200, `{"version":1}`),
+		"missing": respondWith(404, ``), "unchanged": respondWith(304, ``), "old version": respondWith(200, `{"version":1}`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, handler, func(t *testing.T, x *fixture) {
@@ -278,15 +281,15 @@
 	}
 }
 
-// Guards against a store that is called by all watchers at once when it returns
+// Guards against all watchers calling the store at once after it has recovered
 // from an outage.
-func TestReturnOfStoreIsSpread(t *testing.T) {
+func TestCallsSpreadAfterOutage(t *testing.T) {
 	const (
 		watchers = 200
 		window   = 100 * time.Millisecond
 	)
-	o := newObject()
-	o.refuse = true
+	o := newWatchedObject()
+	o.unavailable = true
 	run(t, o.ServeHTTP, func(t *testing.T, x *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
@@ -298,26 +301,26 @@
 			})
 		}
 		time.Sleep(time.Minute)
-		o.set(func() { o.refuse, o.arrived = false, nil })
+		o.set(func() { o.unavailable, o.requests = false, nil })
 		time.Sleep(BackoffMax)
 		o.mu.Lock()
-		arrived := o.arrived
+		requests := o.requests
 		o.mu.Unlock()
 		cancel()
 		all.Wait()
-		most := 0
-		for i := range arrived {
+		maxInWindow := 0
+		for i := range requests {
 			n := 0
-			for _, other := range arrived[i:] {
-				if other.Sub(arrived[i]) < window {
+			for _, other := range requests[i:] {
+				if other.Sub(requests[i]) < window {
 					n++
 				}
 			}
-			most = max(most, n)
+			maxInWindow = max(maxInWindow, n)
 		}
-		t.Logf("%d of %d watchers came back within %v, at most %d within %v", len(arrived), watchers, BackoffMax, most, window)
-		if len(arrived) != watchers || most > watchers/10 {
-			t.Errorf("%d watchers came back, %d of them within %v", len(arrived), most, window)
+		t.Logf("%d of %d watchers came back within %v, at most %d within %v", len(requests), watchers, BackoffMax, maxInWindow, window)
+		if len(requests) != watchers || maxInWindow > watchers/10 {
+			t.Errorf("%d watchers came back, %d of them within %v", len(requests), maxInWindow, window)
 		}
 	})
 }
--- a/transport/store/watch.go
+++ b/transport/store/watch.go
@@ -10,94 +10,93 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/storeapi"
 )
 
-// ConfirmWait is the wait of a watch that also confirms the configuration. The
-// age of a confirmation reaches twice the wait before the next one arrives, and
-// has to stay well below the 5 s that customers' cut-off limits start at.
+// ConfirmWait is the wait of a watch that also confirms that the configuration
+// is current. A confirmation can be twice as old as the wait before the next one
+// arrives; that must stay well below 5 s, the shortest cut-off limit of a customer.
 const ConfirmWait = time.Second
 
-// Change is the answer to a watch.
-type Change struct {
-	Changed bool            // the object has a version above the one asked about
+// WatchResult is the result of a watch.
+type WatchResult struct {
+	Changed bool            // the object has a newer version than the one given
 	Found   bool            // the object exists
 	Object  storeapi.Object // set if Changed
 }
 
-// Watch waits until the object has a version above after, at most for wait,
-// which is bounded by storeapi.MaxWait.
-func (c *Client) Watch(ctx context.Context, name string, after uint64, wait time.Duration) (Change, error) {
+// Watch waits until the version of the object is greater than after, but no
+// longer than the smaller of wait and storeapi.MaxWait.
+func (c *Client) Watch(ctx context.Context, name string, after uint64, wait time.Duration) (WatchResult, error) {
 	wait = min(wait, storeapi.MaxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
 	status, body, err := c.get(ctx, Watch, objectPath(name)+"?"+query.Encode())
 	if err != nil {
-		return Change{}, err
+		return WatchResult{}, err
 	}
 	switch status {
 	case http.StatusOK:
 		object, err := decodeObject(body)
 		if err != nil {
-			return Change{}, err
+			return WatchResult{}, err
 		}
 		if object.Version <= after {
-			return Change{Found: true}, nil
+			return WatchResult{Found: true}, nil
 		}
-		return Change{Changed: true, Found: true, Object: object}, nil
+		return WatchResult{Changed: true, Found: true, Object: object}, nil
 	case http.StatusNotModified:
-		return Change{Found: true}, nil
+		return WatchResult{Found: true}, nil
 	case http.StatusNotFound:
-		return Change{}, nil
+		return WatchResult{}, nil
 	default:
-		return Change{}, unexpected(status, body)
+		return WatchResult{}, unexpectedStatus(status, body)
 	}
 }
 
-// Event is what a watcher learned by one call.
+// Event is the result of one call made by Follow.
 type Event struct {
-	Change
-	// SentAt is when the call was sent. If Err is nil, the object was current then
-	// or later.
+	WatchResult
+	// SentAt is when the call was sent. If Err is nil, the object was current at
+	// that time or later.
 	SentAt time.Time
-	Err    error // why the store could not be reached; nil if it answered
+	Err    error // nil if the store responded
 }
 
-// Follow watches an object until ctx is done and calls report with what came of
-// each call; the next call is sent when report returns.
-// wait is the longest time between two reports while the store answers, so it
-// bounds the age of the confirmation that nothing changed.
+// Follow watches an object until ctx is done. It calls report with the result of
+// each call and sends the next call after report has returned. While the store
+// responds, wait bounds the time between two reports and therefore the age of
+// the confirmation that nothing changed.
 //
-// After a failure it waits before the next call, longer with each failure and
-// by a random part, so that a store which returns from an outage is not called
-// by all watchers at once.
+// After a failure it waits with exponential backoff and jitter, so that not all
+// watchers call a store at once that has recovered from an outage.
 func (c *Client) Follow(ctx context.Context, name string, after uint64, wait time.Duration, report func(Event)) {
 	backoff := NewBackoff(c.random)
 	failures := 0
 	for ctx.Err() == nil {
-		sent := time.Now()
-		change, err := c.Watch(ctx, name, after, wait)
+		sentAt := time.Now()
+		result, err := c.Watch(ctx, name, after, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		c.logTransition(failures, err)
-		report(Event{Change: change, SentAt: sent, Err: err})
-		pause := time.Duration(0)
+		c.logAvailability(failures, err)
+		report(Event{WatchResult: result, SentAt: sentAt, Err: err})
+		delay := time.Duration(0)
 		switch {
 		case err != nil:
 			failures++
-			pause = backoff.Delay(failures)
-		case change.Changed:
-			failures, after = 0, change.Object.Version
+			delay = backoff.Delay(failures)
+		case result.Changed:
+			failures, after = 0, result.Object.Version
 		default:
 			failures = 0
-			pause = wait - time.Since(sent) // a store that answers early must not be called without a pause
+			delay = wait - time.Since(sentAt) // avoids a busy loop if the store responds early
 		}
-		sleep(ctx, pause)
+		sleep(ctx, delay)
 	}
 }
 
-// logTransition logs the first failure after a success and the first success
+// logAvailability logs the first failure after a success and the first success
 // after a failure.
-func (c *Client) logTransition(failures int, err error) {
+func (c *Client) logAvailability(failures int, err error) {
 	switch {
 	case err != nil && failures == 0:
 		c.log.WithError(err).Warn("store: the store does not answer")
@@ -106,7 +105,7 @@
 	}
 }
 
-// sleep waits for the duration or until ctx is done.
+// sleep blocks for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
