--- a/transport/peer/meter.go
+++ b/transport/peer/meter.go
@@ -9,8 +9,7 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/peerapi"
 )
 
-// direction is the value of the tag that tells what was sent from what was
-// received.
+// direction is the value of the metrics tag "direction".
 type direction string
 
 const (
@@ -18,16 +17,17 @@
 	received direction = "received"
 )
 
-// otherSection counts the sections that this version does not know.
-const otherSection = "other"
+// unknownSection is the tag under which sections are counted that this version
+// does not know.
+const unknownSection = "other"
 
-// meter counts messages and bytes. The counters are made in advance, because
-// looking one up by its tags allocates.
+// meter counts messages and bytes. The counters are created in advance, because
+// looking one up by its tags allocates memory.
 type meter struct {
 	wire     map[direction]tally.Counter            // bytes on the connections, HTTP included
-	messages map[direction]tally.Counter            // requests and answers
-	sections map[direction]map[string]tally.Counter // bytes of the bodies
-	refused  map[refusal]tally.Counter
+	messages map[direction]tally.Counter            // requests and responses
+	sections map[direction]map[string]tally.Counter // bytes of the bodies, by section
+	refused  map[refusalReason]tally.Counter
 }
 
 func newMeter(scope tally.Scope) *meter {
@@ -35,30 +35,30 @@
 		wire:     make(map[direction]tally.Counter),
 		messages: make(map[direction]tally.Counter),
 		sections: make(map[direction]map[string]tally.Counter),
-		refused:  make(map[refusal]tally.Counter),
+		refused:  make(map[refusalReason]tally.Counter),
 	}
 	for _, d := range []direction{sent, received} {
 		tagged := scope.Tagged(map[string]string{"direction": string(d)})
 		m.wire[d] = tagged.Counter("wire_bytes")
 		m.messages[d] = tagged.Counter("messages")
 		m.sections[d] = make(map[string]tally.Counter)
-		for _, name := range append([]string{otherSection}, peerapi.Sections...) {
+		for _, name := range append([]string{unknownSection}, peerapi.Sections...) {
 			m.sections[d][name] = tagged.Tagged(map[string]string{"section": name}).Counter("section_bytes")
 		}
 	}
-	for _, r := range refusals {
+	for _, r := range refusalReasons {
 		m.refused[r] = scope.Tagged(map[string]string{"reason": string(r)}).Counter("refused")
 	}
 	return m
 }
 
-// message counts a body by section.
-func (m *meter) message(d direction, body []byte) {
+// countMessage counts a message and the bytes of its body by section.
+func (m *meter) countMessage(d direction, body []byte) {
 	m.messages[d].Inc(1)
 	for name, size := range peerapi.SectionSizes(body) {
 		counter := m.sections[d][name]
 		if counter == nil {
-			counter = m.sections[d][otherSection]
+			counter = m.sections[d][unknownSection]
 		}
 		counter.Inc(int64(size))
 	}
@@ -91,12 +91,13 @@
 	return c.Conn.Close()
 }
 
-// maxConnections bounds the connections that a server holds open: one from each
-// of 490 VMs, with room for reconnecting ones.
+// maxConnections bounds the open connections of a server: one from each of 490
+// VMs, and a reserve for VMs that reconnect.
 const maxConnections = 1024
 
-// boundedListener counts the bytes of its connections and closes those beyond
-// maxConnections at once, so that a stranger cannot exhaust this VM's memory.
+// boundedListener counts the bytes of its connections. It closes connections
+// beyond maxConnections at once, so that unauthenticated clients cannot exhaust
+// this VM's memory.
 type boundedListener struct {
 	net.Listener
 	meter *meter
@@ -110,15 +111,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter() {
-			return &meteredConn{Conn: c, meter: l.meter, onClose: l.leave}, nil
+		if l.acquire() {
+			return &meteredConn{Conn: c, meter: l.meter, onClose: l.release}, nil
 		}
 		l.meter.refused[refusedConnection].Inc(1)
 		_ = c.Close()
 	}
 }
 
-func (l *boundedListener) enter() bool {
+func (l *boundedListener) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= maxConnections {
@@ -128,7 +129,7 @@
 	return true
 }
 
-func (l *boundedListener) leave() {
+func (l *boundedListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -21,19 +21,19 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/peerapi"
 )
 
-// pipes is a network of one listener over net.Pipe.
-type pipes struct {
+// pipeNet is an in-memory network with a single listener, over net.Pipe.
+type pipeNet struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})} }
+func newPipes() *pipeNet { return &pipeNet{conns: make(chan net.Conn), closed: make(chan struct{})} }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return p, nil }
-func (p *pipes) Addr() net.Addr                      { return &net.TCPAddr{} }
+func (p *pipeNet) Listen(string) (net.Listener, error) { return p, nil }
+func (p *pipeNet) Addr() net.Addr                      { return &net.TCPAddr{} }
 
-func (p *pipes) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (p *pipeNet) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
 	case p.conns <- far:
@@ -45,7 +45,7 @@
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNet) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -54,12 +54,12 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeNet) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
-// handler counts the messages that reach it.
+// handler counts the messages that it handles.
 type handler struct{ handled int }
 
 func (h *handler) Exchange(context.Context, *peerapi.Exchange) (*peerapi.ExchangeAnswer, error) {
@@ -98,16 +98,16 @@
 
 var b = Target{Name: "b", Address: "b:1"}
 
-// deadline is the time that a call may take.
+// deadline returns a context for a call that may take a second.
 func deadline(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Guards against a message that is lost or counted wrongly on the way, a
-// failing handler that looks like success, and goroutines that outlive Close
-// (the bubble of synctest fails if one does).
+// Guards against messages that are lost or counted wrongly, handler errors that
+// are reported as success, and goroutines that outlive Close (the synctest bubble
+// fails if one does).
 func TestMessagesArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &handler{}
@@ -136,36 +136,36 @@
 	})
 }
 
-// Guards against messages from strangers, messages meant for another VM or
-// another purpose, and messages recorded by an eavesdropper.
+// Guards against accepting messages from senders without the secret, messages
+// meant for another VM or path, and replayed messages.
 func TestRefusedMessages(t *testing.T) {
 	type attempt struct {
 		path, receiver, secret string
-		at                     time.Duration // stamp, relative to now
+		offset                 time.Duration // of the timestamp, relative to now
 		sequence               uint64
-		up                     time.Duration // time since the server started; a minute if zero
-		change                 func(r *http.Request)
+		uptime                 time.Duration // time since the server started; a minute if zero
+		modify                 func(r *http.Request)
 	}
 	tests := []struct {
 		name    string
 		attempt attempt
-		reason  refusal
+		reason  refusalReason
 	}{
-		{"wrong secret", attempt{secret: "guess"}, refusedCode},
-		{"meant for another VM", attempt{receiver: "c"}, refusedCode},
-		{"meant for another path", attempt{path: peerapi.PathCancel}, refusedCode},
-		{"changed body", attempt{change: func(r *http.Request) {
+		{"wrong secret", attempt{secret: "guess"}, refusedMAC},
+		{"meant for another VM", attempt{receiver: "c"}, refusedMAC},
+		{"meant for another path", attempt{path: peerapi.PathCancel}, refusedMAC},
+		{"modified body", attempt{modify: func(r *http.Request) {
 			r.Body = io.NopCloser(strings.NewReader(`{"sender":{"name":"x"}}`))
 			r.ContentLength = -1
-		}}, refusedCode},
-		{"no code", attempt{change: func(r *http.Request) { r.Header.Del(macHeader) }}, refusedCode},
-		{"old", attempt{at: -timestampWindow - time.Millisecond}, refusedTimestamp},
-		{"from the future", attempt{at: timestampWindow + time.Millisecond}, refusedTimestamp},
-		{"sent to an earlier process", attempt{at: -time.Second - time.Millisecond, up: time.Second}, refusedTimestamp},
+		}}, refusedMAC},
+		{"no MAC", attempt{modify: func(r *http.Request) { r.Header.Del(macHeader) }}, refusedMAC},
+		{"old", attempt{offset: -timestampWindow - time.Millisecond}, refusedTimestamp},
+		{"from the future", attempt{offset: timestampWindow + time.Millisecond}, refusedTimestamp},
+		{"sent to an earlier process", attempt{offset: -time.Second - time.Millisecond, uptime: time.Second}, refusedTimestamp},
 		{"replayed", attempt{sequence: 2000}, refusedReplay},
 		{"older than the window of sequence numbers", attempt{sequence: 2000 - sequenceWindow}, refusedReplay},
-		{"too long", attempt{change: func(r *http.Request) {
-			r.Body = io.NopCloser(bytes.NewReader(make([]byte, maxPlainBody+1)))
+		{"too long", attempt{modify: func(r *http.Request) {
+			r.Body = io.NopCloser(bytes.NewReader(make([]byte, maxMessageBody+1)))
 			r.ContentLength = -1
 		}}, refusedBody},
 	}
@@ -175,20 +175,20 @@
 				h := &handler{}
 				client, scope := start(t, h)
 				a := tt.attempt
-				time.Sleep(cmp.Or(a.up, time.Minute))
+				time.Sleep(cmp.Or(a.uptime, time.Minute))
 				if _, err := client.Exchange(deadline(t), b, message(2000)); err != nil {
 					t.Fatal(err)
 				}
 				body, _ := json.Marshal(message(cmp.Or(a.sequence, 2001)))
-				stamp := time.Now().Add(a.at).UnixMilli()
+				timestamp := time.Now().Add(a.offset).UnixMilli()
 				mac := signer{secret: []byte(cmp.Or(a.secret, "secret"))}.
-					request(cmp.Or(a.path, peerapi.PathExchange), cmp.Or(a.receiver, "b"), stamp, body)
-				r, err := client.request(deadline(t), b, peerapi.PathExchange, body, formatStamp(stamp, mac))
+					requestMAC(cmp.Or(a.path, peerapi.PathExchange), cmp.Or(a.receiver, "b"), timestamp, body)
+				r, err := client.newRequest(deadline(t), b, peerapi.PathExchange, body, formatAuthHeader(timestamp, mac))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if a.change != nil {
-					a.change(r)
+				if a.modify != nil {
+					a.modify(r)
 				}
 				response, err := client.http.Do(r)
 				if err != nil {
@@ -207,33 +207,33 @@
 	}
 }
 
-// Guards against an answer that was recorded earlier or comes from another VM
-// being taken for the answer to this request.
-func TestAnswerBelongsToRequest(t *testing.T) {
+// Guards against accepting a replayed response, or one from another VM, as the
+// response to this request.
+func TestResponseBelongsToRequest(t *testing.T) {
 	client := NewClient(Options{Name: "a", Secret: []byte("secret"), Network: newPipes()})
 	body := []byte(`{}`)
-	first := client.signer.request(peerapi.PathExchange, "b", 1, body)
-	second := client.signer.request(peerapi.PathExchange, "b", 2, body)
-	response := &http.Response{Header: http.Header{macHeader: {formatMAC(client.signer.answer(first, "b", body))}}}
+	first := client.signer.requestMAC(peerapi.PathExchange, "b", 1, body)
+	second := client.signer.requestMAC(peerapi.PathExchange, "b", 2, body)
+	response := &http.Response{Header: http.Header{macHeader: {formatMAC(client.signer.responseMAC(first, "b", body))}}}
 	if err := client.verify(response, first, "b", body); err != nil {
 		t.Error(err)
 	}
 	if client.verify(response, second, "b", body) == nil {
-		t.Error("the answer to an earlier request was accepted")
+		t.Error("the response to an earlier request was accepted")
 	}
 	if client.verify(response, first, "c", body) == nil {
-		t.Error("the answer of another VM was accepted")
+		t.Error("the response of another VM was accepted")
 	}
 	if client.verify(response, first, "b", []byte(`{"x":1}`)) == nil {
-		t.Error("a changed answer was accepted")
+		t.Error("a modified response was accepted")
 	}
 }
 
-// Guards against a number that is accepted twice, and against a number within
-// the window that is refused although it is new.
+// Guards against accepting a sequence number twice, and against refusing a new
+// one that is within the window.
 func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w window
+		var w replayWindow
 		used := make(map[uint64]bool)
 		var highest uint64
 		for _, s := range rapid.SliceOf(rapid.Uint64Range(1, 4*sequenceWindow)).Draw(t, "sequences") {
--- a/transport/peer/refusal.go
+++ b/transport/peer/refusal.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// refusal says why a message was refused. The value is a metrics tag.
-type refusal string
+// refusalReason is the reason for refusing a message. The value is a metrics tag
+// and is sent to the client.
+type refusalReason string
 
-// Refusals.
+// Reasons for refusing a message.
 const (
-	refusedBody       refusal = "body"       // too long, or not a message
-	refusedCode       refusal = "code"       // forged, changed, or meant for another VM
-	refusedTimestamp  refusal = "timestamp"  // too old, or from a clock that is wrong
-	refusedReplay     refusal = "replay"     // received before
-	refusedAnswer     refusal = "answer"     // an answer with a wrong code
-	refusedConnection refusal = "connection" // too many connections
-	refusedPush       refusal = "push"       // too many configurations at once
+	refusedBody       refusalReason = "body"       // too large or malformed
+	refusedMAC        refusalReason = "code"       // the MAC does not match: forged, modified, or meant for another VM
+	refusedTimestamp  refusalReason = "timestamp"  // too old, or the sender's clock is wrong
+	refusedReplay     refusalReason = "replay"     // already received
+	refusedResponse   refusalReason = "answer"     // the MAC of a response does not match
+	refusedConnection refusalReason = "connection" // too many connections
+	refusedPush       refusalReason = "push"       // too many concurrent configuration pushes
 )
 
-var refusals = []refusal{
-	refusedBody, refusedCode, refusedTimestamp, refusedReplay, refusedAnswer, refusedConnection, refusedPush,
+var refusalReasons = []refusalReason{
+	refusedBody, refusedMAC, refusedTimestamp, refusedReplay, refusedResponse, refusedConnection, refusedPush,
 }
 
-// warningInterval bounds the log lines that strangers can cause.
+// warningInterval limits the log lines that unauthenticated clients can cause.
 const warningInterval = 10 * time.Second
 
-// refuse answers a request that is not handled.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, reason refusal) {
+// refuse responds with an error to a request that is not handled.
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, reason refusalReason) {
 	s.meter.refused[reason].Inc(1)
-	if s.warnings.allow(s.options.Now()) {
+	if s.warningLimiter.allow(s.options.Now()) {
 		s.options.Logger.WithField("from", r.RemoteAddr).WithField("reason", string(reason)).Warn("peer: message refused")
 	}
 	status := http.StatusUnauthorized
@@ -43,13 +44,13 @@
 	http.Error(w, string(reason), status)
 }
 
-// throttle allows one event in each interval.
-type throttle struct {
+// rateLimiter allows one event per warningInterval.
+type rateLimiter struct {
 	mu   sync.Mutex // guards next
 	next time.Time
 }
 
-func (t *throttle) allow(now time.Time) bool {
+func (t *rateLimiter) allow(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Before(t.next) {
--- a/transport/peer/replay.go
+++ b/transport/peer/replay.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// timestampWindow is the greatest difference between the clocks of two VMs plus
-// the time that a message may be on its way.
+// timestampWindow is the maximum clock skew between two VMs plus the maximum
+// network delay of a message.
 const timestampWindow = 30 * time.Second
 
-// sequenceWindow is the number of sequence numbers below the highest one that
-// are still accepted, since messages sent at the same time overtake each other.
-// A relay that pushes a configuration uses about 50 numbers at once.
+// sequenceWindow is how far a sequence number may be below the highest one
+// received, since concurrent messages can arrive out of order. A relay that
+// pushes a configuration uses about 50 numbers at once.
 const sequenceWindow = 1024
 
-// process is one incarnation of a VM.
-type process struct {
+// processID identifies one incarnation of a VM.
+type processID struct {
 	name        string
 	incarnation uint64
 }
 
-// replayGuard remembers which messages were received.
+// replayGuard detects replayed messages by their sequence numbers.
 type replayGuard struct {
 	mu        sync.Mutex // guards the fields below
-	windows   map[process]*window
+	windows   map[processID]*replayWindow
 	nextPurge time.Time
 }
 
-func newReplayGuard() *replayGuard { return &replayGuard{windows: make(map[process]*window)} }
+func newReplayGuard() *replayGuard { return &replayGuard{windows: make(map[processID]*replayWindow)} }
 
-// accept reports whether the message is new, and remembers it. A process that
-// was not heard for so long that the timestamps of its messages have expired is
-// forgotten.
-func (g *replayGuard) accept(p process, sequence uint64, now time.Time) bool {
+// accept reports whether the message is new and records it. Processes are removed
+// once the timestamps of all their messages have expired.
+func (g *replayGuard) accept(p processID, sequence uint64, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.purge(now)
 	w := g.windows[p]
 	if w == nil {
-		w = &window{}
+		w = &replayWindow{}
 		g.windows[p] = w
 	}
-	w.used = now
+	w.lastUsed = now
 	return w.accept(sequence)
 }
 
-// purge drops windows after twice the timestamp window: a message may be
-// stamped one window ahead of this VM's clock, and is refused one window after
-// its stamp.
+// purge removes the windows of processes that sent nothing for twice the
+// timestamp window: a timestamp may be one window ahead of this VM's clock, and
+// the message is refused one window after its timestamp.
 func (g *replayGuard) purge(now time.Time) {
 	if now.Before(g.nextPurge) {
 		return
 	}
 	g.nextPurge = now.Add(timestampWindow)
 	for p, w := range g.windows {
-		if now.Sub(w.used) > 2*timestampWindow {
+		if now.Sub(w.lastUsed) > 2*timestampWindow {
 			delete(g.windows, p)
 		}
 	}
 }
 
-// window is the highest sequence number received and a bit for each of the
+// replayWindow holds the highest sequence number received and a bitmap of the
 // numbers before it.
-type window struct {
-	highest uint64
-	seen    [sequenceWindow / 64]uint64
-	used    time.Time
+type replayWindow struct {
+	highest  uint64
+	seen     [sequenceWindow / 64]uint64
+	lastUsed time.Time
 }
 
-func (w *window) accept(sequence uint64) bool {
+func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence > w.highest {
 		w.advance(sequence)
 		return true
@@ -80,7 +79,7 @@
 	return true
 }
 
-func (w *window) advance(sequence uint64) {
+func (w *replayWindow) advance(sequence uint64) {
 	if sequence-w.highest >= sequenceWindow {
 		clear(w.seen[:])
 	} else {
@@ -92,6 +91,6 @@
 	w.set(sequence)
 }
 
-func (w *window) test(s uint64) bool { return w.seen[s%sequenceWindow/64]&(1<<(s%64)) != 0 }
-func (w *window) set(s uint64)       { w.seen[s%sequenceWindow/64] |= 1 << (s % 64) }
-func (w *window) reset(s uint64)     { w.seen[s%sequenceWindow/64] &^= 1 << (s % 64) }
+func (w *replayWindow) test(s uint64) bool { return w.seen[s%sequenceWindow/64]&(1<<(s%64)) != 0 }
+func (w *replayWindow) set(s uint64)       { w.seen[s%sequenceWindow/64] |= 1 << (s % 64) }
+func (w *replayWindow) reset(s uint64)     { w.seen[s%sequenceWindow/64] &^= 1 << (s % 64) }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -23,26 +23,26 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// Limits of bodies in bytes and of times on the server's side.
+// Limits of the server. Sizes are in bytes.
 const (
-	maxPlainBody    = 128 << 10
-	maxSnapshotBody = 2 << 20 // the store's largest value of 1 MiB, were it not compressible, in base64
-	// maxPushes bounds the memory that unauthenticated pushes can take. A relay
-	// sends one at a time, and a VM has two.
+	maxMessageBody  = 128 << 10
+	maxSnapshotBody = 2 << 20 // the store's largest value of 1 MiB, incompressible and in base64
+	// maxPushes limits the memory that unauthenticated pushes can use. A VM has
+	// two relays, and a relay sends it one push at a time.
 	maxPushes = 4
 
 	readTimeout   = 10 * time.Second
 	handleTimeout = 5 * time.Second
 	writeTimeout  = readTimeout + handleTimeout + 5*time.Second
-	// serverIdleTimeout is longer than the client's, so that the client does
-	// not send on a connection that is being closed.
+	// serverIdleTimeout exceeds the client's idleTimeout, so that the client
+	// does not send on a connection that the server is closing.
 	serverIdleTimeout = idleTimeout + 30*time.Second
 	closeTimeout      = time.Second
 	maxHeaderBytes    = 4 << 10
 )
 
-// Options are the options of a client or a server. Handler is for servers only.
-// Logger, Scope, Tracer and Now have defaults.
+// Options configure a client or a server. Handler is for servers only. Logger,
+// Scope, Tracer and Now have defaults.
 type Options struct {
 	Name    string // of this VM
 	Secret  []byte // shared by the fleet
@@ -70,8 +70,8 @@
 	return o
 }
 
-// Handler handles authenticated messages. An error is answered with status 503
-// and tells the sender nothing else.
+// Handler handles authenticated messages. If it returns an error, the response
+// has status 503 and does not contain the error.
 type Handler interface {
 	Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeAnswer, error)
 	Config(ctx context.Context, m *peerapi.ConfigPush) error
@@ -80,34 +80,35 @@
 
 // Server receives messages from other VMs.
 type Server struct {
-	options  Options
-	signer   signer
-	meter    *meter
-	replay   *replayGuard
-	pushes   chan struct{} // holds an element for each push that is being received
-	warnings throttle
-	started  time.Time
-	listener net.Listener
-	http     *http.Server
+	options        Options
+	signer         signer
+	meter          *meter
+	replay         *replayGuard
+	pushSlots      chan struct{} // semaphore with one element for each push being received
+	warningLimiter rateLimiter
+	started        time.Time
+	listener       net.Listener
+	http           *http.Server
 }
 
-// NewServer listens on the address. Serve answers requests.
+// NewServer returns a server that listens on the address. Call Serve to handle
+// requests.
 func NewServer(o Options, address string) (*Server, error) {
 	o = o.withDefaults()
 	if len(o.Secret) == 0 {
-		return nil, eris.New("peer server without a secret")
+		return nil, eris.New("peer server requires a secret")
 	}
 	l, err := o.Network.Listen(address)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
 	s := &Server{
-		options: o,
-		signer:  signer{secret: o.Secret},
-		meter:   newMeter(o.Scope),
-		replay:  newReplayGuard(),
-		pushes:  make(chan struct{}, maxPushes),
-		started: o.Now(),
+		options:   o,
+		signer:    signer{secret: o.Secret},
+		meter:     newMeter(o.Scope),
+		replay:    newReplayGuard(),
+		pushSlots: make(chan struct{}, maxPushes),
+		started:   o.Now(),
 	}
 	s.listener = &boundedListener{Listener: l, meter: s.meter}
 	s.http = &http.Server{
@@ -116,7 +117,7 @@
 		WriteTimeout:   writeTimeout,
 		IdleTimeout:    serverIdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog:       stdlog.New(io.Discard, "", 0), // failed connections are counted by the other side
+		ErrorLog:       stdlog.New(io.Discard, "", 0), // the client counts failed connections
 	}
 	return s, nil
 }
@@ -124,19 +125,19 @@
 func (s *Server) mux() *http.ServeMux {
 	h := s.options.Handler
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+peerapi.PathExchange, handle(s, peerapi.PathExchange, maxPlainBody,
+	mux.HandleFunc("POST "+peerapi.PathExchange, newHandlerFunc(s, peerapi.PathExchange, maxMessageBody,
 		func(m *peerapi.Exchange) peerapi.Sender { return m.Sender },
 		func(ctx context.Context, m *peerapi.Exchange) (any, error) { return h.Exchange(ctx, m) }))
-	mux.HandleFunc("POST "+peerapi.PathConfig, s.bounded(handle(s, peerapi.PathConfig, maxSnapshotBody,
+	mux.HandleFunc("POST "+peerapi.PathConfig, s.limitPushes(newHandlerFunc(s, peerapi.PathConfig, maxSnapshotBody,
 		func(m *peerapi.ConfigPush) peerapi.Sender { return m.Sender },
 		func(ctx context.Context, m *peerapi.ConfigPush) (any, error) { return struct{}{}, h.Config(ctx, m) })))
-	mux.HandleFunc("POST "+peerapi.PathCancel, handle(s, peerapi.PathCancel, maxPlainBody,
+	mux.HandleFunc("POST "+peerapi.PathCancel, newHandlerFunc(s, peerapi.PathCancel, maxMessageBody,
 		func(m *peerapi.Cancel) peerapi.Sender { return m.Sender },
 		func(ctx context.Context, m *peerapi.Cancel) (any, error) { return struct{}{}, h.Cancel(ctx, m) }))
 	return mux
 }
 
-// Serve answers requests until Close is called, and then returns nil.
+// Serve handles requests until Close is called, and then returns nil.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -145,24 +146,24 @@
 	return eris.Wrap(err, "serve peers")
 }
 
-// Close stops listening, waits a moment for requests that are being handled,
-// and closes all connections.
+// Close stops listening, waits up to closeTimeout for requests in progress, and
+// closes all connections.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
 	}
-	_ = s.listener.Close() // not known to the HTTP server if Serve was never called
+	_ = s.listener.Close() // the HTTP server does not close it if Serve was never called
 }
 
-// bounded refuses a push while too many others are being received. The exchange
-// delivers the configuration then.
-func (s *Server) bounded(next http.HandlerFunc) http.HandlerFunc {
+// limitPushes refuses a push while maxPushes others are being received. The
+// VM then receives the configuration through the regular exchange.
+func (s *Server) limitPushes(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.pushes <- struct{}{}:
-			defer func() { <-s.pushes }()
+		case s.pushSlots <- struct{}{}:
+			defer func() { <-s.pushSlots }()
 			next(w, r)
 		default:
 			s.refuse(w, r, refusedPush)
@@ -170,12 +171,13 @@
 	}
 }
 
-// handle returns the HTTP handler of one kind of message.
-func handle[M any](s *Server, path string, limit int64, sender func(*M) peerapi.Sender, f func(context.Context, *M) (any, error)) http.HandlerFunc {
+// newHandlerFunc returns the HTTP handler for one kind of message. It
+// authenticates and decodes the message, rejects replays, and calls f.
+func newHandlerFunc[M any](s *Server, path string, limit int64, sender func(*M) peerapi.Sender, f func(context.Context, *M) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, mac, refused := s.authenticate(w, r, path, limit)
-		if refused != "" {
-			s.refuse(w, r, refused)
+		body, mac, reason := s.authenticate(w, r, path, limit)
+		if reason != "" {
+			s.refuse(w, r, reason)
 			return
 		}
 		m := new(M)
@@ -184,24 +186,24 @@
 			return
 		}
 		from := sender(m)
-		if !s.replay.accept(process{from.Name, from.Incarnation}, from.Sequence, s.options.Now()) {
+		if !s.replay.accept(processID{from.Name, from.Incarnation}, from.Sequence, s.options.Now()) {
 			s.refuse(w, r, refusedReplay)
 			return
 		}
-		s.meter.message(received, body)
-		ctx, cancel := s.context(r, path)
+		s.meter.countMessage(received, body)
+		ctx, cancel := s.messageContext(r, path)
 		defer cancel()
-		answer, err := f(ctx, m)
+		result, err := f(ctx, m)
 		if err != nil {
 			http.Error(w, "not available", http.StatusServiceUnavailable)
 			return
 		}
-		s.answer(w, mac, answer)
+		s.respond(w, mac, result)
 	}
 }
 
-// context returns the context in which a message is handled, with its span.
-func (s *Server) context(r *http.Request, path string) (context.Context, context.CancelFunc) {
+// messageContext returns the context for handling a message, with a trace span.
+func (s *Server) messageContext(r *http.Request, path string) (context.Context, context.CancelFunc) {
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.options.Tracer.Start(ctx, "peer "+path, trace.WithSpanKind(trace.SpanKindServer))
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
@@ -211,19 +213,20 @@
 	}
 }
 
-// authenticate reads the body and checks the code and the timestamp. The code
-// comes first, so that a stranger learns nothing from the other checks.
-func (s *Server) authenticate(w http.ResponseWriter, r *http.Request, path string, limit int64) (body, mac []byte, _ refusal) {
+// authenticate reads the body and verifies the MAC and the timestamp. It verifies
+// the MAC first, so that unauthenticated clients learn nothing from the check of
+// the timestamp.
+func (s *Server) authenticate(w http.ResponseWriter, r *http.Request, path string, limit int64) (body, mac []byte, _ refusalReason) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
 		return nil, nil, refusedBody
 	}
-	timestamp, mac, err := parseStamp(r.Header.Get(macHeader))
+	timestamp, mac, err := parseAuthHeader(r.Header.Get(macHeader))
 	if err != nil {
-		return nil, nil, refusedCode
+		return nil, nil, refusedMAC
 	}
-	if !hmac.Equal(mac, s.signer.request(path, s.options.Name, timestamp, body)) {
-		return nil, nil, refusedCode
+	if !hmac.Equal(mac, s.signer.requestMAC(path, s.options.Name, timestamp, body)) {
+		return nil, nil, refusedMAC
 	}
 	if !withinWindow(timestamp, s.started, s.options.Now()) {
 		return nil, nil, refusedTimestamp
@@ -231,17 +234,17 @@
 	return body, mac, ""
 }
 
-func (s *Server) answer(w http.ResponseWriter, request []byte, answer any) {
-	body, err := json.Marshal(answer)
+func (s *Server) respond(w http.ResponseWriter, requestMAC []byte, result any) {
+	body, err := json.Marshal(result)
 	if err != nil {
-		s.options.Logger.WithError(err).Error("peer: answer cannot be encoded")
+		s.options.Logger.WithError(err).Error("peer: response cannot be encoded")
 		http.Error(w, "not available", http.StatusServiceUnavailable)
 		return
 	}
-	s.meter.message(sent, body)
+	s.meter.countMessage(sent, body)
 	h := w.Header()
-	h["Date"], h["Content-Type"] = nil, nil // leaves the headers out
-	h.Set(macHeader, formatMAC(s.signer.answer(request, s.options.Name, body)))
+	h["Date"], h["Content-Type"] = nil, nil // omits the headers
+	h.Set(macHeader, formatMAC(s.signer.responseMAC(requestMAC, s.options.Name, body)))
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // the client notices a connection that fails here
+	_, _ = w.Write(body) // the client detects the failed connection
 }
--- a/transport/peer/sign.go
+++ b/transport/peer/sign.go
@@ -1,5 +1,5 @@
-// Package peer carries the messages between VMs: an HTTP server and client
-// that authenticate each message with the fleet's secret.
+// Package peer transports messages between VMs over HTTP. Its client and server
+// authenticate each message with a MAC keyed with the fleet's shared secret.
 package peer
 
 import (
@@ -14,33 +14,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// macHeader carries "TIMESTAMP MAC" in a request, with the time in milliseconds
-// since 1970, and "MAC" in an answer. The name is short because it is sent 40
-// times a second.
+// macHeader is the header that authenticates a message: "TIMESTAMP MAC" in a
+// request, with the Unix time in milliseconds, and "MAC" in a response. The name
+// is short because a VM sends it 40 times a second.
 const macHeader = "Mac"
 
-// macSize is the length to which codes are cut. RFC 2104 allows half of the
-// hash; whole codes would take 1.3 KB a second more on a VM with many voters.
+// macSize is the length in bytes to which MACs are truncated. RFC 2104 allows
+// half of the hash; full MACs would add 1.3 KB a second on a VM with many voters.
 const macSize = sha256.Size / 2
 
-// signer computes the codes that authenticate messages.
+// signer computes the message authentication codes.
 type signer struct {
 	secret []byte
 }
 
-// request authenticates a request. The sender is named in the body.
-func (s signer) request(path, receiver string, timestamp int64, body []byte) []byte {
+// requestMAC returns the MAC of a request. The body names the sender.
+func (s signer) requestMAC(path, receiver string, timestamp int64, body []byte) []byte {
 	return s.mac([]byte("request"), []byte(path), []byte(receiver), strconv.AppendInt(nil, timestamp, 10), body)
 }
 
-// answer authenticates an answer. It covers the code of the request, so that
-// the answer to an earlier request is not accepted.
-func (s signer) answer(request []byte, sender string, body []byte) []byte {
-	return s.mac([]byte("answer"), request, []byte(sender), body)
+// responseMAC returns the MAC of a response. It covers the MAC of the request, so
+// that the response to an earlier request is not accepted.
+func (s signer) responseMAC(requestMAC []byte, sender string, body []byte) []byte {
+	return s.mac([]byte("answer"), requestMAC, []byte(sender), body)
 }
 
-// mac covers each part with its length, so that no two lists of parts have the
-// same code.
+// mac returns the MAC of the parts. Each part is preceded by its length, so that
+// different lists of parts do not have the same MAC.
 func (s signer) mac(parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, s.secret)
 	var length [8]byte
@@ -62,27 +62,27 @@
 	return mac, nil
 }
 
-func formatStamp(timestamp int64, mac []byte) string {
+func formatAuthHeader(timestamp int64, mac []byte) string {
 	return strconv.FormatInt(timestamp, 10) + " " + formatMAC(mac)
 }
 
-func parseStamp(text string) (timestamp int64, mac []byte, err error) {
-	stamp, code, _ := strings.Cut(text, " ")
-	timestamp, err = strconv.ParseInt(stamp, 10, 64)
+func parseAuthHeader(text string) (timestamp int64, mac []byte, err error) {
+	timestampText, macText, _ := strings.Cut(text, " ")
+	timestamp, err = strconv.ParseInt(timestampText, 10, 64)
 	if err != nil {
 		return 0, nil, eris.New("malformed timestamp")
 	}
-	mac, err = parseMAC(code)
+	mac, err = parseMAC(macText)
 	return timestamp, mac, err
 }
 
-// withinWindow reports whether a timestamp is acceptable now. A message from
-// before this process started is refused, because the process cannot know
-// whether an earlier one has received it already.
+// withinWindow reports whether a message with the timestamp is acceptable at the
+// time now. Messages from before this process started are refused, because an
+// earlier process of this VM may already have received them.
 func withinWindow(timestamp int64, started, now time.Time) bool {
-	sent := time.UnixMilli(timestamp)
-	if sent.Before(started.Truncate(time.Millisecond)) {
+	sentAt := time.UnixMilli(timestamp)
+	if sentAt.Before(started.Truncate(time.Millisecond)) {
 		return false
 	}
-	return now.Sub(sent).Abs() <= timestampWindow
+	return now.Sub(sentAt).Abs() <= timestampWindow
 }
