--- a/transport/exchange/config.go
+++ b/transport/exchange/config.go
@@ -14,81 +14,84 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// maxSnapshot is the largest encoded configuration in bytes. The store's
-// largest value is 1 MiB; the rest is room for another encoding.
-const maxSnapshot = 8 << 20
+// maxSnapshotBytes bounds the size of a decompressed snapshot. A value in the
+// store has at most 1 MiB; the rest allows for another encoding.
+const maxSnapshotBytes = 8 << 20
 
-// askInterval is the least time between two requests for a snapshot of which
-// the first brought none, because the other VM was still encoding it or this
-// one cannot decode it.
-const askInterval = 500 * time.Millisecond
+// snapshotRetryInterval is the minimum time between the end of a request for a
+// snapshot and the next request. A request may yield no usable snapshot, because
+// the other VM is still encoding it or this VM cannot decode it.
+const snapshotRetryInterval = 500 * time.Millisecond
 
-// askTimeout is the time after which another VM is asked as well.
-const askTimeout = time.Second
+// snapshotRequestTimeout is the time after which another VM may be asked while a
+// request for a snapshot is still pending.
+const snapshotRequestTimeout = time.Second
 
-// ConfigOptions are the options of the distribution of the configuration.
+// ConfigOptions configure the distribution of the configuration.
 type ConfigOptions struct {
-	// Encode and Decode translate snapshots.
+	// Encode and Decode convert between configurations and snapshots.
 	Encode func(*state.Config) ([]byte, error)
 	Decode func([]byte) (*state.Config, error)
 	// Store is watched while this VM is a relay. It may be nil.
 	Store ConfigStore
-	// DecodeStored translates the value of the store's object; Decode if nil.
+	// DecodeStored decodes the value of the store's object. The default is
+	// Decode.
 	DecodeStored func([]byte) (*state.Config, error)
 }
 
-// configPart distributes the configuration. Unless stated otherwise its fields
-// belong to the events of the exchange's queue.
+// configPart is the Part that distributes the configuration. Only events of the
+// exchange's queue may use its fields, unless stated otherwise.
 type configPart struct {
 	e       *Exchange
 	options ConfigOptions
 
-	snapshot  snapshot // of the configuration in force, if its ticket is the same
-	packing   bool     // a task is making the snapshot
-	wanted    string   // VM that is being asked for its snapshot; empty if none
-	wantedAt  time.Time
-	askAfter  time.Time
-	relay     bool
-	stopWatch func()         // stops the watch; nil while this VM is no relay
-	version   uint64         // of the store's object that was read last
-	stored    state.TicketID // ticket of that object
-	behind    bool           // its number was lower than the current one at the last answer
-	reachedAt time.Time      // when the store answered last
-	contact   contact
-	conflict  state.TicketID // ticket whose conflict with the current one was logged last
+	snapshot      snapshot // of the configuration in force if the tickets are equal
+	encoding      bool     // a task is encoding a snapshot
+	requestedFrom string   // VM with a pending request for its snapshot; empty if none
+	requestedAt   time.Time
+	nextRequestAt time.Time
+	isRelay       bool
+	stopWatch     func()         // stops the watch; nil while this VM is no relay
+	storedVersion uint64         // version of the store's object that was read last
+	storedTicket  state.TicketID // ticket of that object
+	storeBehind   bool           // storedTicket was older than the current one at the last response
+	reachedAt     time.Time      // time of the last response of the store
+	storeStatus   storeStatus
+	conflict      state.TicketID // conflicting ticket that was logged last
 }
 
-// snapshot is an encoded and compressed configuration.
+// snapshot is a configuration, encoded and compressed.
 type snapshot struct {
 	ticket state.TicketID
-	data   []byte // nil if it cannot be encoded
+	data   []byte // nil if the configuration cannot be encoded
 }
 
-// contact says how this VM stands to the store, for the log.
-type contact string
+// storeStatus describes for the log whether this VM receives confirmations of the
+// configuration from the store.
+type storeStatus string
 
 const (
-	inContact contact = "the configuration is confirmed by the store"
-	storeDown contact = "the store is down for all VMs"
-	cutOff    contact = "this VM is cut off from the store"
+	storeConfirmed storeStatus = "the configuration is confirmed by the store"
+	storeDown      storeStatus = "the store is down for all VMs"
+	cutOff         storeStatus = "this VM is cut off from the store"
 )
 
 func newConfigPart(e *Exchange, o ConfigOptions) *configPart {
 	if o.DecodeStored == nil {
 		o.DecodeStored = o.Decode
 	}
-	return &configPart{e: e, options: o, contact: inContact}
+	return &configPart{e: e, options: o, storeStatus: storeConfirmed}
 }
 
 // Fill implements Part.
 func (p *configPart) Fill(to string, m *peerapi.Exchange) {
 	m.Config = p.digest()
-	m.Want = p.wanted != "" && p.wanted == to
+	m.Want = p.requestedFrom != "" && p.requestedFrom == to
 }
 
 // Handle implements Part.
 func (p *configPart) Handle(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
-	current := p.compare(from.Name, m.Config)
+	current := p.compareTicket(from.Name, m.Config)
 	a.Config = p.digest()
 	if m.Want && m.Config.Number < current.Number && p.snapshot.ticket == current {
 		a.Config.Digest = current.Digest
@@ -98,8 +101,8 @@
 
 // HandleAnswer implements Part.
 func (p *configPart) HandleAnswer(from peerapi.Sender, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
-	p.asked(from.Name, m)
-	current := p.compare(from.Name, a.Config)
+	p.requestEnded(from.Name, m)
+	current := p.compareTicket(from.Name, a.Config)
 	age := time.Duration(a.Config.ConfirmedAge)
 	same := current.Number > 0 && a.Config.Number == current.Number && samePrefix(current.Digest, a.Config.Digest)
 	if at, valid := membership.Confirmation(same, age, sentAt); valid {
@@ -113,19 +116,20 @@
 	})
 }
 
-// asked notes that a message was answered, or was not. If it asked for a
-// snapshot, the next request may go out after a pause.
-func (p *configPart) asked(name string, m *peerapi.Exchange) {
-	if m.Want && p.wanted == name {
-		p.wanted = ""
-		p.askAfter = p.e.now().Add(askInterval)
+// requestEnded is called when an exchange with message m ended, with or without
+// a response. If m requested a snapshot, the next request may be sent after
+// snapshotRetryInterval.
+func (p *configPart) requestEnded(name string, m *peerapi.Exchange) {
+	if m.Want && p.requestedFrom == name {
+		p.requestedFrom = ""
+		p.nextRequestAt = p.e.now().Add(snapshotRetryInterval)
 	}
 }
 
-// digest describes the configuration in force.
+// digest returns the digest of the configuration in force.
 func (p *configPart) digest() peerapi.ConfigDigest {
 	e := p.e
-	c, fresh, applied, now := e.tables.Config.Current(), e.tables.Config.Freshness(), e.options.Applied(), e.now()
+	c, freshness, applied, now := e.tables.Config.Current(), e.tables.Config.Freshness(), e.options.Applied(), e.now()
 	if c == nil {
 		return peerapi.ConfigDigest{}
 	}
@@ -133,46 +137,49 @@
 		Number:       c.Ticket.Number,
 		Digest:       prefix(c.Ticket.Digest),
 		Applied:      applied,
-		StoreReached: fresh.StoreReached,
+		StoreReached: freshness.StoreReached,
 	}
-	if !fresh.ConfirmedAt.IsZero() {
-		d.ConfirmedAge = peerapi.AgeOf(access.Elapsed(fresh.ConfirmedAt, now))
+	if !freshness.ConfirmedAt.IsZero() {
+		d.ConfirmedAge = peerapi.AgeOf(access.Elapsed(freshness.ConfirmedAt, now))
 	}
 	e.tables.Members.With(func(ms *state.Members) {
-		d.StoreMissed = membership.Missed(c, ms, e.self, fresh, now)
+		d.StoreMissed = membership.Missed(c, ms, e.self, freshness, now)
 	})
 	return d
 }
 
-// compare asks a VM that has a higher ticket for its configuration, or notes a
-// conflict. It returns the current ticket.
-func (p *configPart) compare(name string, d peerapi.ConfigDigest) state.TicketID {
+// compareTicket compares another VM's ticket with the current one, which it
+// returns. It requests the configuration if the other ticket has a higher number,
+// and reports a conflict if it has the same number and another digest.
+func (p *configPart) compareTicket(name string, d peerapi.ConfigDigest) state.TicketID {
 	current := ticketOf(p.e.tables.Config.Current())
 	switch {
 	case d.Number > current.Number:
-		p.ask(name)
+		p.requestSnapshot(name)
 	case d.Number == current.Number && d.Digest != "" && !samePrefix(d.Digest, current.Digest):
 		p.reportConflict(state.TicketID{Number: d.Number, Digest: d.Digest}, current, name)
 	}
 	return current
 }
 
-// ask asks a VM for its snapshot. One VM is asked at a time, unless it takes
-// long.
-func (p *configPart) ask(name string) {
+// requestSnapshot requests a snapshot from a VM, unless another request has been
+// pending for less than snapshotRequestTimeout or snapshotRetryInterval has not
+// elapsed.
+func (p *configPart) requestSnapshot(name string) {
 	now := p.e.now()
-	waiting := p.wanted != "" && now.Sub(p.wantedAt) < askTimeout
-	if waiting || now.Before(p.askAfter) {
+	waiting := p.requestedFrom != "" && now.Sub(p.requestedAt) < snapshotRequestTimeout
+	if waiting || now.Before(p.nextRequestAt) {
 		return
 	}
-	p.wanted, p.wantedAt = name, now
+	p.requestedFrom, p.requestedAt = name, now
 	if !p.e.sendTo(name) {
-		p.wanted = ""
+		p.requestedFrom = ""
 	}
 }
 
-// reportConflict notes a ticket that should not exist beside the current one:
-// another one with the same number, or an older one in the store.
+// reportConflict counts and logs a ticket that must not exist alongside the
+// current one: one with the same number and another digest, or an older one in
+// the store. It logs each conflict once.
 func (p *configPart) reportConflict(other, current state.TicketID, source string) {
 	p.e.metrics.conflicts.Inc(1)
 	if p.conflict == other {
@@ -183,9 +190,9 @@
 		Errorf("peer: ticket conflicts with ticket %d (%s) in force", current.Number, current.Digest)
 }
 
-// accept puts a configuration in force if its number is higher than the current
-// one. The snapshot may be nil if it still has to be made.
-func (p *configPart) accept(c *state.Config, data []byte, source string) {
+// activate puts a configuration in force if its ticket has a higher number than
+// the current one. If data is nil, the snapshot is encoded afterwards.
+func (p *configPart) activate(c *state.Config, data []byte, source string) {
 	if !p.e.tables.Config.Advance(c) {
 		return
 	}
@@ -193,30 +200,30 @@
 	p.e.metrics.ticket.Update(float64(c.Ticket.Number))
 	p.e.logger.WithField("ticket", c.Ticket.Number).WithField("from", source).Info("peer: configuration in force")
 	if data == nil {
-		p.pack(c)
+		p.startEncoding(c)
 		return
 	}
 	p.publish(snapshot{ticket: c.Ticket, data: data})
 }
 
-// pack makes the snapshot of a configuration in a task, since encoding 1 MB
-// takes tens of milliseconds.
-func (p *configPart) pack(c *state.Config) {
-	if p.packing {
+// startEncoding encodes the snapshot of a configuration in a task, because
+// encoding 1 MB takes tens of milliseconds.
+func (p *configPart) startEncoding(c *state.Config) {
+	if p.encoding {
 		return
 	}
-	p.packing = p.e.tasks.start(func() {
-		data, err := p.encode(c)
-		p.e.queue.PostAlways(func() { p.packed(snapshot{ticket: c.Ticket, data: data}, err) })
+	p.encoding = p.e.tasks.start(func() {
+		data, err := p.marshalSnapshot(c)
+		p.e.queue.PostAlways(func() { p.finishEncoding(snapshot{ticket: c.Ticket, data: data}, err) })
 	})
 }
 
-func (p *configPart) packed(s snapshot, err error) {
-	p.packing = false
+func (p *configPart) finishEncoding(s snapshot, err error) {
+	p.encoding = false
 	c := p.e.tables.Config.Current()
 	switch {
 	case s.ticket != ticketOf(c):
-		p.pack(c) // another one was put in force meanwhile
+		p.startEncoding(c) // another configuration was put in force meanwhile
 	case err != nil:
 		p.e.logger.WithError(err).Error("peer: configuration cannot be encoded")
 		p.snapshot = snapshot{ticket: s.ticket}
@@ -225,15 +232,16 @@
 	}
 }
 
-// publish keeps a snapshot for VMs that ask for it, and sends it as a relay.
+// publish stores the snapshot for VMs that request it and, if this VM is a relay,
+// pushes it.
 func (p *configPart) publish(s snapshot) {
 	p.snapshot = s
-	if p.relay {
-		p.push()
+	if p.isRelay {
+		p.pushSnapshot()
 	}
 }
 
-func (p *configPart) encode(c *state.Config) ([]byte, error) {
+func (p *configPart) marshalSnapshot(c *state.Config) ([]byte, error) {
 	encoded, err := p.options.Encode(c)
 	if err != nil {
 		return nil, err
@@ -249,10 +257,10 @@
 	return b.Bytes(), nil
 }
 
-// unpack decodes a snapshot and verifies that it holds the announced ticket. It
-// may be called from any goroutine.
-func (p *configPart) unpack(d peerapi.ConfigDigest, data []byte) (*state.Config, error) {
-	c, err := p.decode(data)
+// decodeSnapshot decodes a snapshot and verifies that it has the announced
+// ticket. It may be called from any goroutine.
+func (p *configPart) decodeSnapshot(d peerapi.ConfigDigest, data []byte) (*state.Config, error) {
+	c, err := p.unmarshalSnapshot(data)
 	if err != nil {
 		p.e.metrics.refused.Inc(1)
 		return nil, err
@@ -265,17 +273,17 @@
 	return c, nil
 }
 
-func (p *configPart) decode(data []byte) (*state.Config, error) {
+func (p *configPart) unmarshalSnapshot(data []byte) (*state.Config, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, eris.Wrap(err, "decompress snapshot")
 	}
-	encoded, err := io.ReadAll(io.LimitReader(r, maxSnapshot+1))
+	encoded, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "decompress snapshot")
 	}
-	if len(encoded) > maxSnapshot {
-		return nil, eris.Errorf("snapshot exceeds %d bytes", maxSnapshot)
+	if len(encoded) > maxSnapshotBytes {
+		return nil, eris.Errorf("snapshot exceeds %d bytes", maxSnapshotBytes)
 	}
 	return p.options.Decode(encoded)
 }
--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange drives the exchange between VMs: it sends and answers the
-// regular messages, keeps the member table, and distributes the configuration.
-// Decisions run as events of one queue of the worker pool; messages are sent by
-// goroutines outside it.
+// Package exchange runs the gossip protocol between VMs. It sends and handles the
+// regular messages, maintains the member table, and distributes the
+// configuration. Decisions run as events of one queue of the worker pool;
+// goroutines outside of the pool send the messages.
 package exchange
 
 import (
@@ -24,41 +24,40 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// Limits of the driver.
+// Limits of the exchange.
 const (
-	queueLimit = 256 // events; about 10 s of ordinary messages
-	taskLimit  = 64  // exchanges, pushes and the watch, running at once
+	queueLimit = 256 // events; about 10 s of regular messages
+	taskLimit  = 64  // concurrent exchanges, pushes and the watch
 
 	// exchangeTimeout bounds an exchange without a snapshot. Latencies are a
-	// few milliseconds, and a lease needs several attempts within 3 s.
+	// few milliseconds, and a lease needs time for several attempts within 3 s.
 	exchangeTimeout = time.Second
 	snapshotTimeout = 5 * time.Second
 	cancelTimeout   = time.Second
 
-	// roundJitter keeps VMs that were started together from sending at the same
-	// moment for ever.
+	// roundJitter prevents VMs that started together from sending in step.
 	roundJitter = 50 * time.Millisecond
 )
 
-// Options are the options of an Exchange. Seeds, Parts, Applied, Cancel, Logger,
-// Scope, Tracer and Now may be left out.
+// Options configure an Exchange. Listen, Seeds, Parts, Applied, Cancel, Logger,
+// Scope, Tracer and Now are optional.
 type Options struct {
 	Pool    *pool.Pool
 	Tables  *state.Tables
 	Self    state.Self
-	Address string // peer interface as other VMs reach it, host:port
+	Address string // host:port under which other VMs reach this VM
 	Listen  string // address to listen on; Address if empty
 	Network network.Network
 	Secret  []byte // shared by the fleet
 	Seeds   []membership.Partner
 	// Voters returns the names of the VMs that vote on this VM's incarnation.
 	Voters func() []string
-	// Applied returns the highest ticket that is fully applied. Without it, a
-	// ticket counts as applied once it is in force.
+	// Applied returns the number of the highest ticket that is fully applied. If
+	// it is nil, a ticket counts as applied once it is in force.
 	Applied func() uint64
 	Parts   []Part
 	Config  ConfigOptions
-	// Cancel handles a client's cancel request that another VM passes on. It
+	// Cancel handles a client's cancel request that another VM has forwarded. It
 	// must not block.
 	Cancel func(session uint64, secret uint32)
 	Logger log.Interface
@@ -67,7 +66,7 @@
 	Now    func() time.Time
 }
 
-// Exchange is the driver. Create it with New.
+// Exchange runs the gossip protocol of one VM. Create it with New.
 type Exchange struct {
 	options Options
 	tables  *state.Tables
@@ -77,7 +76,7 @@
 	metrics *metrics
 	queue   *pool.Queue
 	client  *peer.Client
-	tasks   *tasks
+	tasks   *taskGroup
 	parts   []Part
 	config  *configPart
 
@@ -86,30 +85,30 @@
 	started      time.Time
 	roundPending atomic.Bool // a round event is queued
 
-	// The fields below belong to the events of the queue.
-	sequence    uint64
-	state       state.ServiceState
-	seeds       []membership.Partner
-	schedule    membership.Schedule
-	answers     membership.Selector // entries of answers
-	unlisted    membership.Selector // entries of requests
-	topics      membership.Topics
-	joining     bool            // this VM has not heard of every listed VM yet
-	inFlight    map[string]bool // partners that an exchange is running with
-	again       map[string]bool // partners to address again after that
-	replacedLog bool            // the replacement of this process was logged
+	// Only events of the queue may use the fields below.
+	sequence          uint64
+	state             state.ServiceState
+	seeds             []membership.Partner
+	schedule          membership.Schedule
+	responseEntries   membership.Selector // selects the member entries of responses
+	requestEntries    membership.Selector // selects the member entries of requests
+	topics            membership.Topics
+	joining           bool            // this VM has not heard of every listed VM yet
+	inFlight          map[string]bool // VMs with a running exchange
+	resend            map[string]bool // VMs to which to send again after the running exchange
+	replacementLogged bool            // the replacement of this incarnation was logged
 }
 
-// New returns an exchange that is not running.
+// New returns an exchange that is not yet running.
 func New(o Options) (*Exchange, error) {
 	if o.Pool == nil || o.Tables == nil || o.Network == nil || o.Voters == nil {
-		return nil, eris.New("exchange without pool, tables, network or voters")
+		return nil, eris.New("exchange requires a pool, tables, a network and voters")
 	}
 	if o.Self.Name == "" || o.Self.Incarnation == 0 || o.Address == "" || len(o.Secret) == 0 {
-		return nil, eris.New("exchange without name, incarnation, address or secret")
+		return nil, eris.New("exchange requires a name, an incarnation, an address and a secret")
 	}
 	if o.Config.Encode == nil || o.Config.Decode == nil {
-		return nil, eris.New("exchange without an encoding of the configuration")
+		return nil, eris.New("exchange requires functions to encode and decode the configuration")
 	}
 	o = o.withDefaults()
 	e := &Exchange{
@@ -121,12 +120,12 @@
 		logger:   o.Logger,
 		metrics:  newMetrics(o.Scope),
 		queue:    o.Pool.NewQueue(queueLimit),
-		tasks:    newTasks(taskLimit),
+		tasks:    newTaskGroup(taskLimit),
 		state:    state.InService,
 		joining:  true,
 		seeds:    o.Seeds,
 		inFlight: make(map[string]bool),
-		again:    make(map[string]bool),
+		resend:   make(map[string]bool),
 	}
 	e.running, e.stop = context.WithCancel(context.Background())
 	e.client = peer.NewClient(e.peerOptions())
@@ -182,7 +181,7 @@
 	defer context.AfterFunc(ctx, e.stop)()
 	g.Go(server.Serve)
 	g.Go(func() error {
-		e.rounds(ctx)
+		e.scheduleRounds(ctx)
 		server.Close()
 		return nil
 	})
@@ -196,9 +195,9 @@
 	e.client.Close()
 }
 
-// rounds queues a round at every interval. While one is still queued, for
-// instance after this process was paused, no other is added.
-func (e *Exchange) rounds(ctx context.Context) {
+// scheduleRounds queues a round at every interval. It queues no other while one
+// is pending, for instance after this process was suspended.
+func (e *Exchange) scheduleRounds(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -207,7 +206,7 @@
 			return
 		case <-timer.C:
 		}
-		if e.roundPending.CompareAndSwap(false, true) && !e.queue.Post(e.round) {
+		if e.roundPending.CompareAndSwap(false, true) && !e.queue.Post(e.runRound) {
 			e.roundPending.Store(false)
 			e.metrics.overload.Inc(1)
 		}
@@ -215,8 +214,8 @@
 	}
 }
 
-// Send exchanges messages with the named VMs soon, in addition to the regular
-// rounds. Parts call it when they have something urgent.
+// Send starts exchanges with the named VMs without waiting for the next regular
+// round. Parts call it when they have urgent data.
 func (e *Exchange) Send(names ...string) {
 	e.queue.Post(func() {
 		for _, name := range names {
@@ -225,18 +224,18 @@
 	})
 }
 
-// SetState announces the state of this process, such as leaving.
+// SetState sets the state that this VM announces, such as leaving.
 func (e *Exchange) SetState(s state.ServiceState) {
 	e.queue.PostAlways(func() { e.state = s })
 }
 
-// Hint replaces the VMs that the platform or the settings name.
+// Hint replaces the seeds, the VMs named by the platform or in the settings.
 func (e *Exchange) Hint(seeds []membership.Partner) {
 	e.queue.PostAlways(func() { e.seeds = seeds })
 }
 
-// SendCancel passes a client's cancel request on to the VM that holds its
-// session. It waits for the answer and must not be called by a worker.
+// SendCancel forwards a client's cancel request to the VM that holds its session.
+// It blocks until the response arrives and must not be called by a worker.
 func (e *Exchange) SendCancel(ctx context.Context, to string, session uint64, secret uint32) error {
 	type prepared struct {
 		target  peer.Target
@@ -245,7 +244,7 @@
 	ready := make(chan prepared, 1)
 	if !e.queue.Post(func() {
 		target, _ := e.target(to)
-		ready <- prepared{target, &peerapi.Cancel{Sender: e.stamp(), Session: session, Secret: secret}}
+		ready <- prepared{target, &peerapi.Cancel{Sender: e.nextSender(), Session: session, Secret: secret}}
 	}) {
 		return eris.New("exchange is overloaded or stopped")
 	}
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -14,18 +14,18 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Guards against data centres that do not learn of a ticket because only one of
-// them reaches the store.
+// Guards against data centres that do not receive a ticket if only one of them
+// reaches the store.
 func TestTicketSpreadsFromOneDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b", "c")
-		f.store.setReached(in("a"))
+		f.store.setReached(inDataCentres("a"))
 		f.startAll()
-		t.Logf("first ticket in force everywhere after %v", f.within(5*time.Second, "first ticket", f.newest))
+		t.Logf("first ticket in force everywhere after %v", f.within(5*time.Second, "first ticket", f.hasNewest))
 		for range 3 {
 			time.Sleep(3 * time.Second)
 			f.change(nil)
-			t.Logf("ticket in force everywhere after %v", f.within(5*time.Second, "ticket", f.newest))
+			t.Logf("ticket in force everywhere after %v", f.within(5*time.Second, "ticket", f.hasNewest))
 		}
 		f.within(5*time.Second, "applied everywhere", func(v *vm) bool {
 			return v.oldestApplied() == f.config.Ticket.Number
@@ -33,8 +33,8 @@
 	})
 }
 
-// Guards against a data centre whose relays fail and are not replaced, and
-// against watches that pile up at the store.
+// Guards against relays that fail and are not replaced, and against more watches
+// at the store than there are relays.
 func TestNextRelayTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, "a", "b")
@@ -52,7 +52,7 @@
 			t.Fatalf("watched by %v after %v failed", second, first)
 		}
 		f.change(nil)
-		t.Logf("ticket in force after %v", f.within(time.Second, "ticket", f.newest))
+		t.Logf("ticket in force after %v", f.within(time.Second, "ticket", f.hasNewest))
 	})
 }
 
@@ -70,66 +70,66 @@
 	})
 }
 
-// Guards against a ticket that the store accepts while it is slow but that no VM
-// waits for.
+// Guards against calls that time out on a slow store, so that a ticket that it
+// accepts does not reach the VMs.
 func TestSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a")
 		f.store.latency = 5 * time.Second
 		f.startAll()
-		f.within(30*time.Second, "first ticket", f.newest)
+		f.within(30*time.Second, "first ticket", f.hasNewest)
 		f.change(nil)
-		took := f.within(2*f.store.latency, "ticket", f.newest)
+		took := f.within(2*f.store.latency, "ticket", f.hasNewest)
 		t.Logf("in force after %v with a store that answers in %v", took, f.store.latency)
 	})
 }
 
-// Guards against refusals while the store is down for everyone, against a new
-// VM that cannot start then, and against a VM that is cut off afterwards having
-// no time left.
+// Guards against refusals while the store is down for all VMs, against a new VM
+// that cannot start during that time, and against a VM that refuses at once when
+// it is cut off afterwards.
 func TestStoreDownForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const serveFor = 30 * time.Second
 		f := newFleet(t, 3, "a", "b", "c")
 		f.change(customers(serveFor, false))
 		f.startAll()
-		f.within(5*time.Second, "key accepted", accepted)
+		f.within(5*time.Second, "key accepted", keyAccepted)
 		time.Sleep(5 * time.Second)
-		f.store.setReached(in())
-		f.always(time.Minute, "served while the store is down", accepted)
+		f.store.setReached(inDataCentres())
+		f.always(time.Minute, "served while the store is down", keyAccepted)
 
 		f.kill("b-vm-01")
 		f.start("b-vm-01", incarnation+1)
-		t.Logf("new VM serves after %v", f.within(3*time.Second, "new VM serves", accepted))
+		t.Logf("new VM serves after %v", f.within(3*time.Second, "new VM serves", keyAccepted))
 
-		f.fabric.partition(isolate("c"))
-		f.always(serveFor/2, "served at first when cut off as well", accepted)
+		f.network.partition(isolate("c"))
+		f.always(serveFor/2, "served at first when cut off as well", keyAccepted)
 		f.within(serveFor, "data centre c refuses", func(v *vm) bool {
 			return dataCentre(v.name) != "c" || v.check() == access.CutOff
 		})
 
-		f.fabric.partition(nil)
-		f.store.setReached(in("a", "b", "c"))
+		f.network.partition(nil)
+		f.store.setReached(inDataCentres("a", "b", "c"))
 		t.Logf("confirmed after %v", f.within(5*time.Second, "confirmed", func(v *vm) bool {
-			fresh := v.tables.Config.Freshness()
-			return !fresh.StoreDown && time.Since(fresh.ConfirmedAt) < membership.MissedAfter
+			freshness := v.tables.Config.Freshness()
+			return !freshness.StoreDown && time.Since(freshness.ConfirmedAt) < membership.MissedAfter
 		}))
 	})
 }
 
-// Guards against a cut-off data centre that serves a key for longer than its
-// customer accepts while it may have been revoked, and against refusals on VMs
-// that hear the store through others.
+// Guards against a cut-off data centre that accepts a possibly revoked key for
+// longer than its customer allows, and against refusals on VMs that receive
+// confirmations of the store through other VMs.
 func TestCutOffDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const serveFor = 20 * time.Second
 		f := newFleet(t, 3, "a", "b", "c")
 		f.change(customers(serveFor, false))
 		f.startAll()
-		f.within(5*time.Second, "key accepted", accepted)
+		f.within(5*time.Second, "key accepted", keyAccepted)
 		time.Sleep(10 * time.Second)
-		f.store.setReached(in("a"))
-		f.fabric.partition(isolate("c"))
+		f.store.setReached(inDataCentres("a"))
+		f.network.partition(isolate("c"))
 		f.change(customers(serveFor, true))
 		inTime := func(v *vm) bool {
 			return dataCentre(v.name) == "c" || v.check() == access.RevokedKey
@@ -137,21 +137,21 @@
 		f.within(5*time.Second, "revoked in a and b", inTime)
 		f.within(serveFor, "c refuses", func(v *vm) bool { return v.check() != access.None })
 		f.always(time.Minute, "c goes on refusing", func(v *vm) bool { return v.check() != access.None })
-		f.fabric.partition(nil)
-		t.Logf("c has the ticket after %v", f.within(5*time.Second, "ticket", f.newest))
+		f.network.partition(nil)
+		t.Logf("c has the ticket after %v", f.within(5*time.Second, "ticket", f.hasNewest))
 	})
 }
 
-// Guards against a paused VM that brings back an old incarnation or an old
-// configuration when it wakes, and against a replaced VM that is not heard at
-// its old address.
+// Guards against a suspended VM that reinstates an old incarnation or an old
+// configuration when it resumes, and against a replacement VM that other VMs do
+// not recognise because it has the address of its predecessor.
 func TestPausedAndReplacedVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b")
 		f.startAll()
-		f.within(5*time.Second, "first ticket", f.newest)
+		f.within(5*time.Second, "first ticket", f.hasNewest)
 		time.Sleep(2 * time.Second)
-		wake := f.vms["a-vm-00"].pause()
+		resume := f.vms["a-vm-00"].pause()
 		time.Sleep(membership.SilentAfter + time.Second)
 		if m, _ := f.vms["a-vm-01"].tables.Members.Get("a-vm-00"); !m.Silent {
 			t.Error("the paused VM is not silent")
@@ -165,22 +165,22 @@
 		}
 		f.within(5*time.Second, "replacement heard", replaced)
 		time.Sleep(time.Minute)
-		wake()
+		resume()
 		f.always(10*time.Second, "replacement stays", replaced)
-		f.within(time.Second, "the woken VM is up to date", func(v *vm) bool {
+		f.within(time.Second, "the resumed VM is up to date", func(v *vm) bool {
 			m, _ := v.tables.Members.Get("b-vm-01")
-			return f.newest(v) && m.Incarnation == incarnation+1
+			return f.hasNewest(v) && m.Incarnation == incarnation+1
 		})
 	})
 }
 
-// Guards against a VM that asks for a snapshot as fast as the network carries
-// messages, because the VM that it asks has none.
+// Guards against a VM that requests a snapshot in a tight loop because the other
+// VM has none.
 func TestMissingSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 40 // messages a second; 16 are regular
 		f := newFleet(t, 3, "a")
-		f.broken = true
+		f.encodeFails = true
 		f.startAll()
 		time.Sleep(5 * time.Second)
 		f.change(nil)
@@ -197,8 +197,8 @@
 	})
 }
 
-// Guards against a VM that goes on as a relay while it leaves, and against a
-// client's cancel request that does not reach the VM of its session.
+// Guards against a leaving VM that remains a relay, and against a cancel request
+// that does not reach the VM that holds the session.
 func TestLeavingAndCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, "a")
@@ -223,14 +223,15 @@
 	})
 }
 
-// Guards against messages that arrive late or twice and undo newer ones, and
-// against configurations that are older, damaged, or not the announced one.
+// Guards against delayed or duplicate messages that overwrite newer data, and
+// against accepting configurations that are older, damaged, or not the announced
+// one.
 func TestLateAndWrongMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a")
 		f.change(nil)
 		f.startAll()
-		f.within(5*time.Second, "first ticket", f.newest)
+		f.within(5*time.Second, "first ticket", f.hasNewest)
 		v := f.vms["a-vm-00"]
 		h := (*handler)(v.exchange)
 		message := func(sequence uint64, s state.ServiceState) *peerapi.Exchange {
@@ -250,7 +251,7 @@
 		push := func(number uint64, announced string) error {
 			c := *f.config
 			c.Ticket = state.TicketID{Number: number, Digest: "d"}
-			data, err := v.exchange.config.encode(&c)
+			data, err := v.exchange.config.marshalSnapshot(&c)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/transport/exchange/fleet_test.go
+++ b/transport/exchange/fleet_test.go
@@ -32,27 +32,28 @@
 	m.Run()
 }
 
-// leaser sends the sections of the lease, so that their bytes are measured.
-type leaser struct {
-	n      uint64
+// leasePart is a Part that adds the lease sections, so that the measured traffic
+// includes them.
+type leasePart struct {
+	number uint64
 	voters []string
 }
 
-func (l *leaser) Fill(to string, m *peerapi.Exchange) {
-	l.n++
+func (l *leasePart) Fill(to string, m *peerapi.Exchange) {
+	l.number++
 	if slices.Contains(l.voters, to) {
-		m.Lease = &lease.Query{Number: l.n, Incarnation: m.Sender.Incarnation}
+		m.Lease = &lease.Query{Number: l.number, Incarnation: m.Sender.Incarnation}
 	}
 }
-func (l *leaser) Handle(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+func (l *leasePart) Handle(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
 	if m.Lease != nil {
 		a.Lease = &lease.Answer{Number: m.Lease.Number, Confirmed: true, Highest: m.Lease.Incarnation}
 	}
 }
-func (l *leaser) HandleAnswer(peerapi.Sender, time.Time, *peerapi.Exchange, *peerapi.ExchangeAnswer) {
+func (l *leasePart) HandleAnswer(peerapi.Sender, time.Time, *peerapi.Exchange, *peerapi.ExchangeAnswer) {
 }
 
-// vm is one running process.
+// vm is one running VM.
 type vm struct {
 	name     string
 	tables   *state.Tables
@@ -70,13 +71,14 @@
 	return ticket
 }
 
-// check is a request of the customer with its key.
+// check returns the result of the access check for a request with the customer's
+// key.
 func (v *vm) check() access.Reason {
 	r := access.Request{Customer: "binder", Route: "stock", Key: key, HasKey: true}
 	return access.Check(v.tables.Config.Current(), v.tables.Config.Freshness(), time.Now(), r).Reason
 }
 
-func accepted(v *vm) bool { return v.check() == access.None }
+func keyAccepted(v *vm) bool { return v.check() == access.None }
 
 var key = state.KeyHash{1, 2, 3}
 
@@ -88,21 +90,21 @@
 	}}
 }
 
-// pause stops the process's decisions until the returned function is called.
-func (v *vm) pause() (wake func()) {
+// pause blocks the VM's event queue until the returned function is called.
+func (v *vm) pause() (resume func()) {
 	release := make(chan struct{})
 	v.exchange.queue.PostAlways(func() { <-release })
 	return func() { close(release) }
 }
 
-// fleet is a set of VMs, the network between them, and the store.
+// fleet is a set of VMs with their network and store.
 type fleet struct {
-	t      *testing.T
-	fabric *fabric
-	store  *store
-	vms    map[string]*vm
-	config *state.Config // newest
-	broken bool          // no VM can encode configurations
+	t           *testing.T
+	network     *testNetwork
+	store       *store
+	vms         map[string]*vm
+	config      *state.Config // newest
+	encodeFails bool          // no VM can encode configurations
 }
 
 // incarnation has as many digits as a time in nanoseconds.
@@ -110,8 +112,8 @@
 
 func newFleet(t *testing.T, perDataCentre int, dataCentres ...string) *fleet {
 	f := &fleet{
-		t:      t,
-		fabric: &fabric{listeners: make(map[string]chan net.Conn), conns: make(map[net.Conn][2]string)},
+		t:       t,
+		network: &testNetwork{listeners: make(map[string]chan net.Conn), conns: make(map[net.Conn][2]string)},
 		store: &store{
 			changed: make(chan struct{}),
 			reached: func(string) bool { return true },
@@ -140,7 +142,8 @@
 	return f
 }
 
-// change puts a new ticket into the store, with the customers if not nil.
+// change puts a new ticket into the store. It replaces the customers if customers
+// is not nil.
 func (f *fleet) change(customers map[string]*state.Customer) {
 	c := *f.config
 	c.Ticket.Number++
@@ -168,7 +171,8 @@
 	}
 }
 
-// voters are this VM and the first 4 others, or 2 of 2 or 3, of its data centre.
+// voters returns the VM and the 4 highest-ranked others of its data centre, or 2
+// if there are only 2 or 3 others.
 func (f *fleet) voters(name string) []string {
 	var others []string
 	for _, v := range f.config.DataCentres[dataCentre(name)].VMs {
@@ -191,13 +195,13 @@
 	workers, voters := pool.New(2), f.voters(name)
 	e, err := New(Options{
 		Pool: workers, Tables: v.tables, Self: self, Address: name + ":1",
-		Network: port{f.fabric, name}, Secret: []byte("secret"), Seeds: seeds,
+		Network: vmNetwork{f.network, name}, Secret: []byte("secret"), Seeds: seeds,
 		Voters: func() []string { return voters },
 		Cancel: func(session uint64, _ uint32) { v.canceled <- session },
-		Parts:  []Part{&leaser{voters: voters}}, Scope: v.scope,
+		Parts:  []Part{&leasePart{voters: voters}}, Scope: v.scope,
 		Config: ConfigOptions{
 			Encode: func(c *state.Config) ([]byte, error) {
-				if f.broken {
+				if f.encodeFails {
 					return nil, errors.New("cannot encode")
 				}
 				return json.Marshal(c)
@@ -206,7 +210,7 @@
 				c := new(state.Config)
 				return c, json.Unmarshal(data, c)
 			},
-			Store: storeView{f.store, name},
+			Store: storeClient{f.store, name},
 		},
 	})
 	if err != nil {
@@ -229,8 +233,8 @@
 	return v
 }
 
-// within waits until the condition holds for every VM and returns the time that
-// it took. It fails the test after the limit.
+// within waits until the condition holds for every VM and returns the elapsed
+// time. It fails the test after the limit.
 func (f *fleet) within(limit time.Duration, what string, condition func(v *vm) bool) time.Duration {
 	f.t.Helper()
 	const step = 10 * time.Millisecond
@@ -253,7 +257,7 @@
 	}
 }
 
-// always fails the test if the condition does not hold for every VM during d.
+// always fails the test if the condition does not hold for every VM throughout d.
 func (f *fleet) always(d time.Duration, what string, condition func(v *vm) bool) {
 	f.t.Helper()
 	const step = 50 * time.Millisecond
@@ -266,10 +270,10 @@
 	}
 }
 
-// kill ends a process without notice.
+// kill stops a VM without announcing that it leaves.
 func (f *fleet) kill(name string) {
 	f.vms[name].stop()
 	delete(f.vms, name)
 }
 
-func (f *fleet) newest(v *vm) bool { return v.ticket() == f.config.Ticket.Number }
+func (f *fleet) hasNewest(v *vm) bool { return v.ticket() == f.config.Ticket.Number }
--- a/transport/exchange/handler.go
+++ b/transport/exchange/handler.go
@@ -9,8 +9,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// handler turns messages from other VMs into events. Its methods run in the
-// goroutines of the server.
+// handler implements peer.Handler by queueing an event for each message. Its
+// methods run in goroutines of the server.
 type handler Exchange
 
 var errOverloaded = eris.New("queue is full or closed")
@@ -19,7 +19,7 @@
 func (h *handler) Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeAnswer, error) {
 	e := (*Exchange)(h)
 	ready := make(chan *peerapi.ExchangeAnswer, 1)
-	if !e.queue.Post(func() { ready <- e.receive(m) }) {
+	if !e.queue.Post(func() { ready <- e.handleExchange(m) }) {
 		e.metrics.overload.Inc(1)
 		return nil, errOverloaded
 	}
@@ -33,31 +33,31 @@
 	}
 }
 
-// Config implements peer.Handler. The snapshot is decoded here, because that
-// can take tens of milliseconds.
+// Config implements peer.Handler. It decodes the snapshot outside of the queue,
+// because decoding can take tens of milliseconds.
 func (h *handler) Config(_ context.Context, m *peerapi.ConfigPush) error {
 	e := (*Exchange)(h)
 	var received *state.Config
 	if m.Config.Number > ticketOf(e.tables.Config.Current()).Number {
 		var err error
-		if received, err = e.config.unpack(m.Config, m.Snapshot); err != nil {
+		if received, err = e.config.decodeSnapshot(m.Config, m.Snapshot); err != nil {
 			return err
 		}
 	}
-	if !e.queue.Post(func() { e.receivePush(m, received) }) {
+	if !e.queue.Post(func() { e.handlePush(m, received) }) {
 		e.metrics.overload.Inc(1)
 		return errOverloaded
 	}
 	return nil
 }
 
-func (e *Exchange) receivePush(m *peerapi.ConfigPush, received *state.Config) {
+func (e *Exchange) handlePush(m *peerapi.ConfigPush, received *state.Config) {
 	c, now := e.tables.Config.Current(), e.now()
 	e.tables.Members.With(func(ms *state.Members) {
 		e.merge(ms, c, m.Sender, m.Config, nil, nil, now)
 	})
 	if received != nil {
-		e.config.accept(received, m.Snapshot, m.Sender.Name)
+		e.config.activate(received, m.Snapshot, m.Sender.Name)
 	}
 }
 
--- a/transport/exchange/message.go
+++ b/transport/exchange/message.go
@@ -8,11 +8,12 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// unlistedEntries is the number of entries in a request. They are about VMs
-// that the configuration does not list, since digests cover the others.
+// unlistedEntries is the maximum number of member entries in a request. They are
+// about VMs that the configuration does not list; digests cover the listed ones.
 const unlistedEntries = 4
 
-// refreshSelf gives this VM's own entry the next sequence number and returns it.
+// refreshSelf updates this VM's own entry with the next sequence number and
+// returns it.
 func (e *Exchange) refreshSelf(ms *state.Members, c *state.Config, applied uint64, now time.Time) membership.Entry {
 	e.sequence++
 	entry := membership.Entry{
@@ -26,20 +27,20 @@
 	}
 	membership.Merge(ms, c, entry, now, now)
 	if m := ms.ByName[e.self.Name]; m.Incarnation > e.self.Incarnation {
-		e.logReplaced(m.Incarnation)
+		e.logReplacement(m.Incarnation)
 	}
 	return entry
 }
 
-func (e *Exchange) logReplaced(by uint64) {
-	if !e.replacedLog {
-		e.replacedLog = true
+func (e *Exchange) logReplacement(by uint64) {
+	if !e.replacementLogged {
+		e.replacementLogged = true
 		e.logger.WithField("incarnation", by).Error("peer: this VM was replaced by a higher incarnation")
 	}
 }
 
-// stamp returns the sender of the next message.
-func (e *Exchange) stamp() peerapi.Sender {
+// nextSender returns the sender section of the next message.
+func (e *Exchange) nextSender() peerapi.Sender {
 	now, c, applied := e.now(), e.tables.Config.Current(), e.options.Applied()
 	var sender peerapi.Sender
 	e.tables.Members.With(func(ms *state.Members) {
@@ -48,8 +49,8 @@
 	return sender
 }
 
-// compose returns the message to a partner.
-func (e *Exchange) compose(p membership.Partner) *peerapi.Exchange {
+// newMessage returns the next message to a partner.
+func (e *Exchange) newMessage(p membership.Partner) *peerapi.Exchange {
 	now, c, applied := e.now(), e.tables.Config.Current(), e.options.Applied()
 	m := &peerapi.Exchange{}
 	e.tables.Members.With(func(ms *state.Members) {
@@ -60,10 +61,10 @@
 		if p.Brief {
 			return
 		}
-		entries := e.unlisted.Choose(ms, c, unlistedEntries, now, func(m *state.Member) bool {
+		entries := e.requestEntries.Choose(ms, c, unlistedEntries, now, func(m *state.Member) bool {
 			return m.Name != e.self.Name && !m.Listed
 		})
-		m.Members = members(entries)
+		m.Members = toMembers(entries)
 	})
 	for _, part := range e.parts {
 		part.Fill(p.Name, m)
@@ -74,23 +75,24 @@
 	return m
 }
 
-// receive is the event of a message from another VM. It returns the answer.
-func (e *Exchange) receive(m *peerapi.Exchange) *peerapi.ExchangeAnswer {
+// handleExchange is the event for a message from another VM. It returns the
+// response.
+func (e *Exchange) handleExchange(m *peerapi.Exchange) *peerapi.ExchangeAnswer {
 	now, c, applied := e.now(), e.tables.Config.Current(), e.options.Applied()
-	listing := c // what the sender can look up
+	senderConfig := c // the configuration from which the sender can complete shortened entries
 	if m.Config.Number == 0 {
-		listing = nil
+		senderConfig = nil
 	}
 	a := &peerapi.ExchangeAnswer{}
 	e.tables.Members.With(func(ms *state.Members) {
-		different := e.merge(ms, c, m.Sender, m.Config, m.Members, m.Heard, now)
-		a.Sender = peerapi.SenderOf(e.refreshSelf(ms, c, applied, now).Shorten(listing))
+		differing := e.merge(ms, c, m.Sender, m.Config, m.Members, m.Heard, now)
+		a.Sender = peerapi.SenderOf(e.refreshSelf(ms, c, applied, now).Shorten(senderConfig))
 		a.Sender.Name = ""
-		for _, dc := range membership.AnswerTopics(c, e.self, heardOf(m)) {
+		for _, dc := range membership.AnswerTopics(c, e.self, heardDataCentres(m)) {
 			a.Heard = append(a.Heard, peerapi.Heard(membership.DigestOf(ms, c, dc, now)))
 		}
-		if m.Config.Number == 0 || len(different) > 0 {
-			a.Members = e.explain(ms, listing, m, different, now)
+		if m.Config.Number == 0 || len(differing) > 0 {
+			a.Members = e.selectMembers(ms, senderConfig, m, differing, now)
 		}
 	})
 	for _, part := range e.parts {
@@ -102,19 +104,21 @@
 	return a
 }
 
-// explain returns the entries for a sender that has no configuration, and
-// therefore sends no digests, or has other entries about some data centres.
-func (e *Exchange) explain(ms *state.Members, listing *state.Config, m *peerapi.Exchange, different map[string]bool, now time.Time) []peerapi.Member {
-	return members(e.answers.Choose(ms, listing, membership.MaxEntries, now, func(known *state.Member) bool {
+// selectMembers returns the entries for a sender that has no configuration, and
+// therefore sends no digests, or whose entries about some data centres differ
+// from this VM's.
+func (e *Exchange) selectMembers(ms *state.Members, senderConfig *state.Config, m *peerapi.Exchange, differing map[string]bool, now time.Time) []peerapi.Member {
+	return toMembers(e.responseEntries.Choose(ms, senderConfig, membership.MaxEntries, now, func(known *state.Member) bool {
 		if known.Name == e.self.Name || known.Name == m.Sender.Name {
 			return false
 		}
-		return m.Config.Number == 0 || different[known.DataCentre]
+		return m.Config.Number == 0 || differing[known.DataCentre]
 	}))
 }
 
-// mergeAnswer records what an answer says of VMs. Ages are counted back from the
-// sending of the question.
+// mergeAnswer merges the member data of a response. Ages are relative to the time
+// at which the request was sent, so that members do not appear to have been heard
+// of more recently than they were.
 func (e *Exchange) mergeAnswer(sentAt time.Time, a *peerapi.ExchangeAnswer) {
 	c := e.tables.Config.Current()
 	e.tables.Members.With(func(ms *state.Members) {
@@ -122,10 +126,10 @@
 	})
 }
 
-// merge records what a message says of VMs, with ages counted back from the
-// local time at. It returns the data centres about which the sender has other
-// entries. Digests carry no sequence numbers, so those of a message that is not
-// the latest of its sender are ignored.
+// merge merges the member data of a message, whose ages are relative to the local
+// time at. It returns the data centres about which the sender's entries differ.
+// Digests have no sequence numbers, so they are ignored unless the message is the
+// latest one of its sender.
 func (e *Exchange) merge(ms *state.Members, c *state.Config, from peerapi.Sender, config peerapi.ConfigDigest, entries []peerapi.Member, heard []peerapi.Heard, at time.Time) map[string]bool {
 	now := e.now()
 	latest := membership.Merge(ms, c, from.Entry(config.Applied), at, now) != membership.Unchanged
@@ -135,17 +139,17 @@
 	if !latest {
 		return nil
 	}
-	different := make(map[string]bool)
+	differing := make(map[string]bool)
 	for _, h := range heard {
 		if !membership.MergeDigest(ms, c, config.Number, membership.Digest(h), at) {
-			different[h.DataCentre] = true
+			differing[h.DataCentre] = true
 		}
 	}
-	return different
+	return differing
 }
 
-// heardOf returns the data centres whose digests a message holds.
-func heardOf(m *peerapi.Exchange) []string {
+// heardDataCentres returns the data centres whose digests a message contains.
+func heardDataCentres(m *peerapi.Exchange) []string {
 	var names []string
 	for _, h := range m.Heard {
 		names = append(names, h.DataCentre)
@@ -153,7 +157,7 @@
 	return names
 }
 
-func members(entries []membership.Entry) []peerapi.Member {
+func toMembers(entries []membership.Entry) []peerapi.Member {
 	var list []peerapi.Member
 	for _, entry := range entries {
 		list = append(list, peerapi.MemberOf(entry))
--- a/transport/exchange/metrics.go
+++ b/transport/exchange/metrics.go
@@ -4,17 +4,17 @@
 
 // metrics are the counters and gauges of the exchange.
 type metrics struct {
-	done      tally.Counter // exchanges with an answer
-	failed    tally.Counter // exchanges without one
-	postponed tally.Counter // the previous exchange with the VM was still running
+	done      tally.Counter // exchanges with a response
+	failed    tally.Counter // exchanges without a valid response
+	postponed tally.Counter // exchanges delayed because one with the same VM was running
 	overload  tally.Counter // events or exchanges dropped because a limit was reached
 
 	advanced    tally.Counter // configurations put in force
 	pushed      tally.Counter // configurations sent as a relay
 	pushFailed  tally.Counter
-	refused     tally.Counter // snapshots that could not be decoded or have the wrong digest
-	conflicts   tally.Counter // other tickets with the number of the current one
-	storeFailed tally.Counter // calls of the store as a relay
+	refused     tally.Counter // snapshots that cannot be decoded or do not have the announced ticket
+	conflicts   tally.Counter // tickets that conflict with the current one
+	storeFailed tally.Counter // failed calls to the store as a relay
 
 	relay     tally.Gauge // 1 while this VM is a relay
 	ticket    tally.Gauge // number of the ticket in force
@@ -42,7 +42,7 @@
 	}
 }
 
-func setFlag(g tally.Gauge, on bool) {
+func setBoolGauge(g tally.Gauge, on bool) {
 	value := 0.0
 	if on {
 		value = 1
--- a/transport/exchange/fabric_test.go
+++ b/transport/exchange/network_test.go
@@ -14,55 +14,56 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-var _ network.Network = port{}
+var _ network.Network = vmNetwork{}
 
-// fabric is an in-memory network over net.Pipe. Addresses are "VM:1"; the data
-// centre of a VM is the part of its name before the hyphen.
-type fabric struct {
+// testNetwork is an in-memory network over net.Pipe. Addresses have the form
+// "VM:1"; the data centre of a VM is the part of its name before the hyphen.
+type testNetwork struct {
 	mu        sync.Mutex // guards the fields below
 	listeners map[string]chan net.Conn
-	conns     map[net.Conn][2]string // ends
-	cut       func(a, b string) bool // nil if nothing is cut
+	conns     map[net.Conn][2]string // VMs at both ends
+	cut       func(a, b string) bool // nil if there is no partition
 }
 
 func dataCentre(vm string) string { dc, _, _ := strings.Cut(vm, "-"); return dc }
 
-// in returns a function that is true for the VMs of the data centres.
-func in(dataCentres ...string) func(vm string) bool {
+// inDataCentres returns a predicate that is true for VMs of the data centres.
+func inDataCentres(dataCentres ...string) func(vm string) bool {
 	return func(vm string) bool { return slices.Contains(dataCentres, dataCentre(vm)) }
 }
 
-// isolate cuts a data centre off from the others.
+// isolate returns a predicate for partition that isolates a data centre from the
+// others.
 func isolate(dc string) func(a, b string) bool {
 	return func(a, b string) bool { return (dataCentre(a) == dc) != (dataCentre(b) == dc) }
 }
 
-// partition cuts the connections between VMs for which cut is true, and breaks
-// those that exist.
-func (f *fabric) partition(cut func(a, b string) bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.cut = cut
-	for c, ends := range f.conns {
+// partition blocks new connections between VMs for which cut is true and closes
+// existing ones. If cut is nil, it ends the partition.
+func (n *testNetwork) partition(cut func(a, b string) bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = cut
+	for c, ends := range n.conns {
 		if cut != nil && cut(ends[0], ends[1]) {
 			_ = c.Close()
-			delete(f.conns, c)
+			delete(n.conns, c)
 		}
 	}
 }
 
-// port is the network as one VM sees it.
-type port struct {
-	f  *fabric
-	vm string
+// vmNetwork is the network as seen by one VM.
+type vmNetwork struct {
+	network *testNetwork
+	vm      string
 }
 
-func (p port) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n vmNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to := strings.TrimSuffix(address, ":1")
-	p.f.mu.Lock()
-	incoming, up := p.f.listeners[address]
-	cut := p.f.cut != nil && p.f.cut(p.vm, to)
-	p.f.mu.Unlock()
+	n.network.mu.Lock()
+	incoming, up := n.network.listeners[address]
+	cut := n.network.cut != nil && n.network.cut(n.vm, to)
+	n.network.mu.Unlock()
 	if cut {
 		<-ctx.Done() // packets are lost
 		return nil, ctx.Err()
@@ -76,11 +77,11 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	p.f.mu.Lock()
-	defer p.f.mu.Unlock()
-	p.f.conns[near] = [2]string{p.vm, to}
+	n.network.mu.Lock()
+	defer n.network.mu.Unlock()
+	n.network.conns[near] = [2]string{n.vm, to}
 	delay := localLatency
-	if dataCentre(p.vm) != dataCentre(to) {
+	if dataCentre(n.vm) != dataCentre(to) {
 		delay = remoteLatency
 	}
 	return delayed{near, delay}, nil
@@ -92,8 +93,8 @@
 	remoteLatency = 1500 * time.Microsecond
 )
 
-// delayed is the dialling end of a connection with a latency. The answer's
-// latency is added to the question's.
+// delayed is the dialling end of a connection with a latency. It delays requests
+// by the latency of the whole round trip.
 type delayed struct {
 	net.Conn
 	latency time.Duration
@@ -104,19 +105,19 @@
 	return d.Conn.Write(b)
 }
 
-func (p port) Listen(address string) (net.Listener, error) {
-	p.f.mu.Lock()
-	defer p.f.mu.Unlock()
-	if p.f.listeners[address] != nil {
+func (n vmNetwork) Listen(address string) (net.Listener, error) {
+	n.network.mu.Lock()
+	defer n.network.mu.Unlock()
+	if n.network.listeners[address] != nil {
 		return nil, errors.New("address in use")
 	}
-	l := &listener{p: p, address: address, conns: make(chan net.Conn, 64), closed: make(chan struct{})}
-	p.f.listeners[address] = l.conns
+	l := &listener{host: n, address: address, conns: make(chan net.Conn, 64), closed: make(chan struct{})}
+	n.network.listeners[address] = l.conns
 	return l, nil
 }
 
 type listener struct {
-	p       port
+	host    vmNetwork
 	address string
 	conns   chan net.Conn
 	closed  chan struct{}
@@ -137,21 +138,21 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.p.f.mu.Lock()
-		defer l.p.f.mu.Unlock()
-		delete(l.p.f.listeners, l.address)
+		l.host.network.mu.Lock()
+		defer l.host.network.mu.Unlock()
+		delete(l.host.network.listeners, l.address)
 	})
 	return nil
 }
 
-// store is the platform's object that holds the configuration.
+// store simulates the platform's object that holds the configuration.
 type store struct {
 	mu      sync.Mutex // guards the fields below
 	value   []byte
 	version uint64
 	changed chan struct{}
 	reached func(vm string) bool
-	latency time.Duration  // added to each answer
+	latency time.Duration  // added to each response
 	watches map[string]int // pending calls by VM
 }
 
@@ -185,36 +186,36 @@
 	return vms
 }
 
-// storeView is the store as one VM reaches it.
-type storeView struct {
-	s  *store
-	vm string
+// storeClient implements ConfigStore for one VM.
+type storeClient struct {
+	store *store
+	vm    string
 }
 
-func (a storeView) Watch(ctx context.Context, after uint64, wait time.Duration) ([]byte, uint64, error) {
-	value, version, err := a.watch(ctx, after, wait)
-	if sleep(ctx, a.s.latency); ctx.Err() != nil {
+func (c storeClient) Watch(ctx context.Context, after uint64, wait time.Duration) ([]byte, uint64, error) {
+	value, version, err := c.watch(ctx, after, wait)
+	if sleep(ctx, c.store.latency); ctx.Err() != nil {
 		return nil, 0, ctx.Err()
 	}
 	return value, version, err
 }
 
-func (a storeView) watch(ctx context.Context, after uint64, wait time.Duration) ([]byte, uint64, error) {
-	a.s.mu.Lock()
-	defer a.s.mu.Unlock()
-	a.s.watches[a.vm]++
-	defer func() { a.s.watches[a.vm]-- }()
+func (c storeClient) watch(ctx context.Context, after uint64, wait time.Duration) ([]byte, uint64, error) {
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	c.store.watches[c.vm]++
+	defer func() { c.store.watches[c.vm]-- }()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if !a.s.reached(a.vm) {
+		if !c.store.reached(c.vm) {
 			return nil, 0, errors.New("store not reached")
 		}
-		if a.s.version > after {
-			return a.s.value, a.s.version, nil
+		if c.store.version > after {
+			return c.store.value, c.store.version, nil
 		}
-		changed := a.s.changed
-		a.s.mu.Unlock()
+		changed := c.store.changed
+		c.store.mu.Unlock()
 		ended := false
 		select {
 		case <-changed:
@@ -222,7 +223,7 @@
 			ended = true
 		case <-ctx.Done():
 		}
-		a.s.mu.Lock()
+		c.store.mu.Lock()
 		if ended || ctx.Err() != nil {
 			return nil, after, ctx.Err()
 		}
--- a/transport/exchange/relay.go
+++ b/transport/exchange/relay.go
@@ -14,33 +14,33 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/peer"
 )
 
-// Limits of a push.
+// Limits of pushes.
 const (
-	pushParallel = 8
-	pushTimeout  = 2 * time.Second
+	maxParallelPushes = 8
+	pushTimeout       = 2 * time.Second
 )
 
-// round is the part of a regular round that concerns the configuration: the
-// relay role, the contact to the store, and the snapshot.
-func (p *configPart) round(relays []string, now time.Time) {
+// runRound updates the relay role, the status of the store and the snapshot in
+// each regular round.
+func (p *configPart) runRound(relays []string, now time.Time) {
 	p.setRelay(slices.Contains(relays, p.e.self.Name))
-	p.assess(now)
+	p.updateStoreStatus(now)
 	if c := p.e.tables.Config.Current(); c != nil && p.snapshot.ticket != c.Ticket {
-		p.pack(c) // put in force by another part of the process, or not encoded then
+		p.startEncoding(c) // put in force by another component, or no task was free to encode it
 	}
 }
 
-// setRelay starts and stops the watch as the role moves.
+// setRelay sets the relay role and starts or stops the watch of the store.
 func (p *configPart) setRelay(relay bool) {
-	setFlag(p.e.metrics.relay, relay)
-	if relay != p.relay {
-		p.relay = relay
+	setBoolGauge(p.e.metrics.relay, relay)
+	if relay != p.isRelay {
+		p.isRelay = relay
 		p.e.logger.WithField("relay", relay).Info("peer: relay role changed")
 	}
 	switch {
 	case relay && p.stopWatch == nil && p.options.Store != nil:
 		ctx, stop := context.WithCancel(p.e.running)
-		after := p.version
+		after := p.storedVersion
 		if !p.e.tasks.start(func() { p.watch(ctx, after) }) {
 			stop()
 			return
@@ -52,52 +52,54 @@
 	}
 }
 
-// assess records how this VM stands to the store. The time up to which the
-// store was down for all VMs counts as confirmed, so that a VM that is cut off
-// afterwards has the whole time that its customers accept.
-func (p *configPart) assess(now time.Time) {
+// updateStoreStatus records whether this VM reaches the store and whether the
+// store is down for all VMs. Time during which it is down for all VMs counts as
+// confirmed, so that a VM that is cut off afterwards may serve for the full time
+// that its customers accept.
+func (p *configPart) updateStoreStatus(now time.Time) {
 	e := p.e
-	c, fresh := e.tables.Config.Current(), e.tables.Config.Freshness()
+	c, freshness := e.tables.Config.Current(), e.tables.Config.Freshness()
 	down, until := false, time.Time{}
 	e.tables.Members.With(func(ms *state.Members) {
-		down, until = membership.StoreDown(c, ms, e.self, fresh, now)
+		down, until = membership.StoreDown(c, ms, e.self, freshness, now)
 	})
 	if down {
 		e.tables.Config.Confirm(until)
 	}
-	reached := p.relay && !p.reachedAt.IsZero() && now.Sub(p.reachedAt) <= membership.MissedAfter
+	reached := p.isRelay && !p.reachedAt.IsZero() && now.Sub(p.reachedAt) <= membership.MissedAfter
 	e.tables.Config.SetStore(reached, down)
-	setFlag(e.metrics.storeDown, down)
-	if c == nil || fresh.ConfirmedAt.IsZero() {
+	setBoolGauge(e.metrics.storeDown, down)
+	if c == nil || freshness.ConfirmedAt.IsZero() {
 		return
 	}
-	age := access.Elapsed(fresh.ConfirmedAt, now)
+	age := access.Elapsed(freshness.ConfirmedAt, now)
 	e.metrics.age.Update(age.Seconds())
-	p.logContact(down, age > access.ContactBound)
+	p.logStoreStatus(down, age > access.ContactBound)
 }
 
-func (p *configPart) logContact(down, old bool) {
-	state := inContact
+func (p *configPart) logStoreStatus(down, old bool) {
+	status := storeConfirmed
 	switch {
 	case down:
-		state = storeDown
+		status = storeDown
 	case old:
-		state = cutOff
+		status = cutOff
 	}
-	if state == p.contact {
+	if status == p.storeStatus {
 		return
 	}
-	p.contact = state
-	if state == inContact {
-		p.e.logger.Infof("peer: %s", state)
+	p.storeStatus = status
+	if status == storeConfirmed {
+		p.e.logger.Infof("peer: %s", status)
 		return
 	}
-	p.e.logger.Warnf("peer: %s", state)
+	p.e.logger.Warnf("peer: %s", status)
 }
 
-// push sends the snapshot to the VMs of this data centre, and announces it to the
-// relays of every other one in case the store is reached from here only.
-func (p *configPart) push() {
+// pushSnapshot sends the snapshot to the VMs of this data centre. It also starts
+// exchanges with the relays of the other data centres, in case only this data
+// centre reaches the store.
+func (p *configPart) pushSnapshot() {
 	e, now := p.e, p.e.now()
 	number := p.snapshot.ticket.Number
 	var names, remote []string
@@ -118,25 +120,25 @@
 	targets := make(map[peer.Target]*peerapi.ConfigPush)
 	for _, name := range names {
 		if t, _ := e.target(name); t.Address != "" {
-			targets[t] = p.pushMessage()
+			targets[t] = p.newPushMessage()
 		}
 	}
-	if len(targets) > 0 && !e.tasks.start(func() { p.pushAll(targets) }) {
+	if len(targets) > 0 && !e.tasks.start(func() { p.sendPushes(targets) }) {
 		e.metrics.overload.Inc(1)
 	}
 }
 
-func (p *configPart) pushMessage() *peerapi.ConfigPush {
-	m := &peerapi.ConfigPush{Sender: p.e.stamp(), Config: p.digest(), Snapshot: p.snapshot.data}
+func (p *configPart) newPushMessage() *peerapi.ConfigPush {
+	m := &peerapi.ConfigPush{Sender: p.e.nextSender(), Config: p.digest(), Snapshot: p.snapshot.data}
 	m.Config.Digest = p.snapshot.ticket.Digest
 	return m
 }
 
-// pushAll runs in its own goroutine. A VM that a push misses gets the
-// configuration through the exchange.
-func (p *configPart) pushAll(targets map[peer.Target]*peerapi.ConfigPush) {
+// sendPushes sends pushes concurrently. It runs in its own goroutine. A VM whose
+// push fails receives the configuration through the regular exchange.
+func (p *configPart) sendPushes(targets map[peer.Target]*peerapi.ConfigPush) {
 	var g errgroup.Group
-	g.SetLimit(pushParallel)
+	g.SetLimit(maxParallelPushes)
 	for target, m := range targets {
 		g.Go(func() error {
 			ctx, cancel := context.WithTimeout(p.e.running, pushTimeout)
@@ -150,5 +152,5 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // failures are counted
+	_ = g.Wait() // the metrics count failures
 }
--- a/transport/exchange/round.go
+++ b/transport/exchange/round.go
@@ -11,14 +11,14 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/peer"
 )
 
-// round is the event of a regular round: it looks at who is alive and sends to
-// this round's partners.
-func (e *Exchange) round() {
+// runRound is the event of a regular round. It updates the liveness of the
+// members and starts exchanges with the partners of this round.
+func (e *Exchange) runRound() {
 	e.roundPending.Store(false)
 	now := e.now()
 	voters := e.options.Voters()
 	applied := e.options.Applied()
-	c, fresh := e.tables.Config.Current(), e.tables.Config.Freshness()
+	c, freshness := e.tables.Config.Current(), e.tables.Config.Freshness()
 	var changes []membership.Transition
 	var partners []membership.Partner
 	var relays []string
@@ -35,7 +35,7 @@
 			Members: ms,
 			Voters:  voters,
 			Seeds:   e.seeds,
-			Missed:  membership.Missed(c, ms, e.self, fresh, now),
+			Missed:  membership.Missed(c, ms, e.self, freshness, now),
 			Joining: e.joining,
 			Random:  rand.IntN,
 			Now:     now,
@@ -44,14 +44,14 @@
 	for _, t := range changes {
 		e.logger.WithField("vm", t.Name).Infof("peer: VM is %s", t.To)
 	}
-	e.config.round(relays, now)
+	e.config.runRound(relays, now)
 	for _, p := range partners {
 		e.send(p)
 	}
 }
 
-// sendTo sends to a VM outside the regular round. It reports false if the VM
-// cannot be addressed.
+// sendTo starts an exchange with a VM outside of the regular rounds. It reports
+// false if the VM's address is unknown or the VM is this one.
 func (e *Exchange) sendTo(name string) bool {
 	target, dataCentre := e.target(name)
 	if target.Address == "" || name == e.self.Name {
@@ -65,7 +65,8 @@
 	return true
 }
 
-// target returns where to send to a VM. The address is empty if it is unknown.
+// target returns the address and the data centre of a VM. The address is empty if
+// it is unknown.
 func (e *Exchange) target(name string) (t peer.Target, dataCentre string) {
 	c := e.tables.Config.Current()
 	if m, known := e.tables.Members.Get(name); known && m.Address != "" {
@@ -84,60 +85,61 @@
 	return peer.Target{Name: name}, ""
 }
 
-// send starts an exchange, unless one with the same VM is still running. It
-// starts afterwards then.
+// send starts an exchange. If one with the same VM is still running, the new one
+// starts after it.
 func (e *Exchange) send(p membership.Partner) {
 	if e.inFlight[p.Name] {
-		e.again[p.Name] = true
+		e.resend[p.Name] = true
 		e.metrics.postponed.Inc(1)
 		return
 	}
-	m := e.compose(p)
+	m := e.newMessage(p)
 	timeout := exchangeTimeout
 	if m.Want {
 		timeout = snapshotTimeout
 	}
-	started := e.tasks.start(func() { e.exchange(p, m, timeout) })
+	started := e.tasks.start(func() { e.runExchange(p, m, timeout) })
 	if !started {
-		e.config.asked(p.Name, m)
+		e.config.requestEnded(p.Name, m)
 		e.metrics.overload.Inc(1)
 		return
 	}
 	e.inFlight[p.Name] = true
 }
 
-// exchange runs in its own goroutine.
-func (e *Exchange) exchange(p membership.Partner, m *peerapi.Exchange, timeout time.Duration) {
+// runExchange sends a message and queues the result as an event. It runs in its
+// own goroutine.
+func (e *Exchange) runExchange(p membership.Partner, m *peerapi.Exchange, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(e.running, timeout)
 	defer cancel()
 	sentAt := e.now()
 	a, err := e.client.Exchange(ctx, peer.Target{Name: p.Name, Address: p.Address}, m)
 	var received *state.Config
 	if err == nil && len(a.Snapshot) > 0 {
-		received, err = e.config.unpack(a.Config, a.Snapshot)
+		received, err = e.config.decodeSnapshot(a.Config, a.Snapshot)
 	}
-	e.queue.PostAlways(func() { e.finish(p, sentAt, m, a, received, err) })
+	e.queue.PostAlways(func() { e.handleResult(p, sentAt, m, a, received, err) })
 }
 
-// finish is the event of an exchange that ended.
-func (e *Exchange) finish(p membership.Partner, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeAnswer, received *state.Config, err error) {
+// handleResult is the event for an exchange that ended.
+func (e *Exchange) handleResult(p membership.Partner, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeAnswer, received *state.Config, err error) {
 	delete(e.inFlight, p.Name)
 	if err != nil {
 		e.metrics.failed.Inc(1)
 		e.logger.WithError(err).WithField("vm", p.Name).Debug("peer: exchange failed")
-		e.config.asked(p.Name, m)
+		e.config.requestEnded(p.Name, m)
 	} else {
 		e.metrics.done.Inc(1)
 		e.mergeAnswer(sentAt, a)
 		if received != nil {
-			e.config.accept(received, a.Snapshot, p.Name)
+			e.config.activate(received, a.Snapshot, p.Name)
 		}
 		for _, part := range e.parts {
 			part.HandleAnswer(a.Sender, sentAt, m, a)
 		}
 	}
-	if e.again[p.Name] {
-		delete(e.again, p.Name)
+	if e.resend[p.Name] {
+		delete(e.resend, p.Name)
 		e.send(p)
 	}
 }
--- a/transport/exchange/tasks.go
+++ b/transport/exchange/tasks.go
@@ -2,24 +2,24 @@
 
 import "sync"
 
-// tasks are goroutines outside the worker pool, bounded in number.
-type tasks struct {
-	mu      sync.Mutex // guards the fields below
-	ended   *sync.Cond // signalled when running shrinks
-	running int
-	limit   int
-	closed  bool
+// taskGroup runs a bounded number of goroutines outside of the worker pool.
+type taskGroup struct {
+	mu        sync.Mutex // guards the fields below
+	taskEnded *sync.Cond // signalled when running shrinks
+	running   int
+	limit     int
+	closed    bool
 }
 
-func newTasks(limit int) *tasks {
-	t := &tasks{limit: limit}
-	t.ended = sync.NewCond(&t.mu)
+func newTaskGroup(limit int) *taskGroup {
+	t := &taskGroup{limit: limit}
+	t.taskEnded = sync.NewCond(&t.mu)
 	return t
 }
 
-// start runs f in a goroutine. It reports false if there are too many already
-// or the tasks are closed.
-func (t *tasks) start(f func()) bool {
+// start runs f in a goroutine. It reports false, without running f, if the limit
+// is reached or the group is closed.
+func (t *taskGroup) start(f func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed || t.running >= t.limit {
@@ -27,25 +27,25 @@
 	}
 	t.running++
 	go func() {
-		defer t.end()
+		defer t.taskDone()
 		f()
 	}()
 	return true
 }
 
-func (t *tasks) end() {
+func (t *taskGroup) taskDone() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
-	t.ended.Broadcast()
+	t.taskEnded.Broadcast()
 }
 
-// close refuses new tasks and waits for the running ones.
-func (t *tasks) close() {
+// close rejects new tasks and waits for the running ones.
+func (t *taskGroup) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	for t.running > 0 {
-		t.ended.Wait()
+		t.taskEnded.Wait()
 	}
 }
--- a/transport/exchange/traffic_test.go
+++ b/transport/exchange/traffic_test.go
@@ -12,10 +12,11 @@
 	"github.com/chestnutdyke/chestnutdyke/coordination/membership"
 )
 
-// budget is what the control work of a VM may send and receive in a second.
-const budget = 21_000 // bytes
+// trafficBudget limits the control traffic that a VM sends and receives.
+const trafficBudget = 21_000 // bytes per second
 
-// usage is what one VM sent and received.
+// usage is the traffic that one VM sent and received: bytes, messages, and bytes
+// by section.
 type usage struct {
 	wire, messages int64
 	sections       map[string]int64
@@ -36,39 +37,39 @@
 	return u
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// Guards against an exchange that exceeds the budget of control traffic, and
-// against VMs that look silent because relayed ages arrive too late. It prints
-// the figures; run it with -v.
+// Guards against exceeding the budget of control traffic, and against VMs that
+// are considered silent because relayed ages arrive too late. Run it with -v to
+// print the figures.
 func TestTrafficWithinBudget(t *testing.T) {
-	const settle, measured = 5 * time.Second, 10 * time.Second
+	const warmup, measured = 5 * time.Second, 10 * time.Second
 	for _, size := range []int{3, 9, 27, 49} {
 		t.Run(fmt.Sprintf("%d VMs", size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size, "fes1")
 				f.startAll()
-				time.Sleep(settle)
+				time.Sleep(warmup)
 				before := make(map[string]usage)
 				for name, v := range f.vms {
 					before[name] = usageOf(v)
 				}
-				started := cpu()
-				oldest := f.watchAges(measured)
-				used := cpu() - started
-				report(t, f, before, measured, oldest, used)
+				started := cpuTime()
+				oldest := f.sampleAges(measured)
+				used := cpuTime() - started
+				checkTraffic(t, f, before, measured, oldest, used)
 			})
 		})
 	}
 }
 
-// watchAges samples the ages that VMs have of each other and returns them
-// sorted.
-func (f *fleet) watchAges(d time.Duration) []time.Duration {
+// sampleAges samples for d how long ago each VM last heard of each other one, and
+// returns the ages sorted.
+func (f *fleet) sampleAges(d time.Duration) []time.Duration {
 	var ages []time.Duration
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for name, v := range f.vms {
@@ -83,13 +84,13 @@
 	return ages
 }
 
-func report(t *testing.T, f *fleet, before map[string]usage, d time.Duration, ages []time.Duration, used time.Duration) {
-	var most, total, messages int64
+func checkTraffic(t *testing.T, f *fleet, before map[string]usage, d time.Duration, ages []time.Duration, used time.Duration) {
+	var maxWire, total, messages int64
 	sections := make(map[string]int64)
 	for name, v := range f.vms {
 		after := usageOf(v)
 		wire := after.wire - before[name].wire
-		most, total = max(most, wire), total+wire
+		maxWire, total = max(maxWire, wire), total+wire
 		messages += after.messages - before[name].messages
 		for section, n := range after.sections {
 			sections[section] += n - before[name].sections[section]
@@ -107,11 +108,11 @@
 	}
 	slices.Sort(parts)
 	t.Logf("%d VMs: %d messages/s, %d bytes/s a VM sent and received (most %d, budget %d): HTTP %d, %s",
-		len(f.vms), perVM(messages), perVM(total), most/seconds, budget, perVM(total-bodies), strings.Join(parts, ", "))
+		len(f.vms), perVM(messages), perVM(total), maxWire/seconds, trafficBudget, perVM(total-bodies), strings.Join(parts, ", "))
 	t.Logf("%d VMs: age p50 %v p99.9 %v max %v; CPU %.2f %% of a core a VM, lock checks and test network included",
 		len(f.vms), ages[len(ages)/2], ages[len(ages)*999/1000], ages[len(ages)-1],
 		100*used.Seconds()/float64(seconds)/float64(len(f.vms)))
-	if most/seconds > budget {
+	if maxWire/seconds > trafficBudget {
 		t.Errorf("a VM exceeds the budget")
 	}
 	if ages[len(ages)-1] > membership.SilentAfter {
--- a/transport/exchange/watch.go
+++ b/transport/exchange/watch.go
@@ -10,115 +10,118 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Times of the watch.
+// Timing of the watch.
 const (
-	// watchWait is how long the store waits for a change before it answers. The
-	// age of the configuration grows up to it, and each relay makes one call in
-	// that time: 5 calls a second for 10 data centres.
+	// watchWait is how long the store waits for a change before it responds. The
+	// age of the configuration can reach it, and each relay makes one call in that
+	// time: 5 calls a second for 10 data centres.
 	watchWait = 4 * time.Second
-	// A call may take minSlack longer than the wait at first, and twice as long
-	// after each failure. A store that is slow has to be waited for, because it
-	// may accept a revocation meanwhile.
-	minSlack = 2 * time.Second
-	maxSlack = 30 * time.Second
-	// minCallInterval bounds the calls if the store answers without waiting.
+	// The timeout of a call is the wait plus a margin, which starts at
+	// minTimeoutMargin and doubles with each failure. It adapts to a slow store,
+	// because such a store may still accept a revocation.
+	minTimeoutMargin = 2 * time.Second
+	maxTimeoutMargin = 30 * time.Second
+	// minCallInterval limits the rate of calls if the store responds without
+	// waiting.
 	minCallInterval = 100 * time.Millisecond
-	// retryInterval is the mean time between calls while the store fails.
+	// retryInterval is the mean delay after a failed call.
 	retryInterval = 500 * time.Millisecond
 )
 
-// ConfigStore is the store's object that holds the configuration.
+// ConfigStore watches the store's object that holds the configuration.
 type ConfigStore interface {
-	// Watch returns the object once its version is above after. If that does
-	// not happen within wait it returns a nil value and the version after. An
-	// object that does not exist has version 0.
+	// Watch returns the object once its version is greater than after. If that
+	// does not happen within wait, it returns a nil value and the version after.
+	// An object that does not exist has version 0.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (value []byte, version uint64, err error)
 }
 
-// storeAnswer is the result of one call of the store.
-type storeAnswer struct {
-	version   uint64
-	config    *state.Config // nil if the object did not change
-	confirmed time.Time     // local time at which the object was the newest
+// storeResponse is the result of a successful call to the store.
+type storeResponse struct {
+	version     uint64
+	config      *state.Config // nil if the object did not change
+	confirmedAt time.Time     // local time at which the object was the newest
 }
 
-// watch calls the store until ctx is done. It runs in its own goroutine.
+// watch watches the store's object until ctx is done. It runs in its own
+// goroutine.
 func (p *configPart) watch(ctx context.Context, after uint64) {
-	wait, slack := time.Duration(0), minSlack // without a wait, the first answer confirms at once
+	wait, margin := time.Duration(0), minTimeoutMargin // without a wait, the first response confirms at once
 	for ctx.Err() == nil {
 		started := p.e.now()
-		a, err := p.call(ctx, after, wait, slack)
-		took := p.e.now().Sub(started)
-		pause := minCallInterval - took
+		response, err := p.callStore(ctx, after, wait, margin)
+		duration := p.e.now().Sub(started)
+		delay := minCallInterval - duration
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			wait, slack = 0, min(2*slack, maxSlack)
-			pause = retryInterval/2 + rand.N(retryInterval)
-			p.e.queue.PostAlways(func() { p.storeFailed(err) })
+			wait, margin = 0, min(2*margin, maxTimeoutMargin)
+			delay = retryInterval/2 + rand.N(retryInterval)
+			p.e.queue.PostAlways(func() { p.handleStoreError(err) })
 		default:
-			slack = min(max(2*(took-wait), minSlack), maxSlack)
-			wait, after = watchWait, a.version
-			p.e.queue.PostAlways(func() { p.storeAnswered(a) })
+			margin = min(max(2*(duration-wait), minTimeoutMargin), maxTimeoutMargin)
+			wait, after = watchWait, response.version
+			p.e.queue.PostAlways(func() { p.handleStoreResponse(response) })
 		}
-		sleep(ctx, pause)
+		sleep(ctx, delay)
 	}
 }
 
-// call makes one call of the store. An object that did not change was the
-// newest when the wait ended. One that did change is only known to have been
-// the newest when the call was sent.
-func (p *configPart) call(ctx context.Context, after uint64, wait, slack time.Duration) (storeAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+slack)
+// callStore makes one call to the store. If the object did not change, it was
+// current until the wait ended. If it changed, the returned version is only known
+// to have been current when the call was sent.
+func (p *configPart) callStore(ctx context.Context, after uint64, wait, margin time.Duration) (storeResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
 	sentAt := p.e.now()
 	value, version, err := p.options.Store.Watch(ctx, after, wait)
 	if err != nil {
-		return storeAnswer{}, err
+		return storeResponse{}, err
 	}
 	if value == nil {
-		confirmed := sentAt.Add(wait)
-		if now := p.e.now(); confirmed.After(now) {
-			confirmed = now
+		confirmedAt := sentAt.Add(wait)
+		if now := p.e.now(); confirmedAt.After(now) {
+			confirmedAt = now
 		}
-		return storeAnswer{version: after, confirmed: confirmed}, nil
+		return storeResponse{version: after, confirmedAt: confirmedAt}, nil
 	}
 	c, err := p.options.DecodeStored(value)
 	if err != nil {
-		return storeAnswer{}, eris.Wrapf(err, "decode version %d of the configuration", version)
+		return storeResponse{}, eris.Wrapf(err, "decode version %d of the configuration", version)
 	}
-	return storeAnswer{version: version, config: c, confirmed: sentAt}, nil
+	return storeResponse{version: version, config: c, confirmedAt: sentAt}, nil
 }
 
-// storeAnswered is the event of a successful call. The configuration in force
-// is confirmed only if it is the store's: a store that went back to an older
-// ticket may accept a revocation under a number that this VM ignores.
-func (p *configPart) storeAnswered(a storeAnswer) {
+// handleStoreResponse is the event for a successful call. It confirms the
+// configuration in force only if the store has the same ticket: a store that has
+// reverted to an older ticket may accept a revocation under a number that this VM
+// ignores.
+func (p *configPart) handleStoreResponse(response storeResponse) {
 	p.reachedAt = p.e.now()
-	if a.config != nil {
-		p.version, p.stored = a.version, a.config.Ticket
-		p.accept(a.config, nil, "store")
+	if response.config != nil {
+		p.storedVersion, p.storedTicket = response.version, response.config.Ticket
+		p.activate(response.config, nil, "store")
 	}
 	current := ticketOf(p.e.tables.Config.Current())
-	behind := p.stored.Number < current.Number
+	behind := p.storedTicket.Number < current.Number
 	switch {
-	case p.stored == state.TicketID{}: // the store has no configuration yet
-	case p.stored == current:
-		p.e.tables.Config.Confirm(a.confirmed)
-	case behind && !p.behind: // a push may have overtaken this answer once
+	case p.storedTicket == state.TicketID{}: // the store has no configuration yet
+	case p.storedTicket == current:
+		p.e.tables.Config.Confirm(response.confirmedAt)
+	case behind && !p.storeBehind: // once, a push may have arrived before this response
 	default:
-		p.reportConflict(p.stored, current, "store")
+		p.reportConflict(p.storedTicket, current, "store")
 	}
-	p.behind = behind
+	p.storeBehind = behind
 }
 
-func (p *configPart) storeFailed(err error) {
+func (p *configPart) handleStoreError(err error) {
 	p.e.metrics.storeFailed.Inc(1)
 	p.e.logger.WithError(err).Debug("peer: store call failed")
 }
 
-// sleep waits for d or until ctx is done.
+// sleep blocks for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
