--- a/coordination/failover/answer.go
+++ b/coordination/failover/answer.go
@@ -2,79 +2,79 @@
 
 import "github.com/chestnutdyke/chestnutdyke/state"
 
-// answer takes in the end of a call. An answer that belongs to an earlier
-// attempt or step only tells the server's status.
-func (d *decision) answer(c Call, o Outcome) {
+// handleOutcome processes the outcome of a call. An outcome of an earlier
+// attempt or step only updates the server's status.
+func (d *decision) handleOutcome(c Call, o Outcome) {
 	if d.Group.Server(c.Server) == nil {
 		return
 	}
 	if o.Result != Failed && o.Status.Server != c.Server {
-		o = Outcome{Result: Failed} // the control address leads to another server
+		o = Outcome{Result: Failed} // another server answered at this control address
 	}
 	if o.Result != Failed {
 		d.State.Observe(o.Status, c.Sent)
 	}
 	switch c.Order {
 	case Adopt:
-		d.answerAdopt(c, o)
+		d.handleAdopt(c, o)
 	case Promote:
-		d.answerPromote(c, o)
+		d.handlePromote(c, o)
 	case Follow:
-		d.answerFollow(c)
+		d.handleFollow(c)
 	case Switchover:
-		d.answerSwitchover(c, o)
+		d.handleSwitchover(c, o)
 	}
 }
 
-func (d *decision) answerAdopt(c Call, o Outcome) {
-	if d.f.Step != state.FailoverAdopting || c.Term != d.f.Term {
+func (d *decision) handleAdopt(c Call, o Outcome) {
+	if d.failover.Step != state.FailoverAdopting || c.Term != d.failover.Term {
 		return
 	}
 	if o.Result == Done && o.Status.AdoptedTerm == c.Term {
-		d.f.Adopted[c.Server] = o.Status
-		delete(d.f.Refused, c.Server)
+		d.failover.Adopted[c.Server] = o.Status
+		delete(d.failover.Refused, c.Server)
 		return
 	}
-	if _, adopted := d.f.Adopted[c.Server]; !adopted {
-		d.f.Refused[c.Server] = true
+	if _, adopted := d.failover.Adopted[c.Server]; !adopted {
+		d.failover.Refused[c.Server] = true
 	}
 }
 
-func (d *decision) answerPromote(c Call, o Outcome) {
-	if d.f.Step != state.FailoverPromoting || c.Term != d.f.Term || c.Server != d.f.Candidate {
+func (d *decision) handlePromote(c Call, o Outcome) {
+	if d.failover.Step != state.FailoverPromoting || c.Term != d.failover.Term || c.Server != d.failover.Candidate {
 		return
 	}
 	switch {
 	case o.Result == Done && o.Status.Leads(c.Term):
-		// settleSuperseded finds the new primary in the group's state.
+		// reconcileAttempt finds the new primary in the group's state.
 	case o.Result == Failed:
-		d.giveUp("the candidate did not answer", d.retryDelay())
+		d.abort("the candidate did not answer", d.retryDelay())
 	default:
-		d.giveUp("the candidate refused", promotionPatience+d.retryDelay())
+		d.abort("the candidate refused", promotionGrace+d.retryDelay())
 	}
 }
 
-func (d *decision) answerFollow(c Call) {
-	if d.f.Step != state.FailoverFollowing || c.Term != d.f.Term {
+func (d *decision) handleFollow(c Call) {
+	if d.failover.Step != state.FailoverFollowing || c.Term != d.failover.Term {
 		return
 	}
-	delete(d.f.Following, c.Server)
-	if len(d.f.Following) == 0 {
-		d.f.Step = state.FailoverIdle
+	delete(d.failover.Following, c.Server)
+	if len(d.failover.Following) == 0 {
+		d.failover.Step = state.FailoverIdle
 	}
 }
 
-func (d *decision) answerSwitchover(c Call, o Outcome) {
-	if d.f.Step != state.FailoverSwitching || c.Server != d.f.Predecessor || c.Term != d.State.Term || c.Peer != d.f.Candidate {
+func (d *decision) handleSwitchover(c Call, o Outcome) {
+	if d.failover.Step != state.FailoverSwitching || c.Server != d.failover.Predecessor || c.Term != d.State.Term || c.Peer != d.failover.Candidate {
 		return
 	}
 	switch o.Result {
 	case Done:
-		d.begin(d.f.Candidate, d.f.Predecessor)
+		d.beginAttempt(d.failover.Candidate, d.failover.Predecessor)
 	case Refused:
-		// Another VM's switchover may be under way; a resume would break it.
-		d.giveUp("the primary refused the switchover", d.retryDelay())
+		// Another VM's switchover may be in progress, and a resume would abort it.
+		d.abort("the primary refused the switchover", d.retryDelay())
 	default:
-		d.giveUpSwitchover("the switchover failed")
+		d.abortSwitchover("the switchover failed")
 	}
 }
--- a/coordination/failover/attempt.go
+++ b/coordination/failover/attempt.go
@@ -6,111 +6,111 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// step advances the current attempt, or begins one if it is time.
-func (d *decision) step() {
-	d.settleSuperseded()
-	switch d.f.Step {
+// advance moves the current attempt forward, or begins one if it is due.
+func (d *decision) advance() {
+	d.reconcileAttempt()
+	switch d.failover.Step {
 	case state.FailoverIdle:
-		d.idle()
+		d.startIfNeeded()
 	case state.FailoverAdopting:
-		d.adopting()
+		d.checkAdoption()
 	case state.FailoverPromoting:
-		if d.due(d.f.StepEnds) {
-			d.giveUp("no answer from the candidate", d.retryDelay())
+		if d.due(d.failover.StepEnds) {
+			d.abort("timed out waiting for the candidate", d.retryDelay())
 		}
 	case state.FailoverFollowing:
-		if d.due(d.f.StepEnds) {
-			d.f.Step = state.FailoverIdle
+		if d.due(d.failover.StepEnds) {
+			d.failover.Step = state.FailoverIdle
 		}
 	case state.FailoverSwitching:
-		if d.due(d.f.StepEnds) {
-			d.giveUpSwitchover("no answer from the primary")
+		if d.due(d.failover.StepEnds) {
+			d.abortSwitchover("timed out waiting for the primary")
 		}
 	}
 }
 
-// settleSuperseded ends an attempt when the servers' statuses show how it went:
-// a later primary exists, or the candidate was promoted although its answer was
-// lost.
-func (d *decision) settleSuperseded() {
+// reconcileAttempt ends an attempt whose outcome is visible in the servers'
+// statuses: a primary of a later term exists, or the candidate was promoted but
+// its answer was lost.
+func (d *decision) reconcileAttempt() {
 	g := d.State
-	switch d.f.Step {
+	switch d.failover.Step {
 	case state.FailoverAdopting, state.FailoverPromoting:
-		if g.Term == d.f.Term && g.Primary == d.f.Candidate {
-			d.promoted()
-		} else if g.Term >= d.f.Term {
-			d.end()
+		if g.Term == d.failover.Term && g.Primary == d.failover.Candidate {
+			d.finishPromotion()
+		} else if g.Term >= d.failover.Term {
+			d.endAttempt()
 		}
 	case state.FailoverSwitching:
-		if g.Primary != d.f.Predecessor {
-			d.end()
+		if g.Primary != d.failover.Predecessor {
+			d.endAttempt()
 		}
 	}
 }
 
-// idle begins an attempt if the condition of the group asks for one and the
-// time left to others has passed.
-func (d *decision) idle() {
-	if !d.acts() || !d.Part.HasIndex {
+// startIfNeeded begins an attempt if the condition of the group requires one
+// and the delay that gives other VMs precedence has passed.
+func (d *decision) startIfNeeded() {
+	if !d.mayAct() || !d.Part.HasIndex {
 		return
 	}
-	if d.f.Condition == state.ConditionHealthy {
-		d.planned()
+	if d.failover.Condition == state.ConditionHealthy {
+		d.handlePlanned()
 		return
 	}
 	delay, act := d.startDelay()
 	if !act {
 		return
 	}
-	at := d.f.ConditionSince.Add(delay)
-	if at.Before(d.f.RetryAt) {
-		at = d.f.RetryAt
+	at := d.failover.ConditionSince.Add(delay)
+	if at.Before(d.failover.RetryAt) {
+		at = d.failover.RetryAt
 	}
-	if d.due(at) && d.fresh(at) {
-		d.begin("", "")
+	if d.due(at) && d.ensureFresh(at) {
+		d.beginAttempt("", "")
 	}
 }
 
-// fresh reports whether a majority answered queries sent since the given time,
-// and every server that others follow was asked since then. It asks for a round
-// if not. Without this a VM could begin on answers from before another VM's
-// promotion, and depose the primary that was just promoted.
-func (d *decision) fresh(since time.Time) bool {
+// ensureFresh reports whether a majority answered queries sent since the given time
+// and every possible leader was queried since then. If not, it requests a round
+// of queries. Without this check a VM could act on answers from before another
+// VM's promotion, and depose the primary that was just promoted.
+func (d *decision) ensureFresh(since time.Time) bool {
 	n := 0
 	for i := range d.Group.Servers {
 		if v := d.State.Servers[d.Group.Servers[i].Name]; v != nil && !v.AskedAt.Before(since) {
 			n++
 		}
 	}
-	if n >= d.Group.Majority() && d.leadersAsked(since) {
+	if n >= d.Group.Majority() && d.leadersQueried(since) {
 		return true
 	}
 	if d.State.Round.Started.Before(since) {
-		d.add(Probe{})
+		d.emit(Probe{})
 	}
 	return false
 }
 
-// leadersAsked reports whether no server may lead that was not asked since the
-// given time: the known primary, and those that servers follow that have
-// promised to a later term.
-func (d *decision) leadersAsked(since time.Time) bool {
-	if !d.heardAs(d.State.Primary, d.State.Term, since) {
+// leadersQueried reports whether every server that may lead was queried since the
+// given time: the known primary, and the primaries followed by servers that have
+// adopted a later term.
+func (d *decision) leadersQueried(since time.Time) bool {
+	if !d.leaderQueried(d.State.Primary, d.State.Term, since) {
 		return false
 	}
 	for i := range d.Group.Servers {
 		v := d.State.Servers[d.Group.Servers[i].Name]
-		if v != nil && v.Status.AdoptedTerm > d.State.Term && !d.heardAs(v.Status.Primary, v.Status.AdoptedTerm, since) {
+		if v != nil && v.Status.AdoptedTerm > d.State.Term && !d.leaderQueried(v.Status.Primary, v.Status.AdoptedTerm, since) {
 			return false
 		}
 	}
 	return true
 }
 
-// heardAs reports whether the status of a server that is said to lead the term
-// is from after its promise to the term, or it was asked since the given time,
-// with or without an answer.
-func (d *decision) heardAs(server string, term uint64, since time.Time) bool {
+// leaderQueried reports whether the known status of a possible leader of the
+// term was taken after the server adopted the term, or the server was queried
+// since the given time, whether or not it answered.
+func (d *decision) leaderQueried(server string, term uint64, since time.Time) bool {
 	if d.Group.Server(server) == nil {
 		return true
 	}
@@ -118,183 +118,188 @@
 	return v != nil && (v.Status.AdoptedTerm >= term || !v.AskedAt.Before(since) || !v.FailedAt.Before(since))
 }
 
-// startDelay returns how long the condition must last before this VM acts.
+// startDelay returns how long the condition must persist before this VM begins an
+// attempt, and whether it may begin one at all.
 func (d *decision) startDelay() (delay time.Duration, act bool) {
-	switch d.f.Condition {
+	switch d.failover.Condition {
 	case state.ConditionFailed:
 		return d.stagger(), true
 	case state.ConditionHeadless:
 		switch {
-		case d.ticketMayBeOld():
-			return ticketPatience + d.stagger(), true
+		case d.ticketMayBeStale():
+			return ticketPropagation + d.stagger(), true
 		case d.ownAttemptIsLatest():
 			return 0, true
 		default:
-			return promotionPatience + d.stagger(), true
+			return promotionGrace + d.stagger(), true
 		}
 	case state.ConditionStray:
-		return strayPatience + time.Duration(d.watcherOrder())*strayStagger, d.Part.Watcher
+		return strayGrace + time.Duration(d.watcherOrder())*strayStagger, d.Part.Watcher
 	}
 	return 0, false
 }
 
-// ticketMayBeOld reports whether the group follows a server that this VM's
-// configuration does not have. Then a newer ticket has probably not arrived yet,
-// and a promotion would depose a working primary.
-func (d *decision) ticketMayBeOld() bool {
+// ticketMayBeStale reports whether the group follows a server that is missing from
+// this VM's configuration. A newer ticket has then probably not arrived yet, and
+// a promotion would depose a working primary.
+func (d *decision) ticketMayBeStale() bool {
 	unknown := func(server string) bool { return server != "" && d.Group.Server(server) == nil }
 	if unknown(d.State.Primary) {
 		return true
 	}
 	for name, v := range d.State.Servers {
-		if v.Status.AdoptedTerm >= d.State.Term && unknown(v.Status.Primary) && d.answers(name) {
+		if v.Status.AdoptedTerm >= d.State.Term && unknown(v.Status.Primary) && d.isResponsive(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// ownAttemptIsLatest reports whether no other VM has begun a promotion since
-// this VM's latest attempt.
+// ownAttemptIsLatest reports whether no other VM has begun a promotion since the
+// latest attempt of this VM.
 func (d *decision) ownAttemptIsLatest() bool {
-	return d.f.Term > d.State.Term && d.highestTerm() == d.f.Term
+	return d.failover.Term > d.State.Term && d.highestTerm() == d.failover.Term
 }
 
-// begin asks every server to adopt a new term. target and predecessor are set
-// in a planned switchover.
-func (d *decision) begin(target, predecessor string) {
+// beginAttempt starts an attempt: it orders every server to adopt a new term.
+// target and predecessor are set in a planned switchover only.
+func (d *decision) beginAttempt(target, predecessor string) {
 	term, ok := nextTerm(d.highestTerm(), d.Part.Index)
 	if !ok {
 		return
 	}
-	d.f.Term = term
-	d.f.Candidate, d.f.Predecessor = target, predecessor
-	d.f.Adopted = make(map[string]state.ServerStatus)
-	d.f.Refused = make(map[string]bool)
-	d.f.MajorityAt = time.Time{}
+	d.failover.Term = term
+	d.failover.Candidate, d.failover.Predecessor = target, predecessor
+	d.failover.Adopted = make(map[string]state.ServerStatus)
+	d.failover.Refused = make(map[string]bool)
+	d.failover.MajorityAt = time.Time{}
 	if predecessor == "" {
-		d.add(Report{Step: StepDetected, Server: d.State.Primary, Term: term, After: d.silence()})
+		d.emit(Report{Step: StepDetected, Server: d.State.Primary, Term: term, After: d.primarySilence()})
 	} else {
-		d.add(Report{Step: StepDrained, Server: predecessor, Term: term, After: d.Now.Sub(d.f.StepStarted)})
+		d.emit(Report{Step: StepDrained, Server: predecessor, Term: term, After: d.Now.Sub(d.failover.StepStarted)})
 	}
-	d.f.Began = d.Now
-	d.enter(state.FailoverAdopting, orderTimeout)
+	d.failover.Began = d.Now
+	d.enterStep(state.FailoverAdopting, orderTimeout)
 	for i := range d.Group.Servers {
-		d.call(Adopt, d.Group.Servers[i].Name, term, "", orderTimeout)
+		d.sendOrder(Adopt, d.Group.Servers[i].Name, term, "", orderTimeout)
 	}
 }
 
-// silence is how long the primary has not answered.
-func (d *decision) silence() time.Duration {
+// primarySilence returns how long the primary has not answered.
+func (d *decision) primarySilence() time.Duration {
 	if v := d.State.Servers[d.State.Primary]; v != nil && !v.SilentSince.IsZero() {
 		return d.Now.Sub(v.SilentSince)
 	}
-	return d.Now.Sub(d.f.ConditionSince)
+	return d.Now.Sub(d.failover.ConditionSince)
 }
 
-func (d *decision) enter(s state.FailoverStep, timeout time.Duration) {
-	d.f.Step, d.f.StepStarted = s, d.Now
-	d.f.StepEnds = d.Now.Add(timeout + stepSlack)
-	d.wakeAt(d.f.StepEnds)
+func (d *decision) enterStep(s state.FailoverStep, timeout time.Duration) {
+	d.failover.Step, d.failover.StepStarted = s, d.Now
+	d.failover.StepEnds = d.Now.Add(timeout + stepSlack)
+	d.wakeAt(d.failover.StepEnds)
 }
 
-// adopting promotes the best server once a majority has adopted the term.
-func (d *decision) adopting() {
-	switch adopted, open := d.countAdopters(); {
-	case d.outbid():
-		d.giveUp("a server has adopted a later term", promotionPatience+d.retryDelay())
-	case adopted+open < d.Group.Majority():
-		d.giveUp("no majority adopts the term", d.retryDelay())
+// checkAdoption promotes the best candidate once a majority has adopted the term.
+func (d *decision) checkAdoption() {
+	switch adopted, pending := d.countAdopters(); {
+	case d.laterTermAdopted():
+		d.abort("a server has adopted a later term", promotionGrace+d.retryDelay())
+	case adopted+pending < d.Group.Majority():
+		d.abort("too few servers can adopt the term", d.retryDelay())
 	case adopted >= d.Group.Majority():
-		d.majorityAdopted(open)
-	case d.due(d.f.StepEnds):
-		d.giveUp("no majority in time", d.retryDelay())
+		d.handleMajority(pending)
+	case d.due(d.failover.StepEnds):
+		d.abort("timed out waiting for a majority to adopt the term", d.retryDelay())
 	}
 }
 
-// countAdopters counts the servers that have adopted the term, and those that
-// may still do so.
-func (d *decision) countAdopters() (adopted, open int) {
+// countAdopters returns the number of servers that have adopted the term and of
+// those that may still adopt it.
+func (d *decision) countAdopters() (adopted, pending int) {
 	for i := range d.Group.Servers {
 		name := d.Group.Servers[i].Name
-		if _, ok := d.f.Adopted[name]; ok {
+		if _, ok := d.failover.Adopted[name]; ok {
 			adopted++
-		} else if !d.f.Refused[name] {
-			open++
+		} else if !d.failover.Refused[name] {
+			pending++
 		}
 	}
-	return adopted, open
+	return adopted, pending
 }
 
-// outbid reports whether a server has promised to a later term than that of the
-// current attempt. That server could not follow the new primary.
-func (d *decision) outbid() bool { return d.highestTerm() > d.f.Term }
+// laterTermAdopted reports whether a server has adopted a later term than that
+// of the current attempt. Such a server would refuse to follow the new primary.
+func (d *decision) laterTermAdopted() bool { return d.highestTerm() > d.failover.Term }
 
-func (d *decision) majorityAdopted(open int) {
-	if d.f.MajorityAt.IsZero() {
-		d.f.MajorityAt = d.Now
-		d.add(Report{Step: StepAdopted, Term: d.f.Term, After: d.Now.Sub(d.f.Began)})
+// handleMajority promotes a candidate once no further adoption is expected or
+// adoptGrace has passed.
+func (d *decision) handleMajority(pending int) {
+	if d.failover.MajorityAt.IsZero() {
+		d.failover.MajorityAt = d.Now
+		d.emit(Report{Step: StepAdopted, Term: d.failover.Term, After: d.Now.Sub(d.failover.Began)})
 	}
-	if open > 0 && d.openAnswers() && !d.due(d.f.MajorityAt.Add(adoptGrace)) {
+	if pending > 0 && d.adoptionsPending() && !d.due(d.failover.MajorityAt.Add(adoptGrace)) {
 		return
 	}
-	d.f.Candidate = d.choose()
-	d.enter(state.FailoverPromoting, orderTimeout)
-	d.call(Promote, d.f.Candidate, d.f.Term, "", orderTimeout)
+	d.failover.Candidate = d.chooseCandidate()
+	d.enterStep(state.FailoverPromoting, orderTimeout)
+	d.sendOrder(Promote, d.failover.Candidate, d.failover.Term, "", orderTimeout)
 }
 
-// openAnswers reports whether a server that is expected to answer has not yet
-// said whether it adopts the term.
-func (d *decision) openAnswers() bool {
+// adoptionsPending reports whether a responsive server has neither adopted nor
+// refused the term yet.
+func (d *decision) adoptionsPending() bool {
 	for i := range d.Group.Servers {
 		name := d.Group.Servers[i].Name
-		if _, ok := d.f.Adopted[name]; !ok && !d.f.Refused[name] && d.answers(name) {
+		if _, ok := d.failover.Adopted[name]; !ok && !d.failover.Refused[name] && d.isResponsive(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// promoted records the new primary and tells the other servers to follow it.
-func (d *decision) promoted() {
-	d.add(Report{Step: StepPromoted, Server: d.f.Candidate, Term: d.f.Term, After: d.Now.Sub(d.f.StepStarted)})
-	d.add(Announce{})
-	d.f.Predecessor = ""
-	d.f.Attempts = 0
-	d.f.Following = make(map[string]bool)
-	d.enter(state.FailoverFollowing, orderTimeout)
+// finishPromotion announces the new primary and orders the other servers to
+// follow it.
+func (d *decision) finishPromotion() {
+	d.emit(Report{Step: StepPromoted, Server: d.failover.Candidate, Term: d.failover.Term, After: d.Now.Sub(d.failover.StepStarted)})
+	d.emit(Announce{})
+	d.failover.Predecessor = ""
+	d.failover.Attempts = 0
+	d.failover.Following = make(map[string]bool)
+	d.enterStep(state.FailoverFollowing, orderTimeout)
 	for i := range d.Group.Servers {
-		if name := d.Group.Servers[i].Name; name != d.f.Candidate {
-			d.f.Following[name] = true
-			d.call(Follow, name, d.f.Term, d.f.Candidate, orderTimeout)
+		if name := d.Group.Servers[i].Name; name != d.failover.Candidate {
+			d.failover.Following[name] = true
+			d.sendOrder(Follow, name, d.failover.Term, d.failover.Candidate, orderTimeout)
 		}
 	}
 }
 
-// giveUp ends the attempt. A later attempt uses a higher term, because it is
-// not known which orders of this one are still carried out.
-func (d *decision) giveUp(reason string, retryAfter time.Duration) {
-	d.add(Report{Step: StepGivenUp, Server: d.f.Candidate, Term: d.f.Term, Reason: reason})
-	if d.f.Step == state.FailoverAdopting && d.f.Predecessor != "" {
-		// Without a majority for the new term the drained primary may still be
-		// able to work. It refuses if it has adopted the new term.
-		d.call(Resume, d.f.Predecessor, d.State.Term, "", orderTimeout)
+// abort ends the attempt without a promotion. The next attempt uses a higher
+// term, because orders of this one may still be executed.
+func (d *decision) abort(reason string, retryAfter time.Duration) {
+	d.emit(Report{Step: StepGivenUp, Server: d.failover.Candidate, Term: d.failover.Term, Reason: reason})
+	if d.failover.Step == state.FailoverAdopting && d.failover.Predecessor != "" {
+		// Without a majority for the new term, the drained primary may still be
+		// able to accept writes. It refuses the order if it has adopted the new
+		// term.
+		d.sendOrder(Resume, d.failover.Predecessor, d.State.Term, "", orderTimeout)
 	}
-	d.f.Attempts++
-	d.f.RetryAt = d.Now.Add(retryAfter)
-	d.end()
-	d.wakeAt(d.f.RetryAt)
+	d.failover.Attempts++
+	d.failover.RetryAt = d.Now.Add(retryAfter)
+	d.endAttempt()
+	d.wakeAt(d.failover.RetryAt)
 }
 
-func (d *decision) end() {
-	d.f.Step = state.FailoverIdle
-	d.f.Candidate, d.f.Predecessor = "", ""
+func (d *decision) endAttempt() {
+	d.failover.Step = state.FailoverIdle
+	d.failover.Candidate, d.failover.Predecessor = "", ""
 }
 
-// retryDelay differs between VMs, so that two promoters do not keep outbidding
-// each other.
+// retryDelay returns the delay before the next attempt. It differs between VMs,
+// so that two of them do not keep superseding each other's terms.
 func (d *decision) retryDelay() time.Duration {
-	doublings := min(d.f.Attempts, retryDoublings)
+	doublings := min(d.failover.Attempts, retryDoublings)
 	slot := d.watcherOrder()
 	if !d.Part.Watcher {
 		slot += 1 + d.Part.Rank%8
--- a/coordination/failover/choice.go
+++ b/coordination/failover/candidate.go
@@ -2,11 +2,13 @@
 
 import "github.com/chestnutdyke/chestnutdyke/state"
 
-// indexBits is the number of low bits of a term that hold the promoter's index.
+// indexBits is the number of low-order bits of a term that hold the index of the
+// VM that created it, which makes terms of different VMs distinct.
 const indexBits = 16
 
-// nextTerm returns a term of the given promoter above the highest known one. It
-// reports false if terms are used up, which only a faulty server can cause.
+// nextTerm returns a term above the highest known one for the VM with the given
+// index. It reports false if the terms are exhausted, which only a faulty server
+// can cause.
 func nextTerm(highest uint64, index uint16) (term uint64, ok bool) {
 	round := highest>>indexBits + 1
 	if round >= 1<<(64-indexBits) {
@@ -15,27 +17,27 @@
 	return round<<indexBits | uint64(index), true
 }
 
-// highestTerm is the highest term that this VM knows of.
+// highestTerm returns the highest term known to this VM.
 func (d *decision) highestTerm() uint64 {
-	highest := max(d.State.Term, d.f.Term)
+	highest := max(d.State.Term, d.failover.Term)
 	for _, v := range d.State.Servers {
 		highest = max(highest, v.Status.AdoptedTerm, v.Status.LogTerm)
 	}
 	return highest
 }
 
-// choose returns the adopter to promote. Acknowledged writes are held by a
-// majority, so the highest log of any majority of the servers holds them all.
-// The choice is among the adopters in service if they are a majority, else
-// among all adopters.
-func (d *decision) choose() string {
+// chooseCandidate returns the server to promote among those that adopted the
+// term. A majority holds each acknowledged write, so the most advanced log of
+// any majority holds all of them. Servers that are not in service are
+// considered only if the adopters in service are no majority.
+func (d *decision) chooseCandidate() string {
 	eligible := d.adopters(d.inService)
 	if len(eligible) < d.Group.Majority() {
 		eligible = d.adopters(func(string) bool { return true })
 	}
 	best := eligible[0]
 	for _, name := range eligible[1:] {
-		if d.better(name, best) {
+		if d.isBetterCandidate(name, best) {
 			best = name
 		}
 	}
@@ -48,29 +50,30 @@
 	var names []string
 	for i := range d.Group.Servers {
 		name := d.Group.Servers[i].Name
-		if _, ok := d.f.Adopted[name]; ok && filter(name) {
+		if _, ok := d.failover.Adopted[name]; ok && filter(name) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// better reports whether a is a better candidate than b: first by its log as it
-// was when the server adopted the term, then by preference.
-func (d *decision) better(a, b string) bool {
-	sa, sb := d.f.Adopted[a], d.f.Adopted[b]
+// isBetterCandidate reports whether a is a better candidate than b. It compares
+// their logs as of the adoption of the term, then their preference.
+func (d *decision) isBetterCandidate(a, b string) bool {
+	sa, sb := d.failover.Adopted[a], d.failover.Adopted[b]
 	if c := compareLogs(&sa, &sb); c != 0 {
 		return c > 0
 	}
-	return d.preference(a) > d.preference(b)
+	return d.candidatePreference(a) > d.candidatePreference(b)
 }
 
-func (d *decision) preference(server string) int {
+// candidatePreference ranks candidates with equal logs; higher is better.
+func (d *decision) candidatePreference(server string) int {
 	switch {
-	case server == d.f.Candidate:
+	case server == d.failover.Candidate:
 		return 3 // the target of a planned switchover
 	case server == d.State.Primary && d.inService(server):
-		return 2 // its clients need not move
+		return 2 // avoids moving its clients
 	case d.inService(server):
 		return 1
 	default:
@@ -78,8 +81,8 @@
 	}
 }
 
-// compareLogs returns a positive number if a's log is higher, a negative one if
-// b's is.
+// compareLogs returns a positive number if a's log is more advanced, a negative
+// one if b's is, and 0 if they are equal.
 func compareLogs(a, b *state.ServerStatus) int {
 	switch {
 	case a.LogTerm != b.LogTerm:
--- a/coordination/failover/detect.go
+++ b/coordination/failover/detect.go
@@ -6,36 +6,38 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// assess updates the condition of the group and the suspicion.
-func (d *decision) assess() {
-	if c := d.condition(); c != d.f.Condition {
-		d.f.Condition, d.f.ConditionSince = c, d.Now
+// updateCondition updates the condition of the group and whether its primary is
+// suspected.
+func (d *decision) updateCondition() {
+	if c := d.groupCondition(); c != d.failover.Condition {
+		d.failover.Condition, d.failover.ConditionSince = c, d.Now
 	}
-	if d.f.Condition == state.ConditionHealthy {
-		d.f.Attempts = 0
+	if d.failover.Condition == state.ConditionHealthy {
+		d.failover.Attempts = 0
 	}
-	d.suspect()
+	d.updateSuspicion()
 }
 
-// suspect keeps SuspectSince, which other VMs are told of.
-func (d *decision) suspect() {
+// updateSuspicion updates SuspectSince. The suspicion is shared with other VMs.
+func (d *decision) updateSuspicion() {
 	v := d.State.Servers[d.State.Primary]
 	if v == nil || v.Missed == 0 && v.FailedAt.IsZero() {
-		d.f.SuspectSince = time.Time{}
+		d.failover.SuspectSince = time.Time{}
 		return
 	}
-	if d.f.SuspectSince.IsZero() {
-		d.f.SuspectSince = d.Now
-		d.add(Report{Step: StepSuspected, Server: d.State.Primary, Term: d.State.Term})
-		d.add(Announce{})
+	if d.failover.SuspectSince.IsZero() {
+		d.failover.SuspectSince = d.Now
+		d.emit(Report{Step: StepSuspected, Server: d.State.Primary, Term: d.State.Term})
+		d.emit(Announce{})
 	}
 }
 
-func (d *decision) condition() state.Condition {
-	answering, ahead := 0, 0 // servers that answer, and those of them that promised to a later term
+// groupCondition derives the condition of the group from the servers' statuses.
+func (d *decision) groupCondition() state.Condition {
+	answering, ahead := 0, 0 // responsive servers, and those of them that have adopted a later term
 	for i := range d.Group.Servers {
 		name := d.Group.Servers[i].Name
-		if !d.answers(name) {
+		if !d.isResponsive(name) {
 			continue
 		}
 		answering++
@@ -50,8 +52,8 @@
 	if d.Group.Server(d.State.Primary) == nil {
 		return state.ConditionHeadless
 	}
-	if !d.answers(d.State.Primary) {
-		return d.silentCondition(ahead)
+	if !d.isResponsive(d.State.Primary) {
+		return d.silentPrimaryCondition(ahead)
 	}
 	switch {
 	case !d.State.Servers[d.State.Primary].Status.Leads(d.State.Term):
@@ -65,9 +67,10 @@
 	}
 }
 
-// silentCondition is the condition of a group whose primary does not answer.
-func (d *decision) silentCondition(ahead int) state.Condition {
-	failed := d.failed()
+// silentPrimaryCondition returns the condition of a group whose primary does
+// not answer.
+func (d *decision) silentPrimaryCondition(ahead int) state.Condition {
+	failed := d.primaryFailed()
 	switch {
 	case failed && ahead == 0:
 		return state.ConditionFailed
@@ -78,46 +81,49 @@
 	}
 }
 
-// answers reports whether the server's latest query was answered, and recently.
-func (d *decision) answers(server string) bool {
+// isResponsive reports whether the server answered its latest query within
+// answerWindow.
+func (d *decision) isResponsive(server string) bool {
 	v := d.State.Servers[server]
 	return v != nil && !v.AskedAt.IsZero() && v.Missed == 0 && d.Now.Sub(v.AskedAt) <= answerWindow
 }
 
-// failed reports whether the primary has been silent for long enough.
-func (d *decision) failed() bool {
+// primaryFailed reports whether the primary has been silent long enough to count as
+// failed.
+func (d *decision) primaryFailed() bool {
 	v := d.State.Servers[d.State.Primary]
-	if v == nil || v.SilentSince.IsZero() || v.Missed < pressedMissed {
+	if v == nil || v.SilentSince.IsZero() || v.Missed < minMissedProbes {
 		return false
 	}
-	if v.Down && d.due(v.SilentSince.Add(downSilence)) {
+	if v.Down && d.due(v.SilentSince.Add(refusedSilence)) {
 		return true
 	}
-	if (d.waiting() || d.reported()) && d.due(v.SilentSince.Add(pressedSilence)) {
+	if (d.hasWaiters() || d.recentlyReported()) && d.due(v.SilentSince.Add(silenceWithWaiters)) {
 		return true
 	}
-	return v.Missed >= missedProbes && d.due(v.SilentSince.Add(missedSilence))
+	return v.Missed >= maxMissedProbes && d.due(v.SilentSince.Add(silenceWithoutWaiters))
 }
 
-// reported reports whether another VM suspects the primary.
-func (d *decision) reported() bool {
-	return !d.f.ReportedAt.IsZero() && d.Now.Sub(d.f.ReportedAt) <= reportPeriod
+// recentlyReported reports whether another VM has recently reported the primary as
+// suspected.
+func (d *decision) recentlyReported() bool {
+	return !d.failover.ReportedAt.IsZero() && d.Now.Sub(d.failover.ReportedAt) <= reportPeriod
 }
 
-// probe asks for a round of status queries when one is due. Rounds for waiters
-// count as probes.
-func (d *decision) probe() {
+// probeIfDue requests a round of status queries if one is due. Rounds that serve
+// waiters count as probes.
+func (d *decision) probeIfDue() {
 	interval, wanted := d.probeInterval()
 	if !wanted {
 		return
 	}
 	started := d.State.Round.Started
 	at := started.Add(interval)
-	if d.Part.Watcher && d.f.ReportedAt.After(started) {
-		at = d.f.ReportedAt
+	if d.Part.Watcher && d.failover.ReportedAt.After(started) {
+		at = d.failover.ReportedAt
 	}
 	if d.due(at) {
-		d.add(Probe{})
+		d.emit(Probe{})
 		d.wakeAt(d.Now.Add(interval))
 	}
 }
@@ -126,15 +132,15 @@
 	switch {
 	case !d.Part.Watcher:
 		return d.recheckInterval()
-	case d.f.Condition != state.ConditionHealthy && d.Now.Sub(d.f.ConditionSince) < suspectPeriod:
+	case d.failover.Condition != state.ConditionHealthy && d.Now.Sub(d.failover.ConditionSince) < suspectPeriod:
 		return suspectInterval, true
 	default:
 		return probeInterval, true
 	}
 }
 
-// recheckInterval is how often a VM that does not watch the group asks about a
-// server that failed, so that the server is used again once it is back.
+// recheckInterval returns how often a VM that does not watch the group queries a
+// failed server, so that the server is used again once it has recovered.
 func (d *decision) recheckInterval() (interval time.Duration, wanted bool) {
 	for i := range d.Group.Servers {
 		v := d.State.Servers[d.Group.Servers[i].Name]
--- a/coordination/failover/failover.go
+++ b/coordination/failover/failover.go
@@ -1,12 +1,12 @@
-// Package failover decides when a group needs a new primary and which server
-// becomes it, tells servers to follow, and hands a primary over when its server
-// or data centre leaves.
+// Package failover decides when a group needs a new primary, selects and promotes
+// it, reattaches replicas, and performs planned switchovers when the primary's
+// server or data centre is leaving.
 //
-// Safety rests on the servers' promises alone: a term is established only after
-// a majority has adopted it, each server adopts a term once, and the promoted
-// server holds the highest log of a majority of the adopters. Which VM acts, and
-// how many act at once, does not matter. The functions change the given state
-// and return effects; they do no I/O.
+// Safety depends only on the terms that servers adopt: a server is promoted only
+// after a majority has adopted the term, each server adopts a term once, and the
+// promoted server has the most advanced log of a majority of those that adopted
+// the term. It does not depend on which VMs act, or on how many act at once. The
+// functions change the given state and return effects; they do no I/O.
 package failover
 
 import (
@@ -15,62 +15,66 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Detection.
+// Failure detection.
 const (
 	probeInterval = 500 * time.Millisecond
-	// suspectInterval is the probe interval while the group is not healthy. It
-	// lasts for suspectPeriod, so that a long outage costs no more than watching.
+	// suspectInterval is the probe interval during the first suspectPeriod of an
+	// unhealthy condition. The limit keeps long outages from costing more than
+	// normal probing.
 	suspectInterval = 100 * time.Millisecond
 	suspectPeriod   = 10 * time.Second
-	// A VM that does not watch the group asks again about a server that failed
-	// after a quarter of the time since it fell silent, within these limits.
+	// A VM that does not watch the group queries a failed server again after a
+	// quarter of the time for which it has been silent, within these limits.
 	minRecheck = 1 * time.Second
 	maxRecheck = 30 * time.Second
-	// answerWindow is how long an answer shows that a server is alive: two
-	// probes and the time that a probe may take.
+	// answerWindow is how long a server counts as responsive after an answer: two
+	// probe intervals and the duration of a probe.
 	answerWindow = 1500 * time.Millisecond
-	// missedProbes and pressedSilence make a silent primary count as failed,
-	// without and with requests that wait. Two queries must have failed in both
-	// cases: a VM that was paused finds its own queries old, but not failed.
-	missedProbes   = 3
-	missedSilence  = (missedProbes - 1) * probeInterval
-	pressedSilence = 400 * time.Millisecond
-	pressedMissed  = 2
-	// downSilence is enough if the host of the primary refuses connections: no
-	// process listens there, so nothing can be on its way.
-	downSilence = 150 * time.Millisecond
-	// reportPeriod is how long another VM's report of a failure counts as
-	// requests that wait.
+	// A silent primary counts as failed after maxMissedProbes and
+	// silenceWithoutWaiters if no request waits, and after silenceWithWaiters
+	// if one does. At least two queries must have failed in both cases: after a
+	// pause of this VM its queries are old, but have not failed.
+	maxMissedProbes       = 3
+	silenceWithoutWaiters = (maxMissedProbes - 1) * probeInterval
+	silenceWithWaiters    = 400 * time.Millisecond
+	minMissedProbes       = 2
+	// refusedSilence is sufficient if the primary's host refuses connections: no
+	// process listens there, so no answer can be in flight.
+	refusedSilence = 150 * time.Millisecond
+	// reportPeriod is how long a failure report of another VM has the same effect
+	// as waiting requests.
 	reportPeriod = 2 * time.Second
 )
 
-// Delays before this VM acts, so that others find the work done.
+// Delays before this VM acts, so that one VM usually acts before the others.
 const (
-	watcherStagger = 50 * time.Millisecond  // between the watchers of a group
-	waiterStagger  = 250 * time.Millisecond // times rank + 1, for VMs that do not watch
-	// promotionPatience is left to a promotion that another VM has begun. One
-	// takes three calls to servers.
-	promotionPatience = 250 * time.Millisecond
-	// ticketPatience covers the time that a ticket takes to reach every VM.
-	ticketPatience = 10 * time.Second
-	// strayPatience is longer, because a working primary has to be promoted
-	// again to get a stray server back.
-	strayPatience = 2 * time.Second
-	strayStagger  = 500 * time.Millisecond
-	rejoinDelay   = 250 * time.Millisecond
-	// switchoverStagger is left to the watcher in the successor's data centre.
+	watcherStagger = 50 * time.Millisecond  // between consecutive watchers of a group
+	waiterStagger  = 250 * time.Millisecond // times rank + 1, for VMs that do not watch the group
+	// promotionGrace is the time allowed for a promotion that another VM has
+	// begun, which takes three calls to servers.
+	promotionGrace = 250 * time.Millisecond
+	// ticketPropagation exceeds the time in which a ticket reaches every VM.
+	ticketPropagation = 10 * time.Second
+	// strayGrace is longer, because recovering a stray server (one that has
+	// adopted a later term) requires promoting a working primary again.
+	strayGrace   = 2 * time.Second
+	strayStagger = 500 * time.Millisecond
+	rejoinDelay  = 250 * time.Millisecond
+	// switchoverStagger gives precedence to the watcher in the successor's data
+	// centre.
 	switchoverStagger = 1 * time.Second
-	// resumePatience is left to a VM that has already seen a newer ticket.
-	resumePatience = 5 * time.Second
+	// resumeGrace is the time allowed for a VM that has already received a newer
+	// ticket.
+	resumeGrace = 5 * time.Second
 )
 
-// Time limits and retries.
+// Timeouts and retries.
 const (
 	orderTimeout      = 500 * time.Millisecond // adopt, promote, follow, resume
 	switchoverTimeout = 2 * time.Second
-	stepSlack         = 100 * time.Millisecond // for the end of a call to be noticed
-	// adoptGrace is left to the remaining servers once a majority has adopted:
-	// writes that only they hold are otherwise lost.
+	stepSlack         = 100 * time.Millisecond // lets a call's own timeout be reported first
+	// adoptGrace is how long to wait for the remaining servers once a majority has
+	// adopted the term; writes that only they hold would otherwise be lost.
 	adoptGrace     = 20 * time.Millisecond
 	retryBase      = 50 * time.Millisecond // doubles with every failed attempt
 	retryDoublings = 4
@@ -78,16 +82,16 @@
 	plannedRetry   = 5 * time.Second
 )
 
-// Part is this VM's part in a group.
+// Part describes the role of this VM in a group.
 type Part struct {
 	Watcher    bool
-	Rank       int // among all VMs for this group
+	Rank       int // of this VM among all VMs, for this group
 	Index      uint16
-	HasIndex   bool // without an index the VM promotes nothing
+	HasIndex   bool // a VM without an index cannot create terms and starts no attempts
 	DataCentre string
 }
 
-// Input is what a decision is based on. Group is nil if it is not configured.
+// Input is the input of a decision. Group is nil if it is not configured.
 type Input struct {
 	State  *state.GroupState
 	Config *state.Config
@@ -96,7 +100,7 @@
 	Now    time.Time
 }
 
-// Order is an order to a backend server.
+// Order is a control command to a backend server.
 type Order string
 
 // Orders.
@@ -108,10 +112,10 @@
 	Resume     Order = "resume"
 )
 
-// Effect is an instruction to the driver.
+// Effect is an action that the driver must carry out.
 type Effect interface{ effect() }
 
-// Call gives an order to a server. The driver passes the same value to Answer.
+// Call sends an order to a server. The driver passes the same value to Answer.
 type Call struct {
 	Order   Order
 	Server  string
@@ -121,24 +125,24 @@
 	Timeout time.Duration
 }
 
-// Probe asks for a round of status queries now.
+// Probe requests an immediate round of status queries.
 type Probe struct{}
 
-// WakeAt asks for a call of Tick. It replaces the WakeAt of every earlier call
-// for the group; a call that returns none cancels it.
+// WakeAt requests a call of Tick at the given time. It replaces any earlier WakeAt
+// of the group; a decision that returns no WakeAt cancels the earlier one.
 type WakeAt struct{ At time.Time }
 
-// Announce asks to pass the view of the group on to other VMs.
+// Announce requests that the state of the group is sent to other VMs.
 type Announce struct{}
 
-// Step is an event of a failover that is worth a log line or a metric.
+// Step is an event of a failover that is logged and counted.
 type Step string
 
 // Steps.
 const (
 	StepSuspected Step = "suspected"
-	StepDetected  Step = "detected" // the attempt begins
-	StepAdopted   Step = "adopted"  // by a majority
+	StepDetected  Step = "detected" // an attempt begins
+	StepAdopted   Step = "adopted"  // a majority has adopted the term
 	StepPromoted  Step = "promoted"
 	StepGivenUp   Step = "given up"
 	StepSwitching Step = "switchover"
@@ -152,7 +156,7 @@
 	Step   Step
 	Server string
 	Term   uint64
-	After  time.Duration // since the previous step; for StepDetected since the primary fell silent
+	After  time.Duration // since the previous step; for StepDetected since the primary became silent
 	Reason string
 }
 
@@ -162,58 +166,59 @@
 func (Announce) effect() {}
 func (Report) effect()   {}
 
-// Result says how a call ended.
+// Result is the result of a call.
 type Result int
 
 // Results of calls.
 const (
 	Done    Result = iota + 1
-	Refused        // the server answered that it did not carry out the order
-	Failed         // no answer; the order may still be carried out
+	Refused        // the server answered that it did not execute the order
+	Failed         // no answer; the order may still be executed
 )
 
-// Outcome is the end of a call. Status is set unless the call failed.
+// Outcome is the result of a call. Status is set unless the result is Failed.
 type Outcome struct {
 	Result Result
 	Status state.ServerStatus
 }
 
-// Tick decides what is due. Call it after every change of the group's state.
+// Tick returns the effects that are due. It must be called after every change of
+// the group's state.
 func Tick(in Input) []Effect { return decide(in, func(*decision) {}) }
 
-// Answer takes in the end of a call. Late and repeated answers are allowed.
+// Answer processes the outcome of a call. Late and repeated answers are allowed.
 func Answer(in Input, c Call, o Outcome) []Effect {
-	return decide(in, func(d *decision) { d.answer(c, o) })
+	return decide(in, func(d *decision) { d.handleOutcome(c, o) })
 }
 
-// Suspect takes in that a connection to the server broke or that the server did
-// not answer in time. The servers are probed at once.
+// Suspect records that a connection to the server was lost or that the server did
+// not answer in time, and requests an immediate probe.
 func Suspect(in Input, server string) []Effect {
 	return decide(in, func(d *decision) {
 		if d.Group.Server(server) == nil {
 			return
 		}
 		d.State.ObserveFailure(server, d.Now)
-		d.add(Probe{})
+		d.emit(Probe{})
 	})
 }
 
-// Merge takes in another VM's view of the group.
+// Merge processes the state of the group as reported by another VM.
 func Merge(in Input, term uint64, primary string, suspect bool) []Effect {
 	return decide(in, func(d *decision) {
 		d.State.Learn(term, primary)
 		if suspect && term == d.State.Term && primary == d.State.Primary {
-			d.f.ReportedAt = d.Now
+			d.failover.ReportedAt = d.Now
 		}
 	})
 }
 
-// decision is one run of the decisions on a group.
+// decision is a single evaluation of a group.
 type decision struct {
 	Input
-	f       *state.FailoverState
-	effects []Effect
-	wake    time.Time // zero if no wake-up is needed
+	failover *state.FailoverState
+	effects  []Effect
+	wake     time.Time // zero if no wake-up is requested
 }
 
 func decide(in Input, event func(d *decision)) []Effect {
@@ -221,28 +226,29 @@
 		return nil
 	}
 	in.State.Configure(in.Group)
-	d := &decision{Input: in, f: &in.State.Failover}
+	d := &decision{Input: in, failover: &in.State.Failover}
 	event(d)
-	d.assess()
-	d.step()
-	d.rejoin()
-	d.probe()
+	d.updateCondition()
+	d.advance()
+	d.rejoinReplicas()
+	d.probeIfDue()
 	if !d.wake.IsZero() {
-		d.add(WakeAt{d.wake})
+		d.emit(WakeAt{d.wake})
 	}
 	return d.effects
 }
 
-func (d *decision) add(e Effect) { d.effects = append(d.effects, e) }
+func (d *decision) emit(e Effect) { d.effects = append(d.effects, e) }
 
-// wakeAt asks for a wake-up at the given time, if none is wanted earlier.
+// wakeAt requests a wake-up at the given time unless an earlier one is requested.
 func (d *decision) wakeAt(at time.Time) {
 	if d.wake.IsZero() || at.Before(d.wake) {
 		d.wake = at
 	}
 }
 
-// due reports whether the given time has come, and asks for a wake-up if not.
+// due reports whether the given time has been reached, and requests a wake-up if
+// not.
 func (d *decision) due(at time.Time) bool {
 	if d.Now.Before(at) {
 		d.wakeAt(at)
@@ -251,8 +257,8 @@
 	return true
 }
 
-func (d *decision) call(o Order, server string, term uint64, peer string, timeout time.Duration) {
-	d.add(Call{Order: o, Server: server, Term: term, Peer: peer, Sent: d.Now, Timeout: timeout})
+func (d *decision) sendOrder(o Order, server string, term uint64, peer string, timeout time.Duration) {
+	d.emit(Call{Order: o, Server: server, Term: term, Peer: peer, Sent: d.Now, Timeout: timeout})
 }
 
 func (d *decision) inService(server string) bool {
@@ -260,14 +266,15 @@
 	return s != nil && d.Config.ServerState(s) == state.InService
 }
 
-// waiting reports whether requests of this VM wait for the group.
-func (d *decision) waiting() bool { return len(d.State.Waiters) > 0 }
+// hasWaiters reports whether requests on this VM are waiting for the group.
+func (d *decision) hasWaiters() bool { return len(d.State.Waiters) > 0 }
 
-// acts reports whether this VM acts for the group at all.
-func (d *decision) acts() bool { return d.Part.Watcher || d.waiting() }
+// mayAct reports whether this VM may act on the group at present.
+func (d *decision) mayAct() bool { return d.Part.Watcher || d.hasWaiters() }
 
-// watcherOrder is the position of this VM among the watchers of the group: the
-// order of their data centres among the servers that can take over.
+// watcherOrder returns the position of this VM among the watchers of the group.
+// Watchers are ordered as their data centres first appear in the list of the
+// servers other than the primary.
 func (d *decision) watcherOrder() int {
 	order := 0
 	seen := make(map[string]bool)
@@ -284,7 +291,7 @@
 	return order
 }
 
-// stagger is how long this VM leaves a task to others.
+// stagger returns how long this VM waits for other VMs to act first.
 func (d *decision) stagger() time.Duration {
 	if d.Part.Watcher {
 		return time.Duration(d.watcherOrder()) * watcherStagger
--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func st(server string, adopted, logTerm, position uint64) state.ServerStatus {
+func newStatus(server string, adopted, logTerm, position uint64) state.ServerStatus {
 	s := state.ServerStatus{Server: server, Role: state.Replica, Primary: "a", AdoptedTerm: adopted, LogTerm: logTerm, Position: position}
 	if server == "a" {
 		s.Role, s.Primary = state.Primary, ""
@@ -20,8 +20,8 @@
 	return s
 }
 
-// newInput returns a group of a, b and c, one per data centre, whose primary a
-// answered at start like the others.
+// newInput returns a group of servers a, b and c in three data centres. The
+// primary is a, and all servers answered at start.
 func newInput(part Part, states ...state.ServiceState) Input {
 	grp := &state.Group{Name: "g"}
 	g := &state.GroupState{Name: "g", Servers: map[string]*state.ServerView{}}
@@ -31,7 +31,7 @@
 			s.State = states[i]
 		}
 		grp.Servers = append(grp.Servers, s)
-		g.Observe(st(name, 1, 1, 10), start)
+		g.Observe(newStatus(name, 1, 1, 10), start)
 	}
 	g.Round.Started = start
 	part.HasIndex = true
@@ -43,7 +43,8 @@
 	return *in
 }
 
-// calls returns the orders among the effects, as "order server".
+// calls returns the orders among the effects, formatted as "order server", and
+// the first call.
 func calls(effects []Effect) (orders []string, first Call) {
 	for _, e := range effects {
 		if c, ok := e.(Call); ok {
@@ -57,7 +58,7 @@
 }
 
 // Guards against promoting a server that may lack acknowledged writes, and
-// against promoting a server that is leaving although another one will do.
+// against promoting a leaving server although another candidate is eligible.
 func TestChoose(t *testing.T) {
 	const in, out = state.InService, state.Leaving
 	for name, c := range map[string]struct {
@@ -66,35 +67,35 @@
 		target  string
 		want    string
 	}{
-		"higher position":              {adopted: []state.ServerStatus{st("b", 9, 1, 10), st("c", 9, 1, 11)}, want: "c"},
-		"later term before position":   {adopted: []state.ServerStatus{st("b", 9, 2, 10), st("c", 9, 1, 11)}, want: "b"},
-		"equal: working primary":       {adopted: []state.ServerStatus{st("c", 9, 1, 10), st("a", 9, 1, 10)}, want: "a"},
-		"equal: target of switchover":  {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{st("a", 9, 1, 10), st("b", 9, 1, 10), st("c", 9, 1, 10)}, target: "c", want: "c"},
-		"target behind":                {adopted: []state.ServerStatus{st("b", 9, 1, 10), st("c", 9, 1, 9)}, target: "c", want: "b"},
-		"leaving, majority without it": {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{st("a", 9, 1, 12), st("b", 9, 1, 10), st("c", 9, 1, 11)}, want: "c"},
-		"leaving, needed":              {states: []state.ServiceState{in, out, in}, adopted: []state.ServerStatus{st("b", 9, 1, 12), st("c", 9, 1, 11)}, want: "b"},
+		"higher position":              {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
+		"later term before position":   {adopted: []state.ServerStatus{newStatus("b", 9, 2, 10), newStatus("c", 9, 1, 11)}, want: "b"},
+		"equal: working primary":       {adopted: []state.ServerStatus{newStatus("c", 9, 1, 10), newStatus("a", 9, 1, 10)}, want: "a"},
+		"equal: target of switchover":  {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 10), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 10)}, target: "c", want: "c"},
+		"target behind":                {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 9)}, target: "c", want: "b"},
+		"leaving, majority without it": {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
+		"leaving, needed":              {states: []state.ServiceState{in, out, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
 	} {
 		d := &decision{Input: newInput(Part{}, c.states...)}
-		d.f = &d.State.Failover
-		d.f.Candidate, d.f.Adopted = c.target, map[string]state.ServerStatus{}
+		d.failover = &d.State.Failover
+		d.failover.Candidate, d.failover.Adopted = c.target, map[string]state.ServerStatus{}
 		for _, s := range c.adopted {
-			d.f.Adopted[s.Server] = s
+			d.failover.Adopted[s.Server] = s
 		}
-		if got := d.choose(); got != c.want {
+		if got := d.chooseCandidate(); got != c.want {
 			t.Errorf("%s: chose %s, want %s", name, got, c.want)
 		}
 	}
 }
 
-// silence makes queries to the servers fail at once and from then on, while b
-// and c answer unless they are among them.
-func (in *Input) silence(at time.Duration, servers ...string) {
+// failQueries makes all servers answer at the given time, except for the named
+// ones, whose queries have failed since start.
+func (in *Input) failQueries(at time.Duration, servers ...string) {
 	for _, s := range in.Group.Servers {
-		in.State.Observe(st(s.Name, 1, 1, 10), start.Add(at))
+		in.State.Observe(newStatus(s.Name, 1, 1, 10), start.Add(at))
 	}
 	for _, name := range servers {
 		v := in.State.View(name)
-		v.SilentSince, v.Missed, v.FailedAt = start, missedProbes, start
+		v.SilentSince, v.Missed, v.FailedAt = start, maxMissedProbes, start
 	}
 }
 
@@ -109,10 +110,10 @@
 		silent  []string
 		want    time.Duration
 	}{
-		"first watcher, requests wait":  {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, pressedSilence},
-		"second watcher":                {Part{Watcher: true, DataCentre: "dc-c"}, true, []string{"a"}, pressedSilence + watcherStagger},
-		"watcher, nobody waits":         {Part{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, missedSilence},
-		"other VM, requests wait":       {Part{Rank: 1, DataCentre: "dc-b"}, true, []string{"a"}, pressedSilence + 2*waiterStagger},
+		"first watcher, requests wait":  {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters},
+		"second watcher":                {Part{Watcher: true, DataCentre: "dc-c"}, true, []string{"a"}, silenceWithWaiters + watcherStagger},
+		"watcher, nobody waits":         {Part{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, silenceWithoutWaiters},
+		"other VM, requests wait":       {Part{Rank: 1, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters + 2*waiterStagger},
 		"other VM, nobody waits":        {Part{Rank: 0, DataCentre: "dc-b"}, false, []string{"a"}, never},
 		"primary of a newer ticket":     {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, never},
 		"no majority":                   {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a", "c"}, never},
@@ -127,7 +128,7 @@
 		}
 		var got time.Duration
 		for at := 10 * time.Millisecond; at <= 3*time.Second && got == 0; at += 10 * time.Millisecond {
-			in.silence(at, c.silent...)
+			in.failQueries(at, c.silent...)
 			if orders, _ := calls(Tick(in.at(at))); len(orders) > 0 {
 				got = at
 				if diff := cmp.Diff([]string{"adopt a", "adopt b", "adopt c"}, orders); diff != "" {
@@ -141,77 +142,78 @@
 	}
 }
 
-// begun returns a watcher's attempt whose adopt orders are out.
-func begun(t *testing.T) (in Input, adopt Call) {
+// startedAttempt returns the input of a watcher that has just sent its adopt
+// orders, and the first of them.
+func startedAttempt(t *testing.T) (in Input, adopt Call) {
 	t.Helper()
 	in = newInput(Part{Watcher: true, DataCentre: "dc-b", Index: 7})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
-	in.silence(pressedSilence, "a")
-	orders, adopt := calls(Tick(in.at(pressedSilence)))
+	in.failQueries(silenceWithWaiters, "a")
+	orders, adopt := calls(Tick(in.at(silenceWithWaiters)))
 	if len(orders) != 3 || adopt.Term != 1<<indexBits|7 {
 		t.Fatalf("orders %v, first %+v", orders, adopt)
 	}
 	return in, adopt
 }
 
-// answers passes the end of an order of the given term to the decisions.
-func (in *Input) answers(o Order, server string, term uint64, r Result, s state.ServerStatus) []string {
+// deliver processes the outcome of an order and returns the orders that follow.
+func (in *Input) deliver(o Order, server string, term uint64, r Result, s state.ServerStatus) []string {
 	c := Call{Order: o, Server: server, Term: term, Peer: in.State.Failover.Candidate, Sent: in.Now}
 	orders, _ := calls(Answer(*in, c, Outcome{Result: r, Status: s}))
 	return orders
 }
 
-// Guards against a majority that is counted from repeated, refused, late or
-// misdirected answers.
+// Guards against counting repeated, refused, late or misdirected answers towards
+// the majority.
 func TestOnlyOwnAdoptersCount(t *testing.T) {
-	in, adopt := begun(t)
+	in, adopt := startedAttempt(t)
 	term := adopt.Term
 	for name, orders := range map[string][]string{
-		"first":         in.answers(Adopt, "b", term, Done, st("b", term, 1, 10)),
-		"repeated":      in.answers(Adopt, "b", term, Done, st("b", term, 1, 10)),
-		"other server":  in.answers(Adopt, "a", term, Done, st("b", term, 1, 10)),
-		"earlier term":  in.answers(Adopt, "c", term-1, Done, st("c", term-1, 1, 10)),
-		"other's grant": in.answers(Adopt, "a", term, Refused, st("a", term, 1, 10)),
+		"first":         in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"repeated":      in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"other server":  in.deliver(Adopt, "a", term, Done, newStatus("b", term, 1, 10)),
+		"earlier term":  in.deliver(Adopt, "c", term-1, Done, newStatus("c", term-1, 1, 10)),
+		"other's grant": in.deliver(Adopt, "a", term, Refused, newStatus("a", term, 1, 10)),
 	} {
 		if len(orders) != 0 {
 			t.Errorf("%s answer led to %v", name, orders)
 		}
 	}
-	if diff := cmp.Diff([]string{"promote c"}, in.answers(Adopt, "c", term, Done, st("c", term, 1, 11))); diff != "" {
+	if diff := cmp.Diff([]string{"promote c"}, in.deliver(Adopt, "c", term, Done, newStatus("c", term, 1, 11))); diff != "" {
 		t.Errorf("orders after a majority (-want +got):\n%s", diff)
 	}
-	leads := st("c", term, term, 12)
+	leads := newStatus("c", term, term, 12)
 	leads.Role = state.Primary
-	if diff := cmp.Diff([]string{"follow a", "follow b"}, in.answers(Promote, "c", term, Done, leads)); diff != "" {
+	if diff := cmp.Diff([]string{"follow a", "follow b"}, in.deliver(Promote, "c", term, Done, leads)); diff != "" {
 		t.Errorf("orders after the promotion (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against a term that is used twice after an order without an answer,
-// and against outbidding another promoter at once.
+// Guards against reusing a term after an unanswered order, and against
+// superseding another VM's attempt immediately.
 func TestRetryUsesAHigherTerm(t *testing.T) {
-	for result, earliest := range map[Result]time.Duration{Failed: retryBase, Refused: promotionPatience} {
-		in, adopt := begun(t)
+	for result, earliest := range map[Result]time.Duration{Failed: retryBase, Refused: promotionGrace} {
+		in, adopt := startedAttempt(t)
 		promised := map[Result]uint64{Failed: adopt.Term, Refused: 5 << indexBits}[result]
-		in.answers(Adopt, "b", adopt.Term, result, st("b", promised, 1, 10))
-		in.answers(Adopt, "a", adopt.Term, Failed, state.ServerStatus{})
-		next, at := Call{}, pressedSilence
+		in.deliver(Adopt, "b", adopt.Term, result, newStatus("b", promised, 1, 10))
+		in.deliver(Adopt, "a", adopt.Term, Failed, state.ServerStatus{})
+		next, at := Call{}, silenceWithWaiters
 		for ; next.Term == 0 && at < 3*time.Second; at += 10 * time.Millisecond {
-			in.silence(at, "a")
-			in.State.Observe(st("b", promised, 1, 10), start.Add(at))
+			in.failQueries(at, "a")
+			in.State.Observe(newStatus("b", promised, 1, 10), start.Add(at))
 			_, next = calls(Tick(in.at(at)))
 		}
-		if next.Order != Adopt || next.Term <= promised || at < pressedSilence+earliest {
-			t.Errorf("result %d: %v after %v", result, next, at-pressedSilence)
+		if next.Order != Adopt || next.Term <= promised || at < silenceWithWaiters+earliest {
+			t.Errorf("result %d: %v after %v", result, next, at-silenceWithWaiters)
 		}
 	}
 	if _, ok := nextTerm(math.MaxUint64, 1); ok {
-		t.Error("a term above the highest possible one was made")
+		t.Error("nextTerm returned a term above the highest possible one")
 	}
 }
 
-// Guards against a drained primary that nobody lets work again, and against a
-// resume that breaks another VM's switchover.
+// Guards against a drained primary that is never resumed, and against a resume
+// that aborts another VM's switchover.
 func TestSwitchover(t *testing.T) {
 	for result, want := range map[Result][]string{
 		Done:    {"adopt a", "adopt b", "adopt c"},
@@ -223,22 +225,22 @@
 		if len(orders) != 1 || first.Order != Switchover || first.Peer != "b" {
 			t.Fatalf("orders %v, first %+v", orders, first)
 		}
-		got := in.answers(Switchover, "a", 1, result, st("a", 1, 1, 10))
+		got := in.deliver(Switchover, "a", 1, result, newStatus("a", 1, 1, 10))
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("orders after result %d (-want +got):\n%s", result, diff)
 		}
 	}
 }
 
-// Guards against a VM with an old view that deposes a primary which another VM
-// has promoted: a majority answered before the new primary did.
+// Guards against deposing a primary that another VM has just promoted: a majority
+// of the servers answers before the new primary is queried.
 func TestPromotedPrimaryIsAskedFirst(t *testing.T) {
 	const term = 3 << indexBits
 	in := newInput(Part{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	observe := func(at time.Duration, servers ...string) []string {
 		for _, name := range servers {
-			s := st(name, term, term, 11)
+			s := newStatus(name, term, term, 11)
 			s.Role, s.Primary = state.Replica, "c"
 			if name == "c" {
 				s.Role, s.Primary = state.Primary, ""
@@ -249,28 +251,28 @@
 		return orders
 	}
 	at := time.Duration(0)
-	for ; at <= 2*promotionPatience; at += 10 * time.Millisecond {
+	for ; at <= 2*promotionGrace; at += 10 * time.Millisecond {
 		if orders := observe(at, "a", "b"); len(orders) > 0 {
-			t.Fatalf("orders %v after %v, although b follows c and c was not asked", orders, at)
+			t.Fatalf("orders %v after %v, although b follows c and c was not queried", orders, at)
 		}
 	}
 	if orders := observe(at, "c"); len(orders) > 0 || in.State.Primary != "c" {
 		t.Errorf("orders %v, primary %s after c has answered", orders, in.State.Primary)
 	}
-	// The same if another VM tells of the promotion when the group has been
-	// without a primary for long.
+	// The same if another VM reports the promotion after the group has had no
+	// primary for a long time.
 	in = newInput(Part{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
-	for at = 0; at < promotionPatience; at += 10 * time.Millisecond {
+	for at = 0; at < promotionGrace; at += 10 * time.Millisecond {
 		observe(at, "a", "b")
 	}
 	Merge(in.at(at), term, "c", false)
-	for ; at <= 2*promotionPatience; at += 10 * time.Millisecond {
+	for ; at <= 2*promotionGrace; at += 10 * time.Millisecond {
 		if orders := observe(at, "a", "b"); len(orders) > 0 {
-			t.Fatalf("orders %v after %v, although c was promoted and not asked", orders, at)
+			t.Fatalf("orders %v after %v, although c was promoted and not queried", orders, at)
 		}
 	}
-	// A new primary that does not answer is replaced.
+	// A new primary that does not answer must be replaced.
 	in = newInput(Part{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	var orders []string
--- a/coordination/failover/model_servers_test.go
+++ b/coordination/failover/model_servers_test.go
@@ -11,30 +11,30 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// sim runs the decisions of several VMs against model servers in virtual time.
+// sim runs the decisions of several VMs against simulated servers in virtual time.
 type sim struct {
-	rng    *rand.Rand
-	now    time.Time
-	events []event // in order of time
-	faulty bool    // messages are lost, late and repeated
-	busy   bool    // clients send requests, and VMs exchange views
-	// ackOnCommit breaks the acknowledgement rule: writes are acknowledged when
-	// the primary has committed them.
+	rng           *rand.Rand
+	now           time.Time
+	events        []event // ordered by time
+	faulty        bool    // messages are lost, delayed and duplicated
+	clientsActive bool    // clients send requests, and VMs exchange states
+	// ackOnCommit violates the acknowledgement rule: writes are acknowledged once
+	// the primary alone has committed them.
 	ackOnCommit bool
 
-	cfg     *state.Config
-	group   *state.Group
-	servers map[string]*simServer
-	vms     []*simVM
-	cut     map[[2]string]bool // pairs that cannot talk; an empty name stands for all others
-	// dataCentres holds the data centre of each VM and server. One that is cut
-	// off reaches only itself.
+	cfg        *state.Config
+	group      *state.Group
+	servers    map[string]*simServer
+	vms        []*simVM
+	partitions map[[2]string]bool // pairs that cannot communicate; an empty name stands for all others
+	// dataCentres holds the data centre of each VM and server. A partitioned data
+	// centre is reachable only from inside.
 	dataCentres map[string]string
 
-	leaders  map[uint64]string // server that was promoted in a term
-	acked    map[int]time.Time // when a write was acknowledged
-	nextID   int
-	failures []string
+	leaders      map[uint64]string // server that was promoted in a term
+	acknowledged map[int]time.Time // when a write was acknowledged
+	nextID       int
+	failures     []string
 }
 
 type event struct {
@@ -42,12 +42,12 @@
 	run func()
 }
 
-func (s *sim) at(t time.Time, f func()) {
+func (s *sim) schedule(t time.Time, f func()) {
 	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].at.After(t) })
 	s.events = slices.Insert(s.events, i, event{t, f})
 }
 
-func (s *sim) after(d time.Duration, f func()) { s.at(s.now.Add(d), f) }
+func (s *sim) after(d time.Duration, f func()) { s.schedule(s.now.Add(d), f) }
 
 func (s *sim) runUntil(t time.Time) {
 	for len(s.events) > 0 && !s.events[0].at.After(t) {
@@ -58,40 +58,40 @@
 	s.now = t
 }
 
-func (s *sim) fail(format string, args ...any) {
+func (s *sim) failf(format string, args ...any) {
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// between returns a random duration of lo to hi milliseconds.
-func (s *sim) between(lo, hi float64) time.Duration {
+// randomMillis returns a random duration between lo and hi milliseconds.
+func (s *sim) randomMillis(lo, hi float64) time.Duration {
 	return time.Duration((lo + s.rng.Float64()*(hi-lo)) * float64(time.Millisecond))
 }
 
-func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
+func (s *sim) withProbability(p float64) bool { return s.rng.Float64() < p }
 
-func (s *sim) reach(a, b string) bool {
+func (s *sim) connected(a, b string) bool {
 	da, db := s.dataCentres[a], s.dataCentres[b]
-	return !s.cut[[2]string{a, b}] && !s.cut[[2]string{b, a}] && !s.cut[[2]string{a, ""}] && !s.cut[[2]string{b, ""}] &&
-		(da == db || !s.cut[[2]string{da, ""}] && !s.cut[[2]string{db, ""}])
+	return !s.partitions[[2]string{a, b}] && !s.partitions[[2]string{b, a}] && !s.partitions[[2]string{a, ""}] && !s.partitions[[2]string{b, ""}] &&
+		(da == db || !s.partitions[[2]string{da, ""}] && !s.partitions[[2]string{db, ""}])
 }
 
-// send delivers f after a delay; in the faulty phase it may be lost, late or
-// delivered twice.
+// send runs f after a network delay. In the fault phase the message may be lost,
+// delayed or duplicated.
 func (s *sim) send(from, to string, f func()) {
 	copies := 1
-	if s.faulty && s.chance(0.02) {
+	if s.faulty && s.withProbability(0.02) {
 		copies = 2
 	}
 	for range copies {
-		delay := s.between(0.2, 1.5)
-		if s.faulty && s.chance(0.02) {
-			delay = s.between(20, 900)
+		delay := s.randomMillis(0.2, 1.5)
+		if s.faulty && s.withProbability(0.02) {
+			delay = s.randomMillis(20, 900)
 		}
-		if s.faulty && s.chance(0.01) || !s.reach(from, to) {
+		if s.faulty && s.withProbability(0.01) || !s.connected(from, to) {
 			continue
 		}
 		s.after(delay, func() {
-			if s.reach(from, to) {
+			if s.connected(from, to) {
 				f()
 			}
 		})
@@ -103,7 +103,7 @@
 	id   int // zero in the record that starts a term
 }
 
-// simServer is a backend server. Its log and promises survive a crash.
+// simServer is a backend server. Its log and adopted term survive a crash.
 type simServer struct {
 	*sim
 	name        string
@@ -115,7 +115,7 @@
 	switching   string
 	log         []record
 	starts      []state.TermStart
-	truncations uint64 // how often a tail was dropped
+	truncations uint64 // how often a tail of the log was dropped
 }
 
 func (s *simServer) logTerm() uint64 { return s.starts[len(s.starts)-1].Term }
@@ -147,12 +147,12 @@
 	}
 }
 
-func (s *simServer) has(id int) bool {
+func (s *simServer) holds(id int) bool {
 	return slices.ContainsFunc(s.log, func(r record) bool { return r.id == id })
 }
 
-// order carries out an order and reports whether it was refused.
-func (s *simServer) order(c failover.Call) (refused bool) {
+// execute carries out an order and reports whether it was refused.
+func (s *simServer) execute(c failover.Call) (refused bool) {
 	switch leads := s.leads(c.Term); {
 	case c.Order == failover.Adopt && c.Term > s.adopted:
 		s.adopted, s.switching = c.Term, ""
@@ -164,7 +164,7 @@
 		s.switching = ""
 	case c.Order == failover.Promote && c.Term == s.adopted:
 		if other := s.leaders[c.Term]; other != "" && other != s.name {
-			s.fail("%s and %s were promoted in term %x", other, s.name, c.Term)
+			s.failf("%s and %s were promoted in term %x", other, s.name, c.Term)
 		}
 		s.leaders[c.Term] = s.name
 		s.role, s.follows = state.Primary, ""
@@ -177,11 +177,11 @@
 	return false
 }
 
-// replicate copies a random part of the primary's log now and then.
+// replicate periodically copies a random part of the primary's log.
 func (s *simServer) replicate() {
-	s.after(s.between(1, 6), s.replicate)
+	s.after(s.randomMillis(1, 6), s.replicate)
 	p := s.servers[s.follows]
-	if s.role != state.Replica || p == nil || !s.running() || !p.running() || !s.reach(s.name, p.name) || !p.leads(s.adopted) {
+	if s.role != state.Replica || p == nil || !s.running() || !p.running() || !s.connected(s.name, p.name) || !p.leads(s.adopted) {
 		return
 	}
 	n := min(len(s.log), len(p.log))
@@ -198,14 +198,14 @@
 
 func (s *simServer) running() bool { return s.up && !s.now.Before(s.pausedUntil) }
 
-// deliver runs f when the server is not paused, and refuses at once if it is
-// down.
+// deliver runs f once the server is not paused. If the server is down, it runs
+// refuse instead.
 func (s *simServer) deliver(f, refuse func()) {
 	switch {
 	case !s.up:
 		refuse()
 	case s.now.Before(s.pausedUntil):
-		s.at(s.pausedUntil, func() { s.deliver(f, refuse) })
+		s.schedule(s.pausedUntil, func() { s.deliver(f, refuse) })
 	default:
 		f()
 	}
--- a/coordination/failover/model_test.go
+++ b/coordination/failover/model_test.go
@@ -28,12 +28,13 @@
 	healPhase  = 8 * time.Second
 )
 
-// newSim returns a group of 3 or 5 servers in three data centres, with four VMs.
+// newSim returns a simulation of a group of 3 or 5 servers in three data centres
+// and of four VMs.
 func newSim(seed uint64) *sim {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1000, 0), faulty: true, busy: true,
-		servers: make(map[string]*simServer), cut: make(map[[2]string]bool),
-		leaders: make(map[uint64]string), acked: make(map[int]time.Time), dataCentres: make(map[string]string),
+		rng: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1000, 0), faulty: true, clientsActive: true,
+		servers: make(map[string]*simServer), partitions: make(map[[2]string]bool),
+		leaders: make(map[uint64]string), acknowledged: make(map[int]time.Time), dataCentres: make(map[string]string),
 	}
 	s.group = &state.Group{Name: "g"}
 	for i := range 3 + 2*int(seed%3/2) {
@@ -43,7 +44,7 @@
 		srv.append(record{term: 1})
 		s.servers[name] = srv
 		s.dataCentres[name] = s.group.Servers[i].DataCentre
-		s.after(s.between(0, 5), srv.replicate)
+		s.after(s.randomMillis(0, 5), srv.replicate)
 	}
 	s.servers["a"].role, s.servers["a"].follows = state.Primary, ""
 	s.leaders[1] = "a"
@@ -55,40 +56,40 @@
 	return s
 }
 
-// faults injects random faults, each of which ends after a while.
-func (s *sim) faults() {
+// injectFaults keeps injecting random faults of limited duration.
+func (s *sim) injectFaults() {
 	if !s.faulty {
 		return
 	}
-	s.after(s.between(50, 500), s.faults)
+	s.after(s.randomMillis(50, 500), s.injectFaults)
 	server, other := s.anyServer(), s.anyServer()
-	if p := s.primary(); p != nil && s.chance(0.5) {
+	if p := s.primary(); p != nil && s.withProbability(0.5) {
 		server = p
 	}
 	vm := s.vms[s.rng.IntN(len(s.vms))]
-	lasts := s.between(20, 2500)
+	duration := s.randomMillis(20, 2500)
 	switch s.rng.IntN(8) {
 	case 0, 1:
-		s.cutFor(lasts, server.name, "")
+		s.partitionFor(duration, server.name, "")
 	case 2:
-		if s.chance(0.5) {
-			s.cutFor(lasts, server.name, vm.name)
+		if s.withProbability(0.5) {
+			s.partitionFor(duration, server.name, vm.name)
 		} else {
-			s.cutFor(lasts, s.dataCentres[server.name], "")
+			s.partitionFor(duration, s.dataCentres[server.name], "")
 		}
 	case 3:
-		s.cutFor(lasts, server.name, other.name)
+		s.partitionFor(duration, server.name, other.name)
 	case 4:
 		server.up = false
-		s.after(lasts, func() { server.up = true })
+		s.after(duration, func() { server.up = true })
 	case 5:
-		server.pausedUntil = s.now.Add(lasts)
+		server.pausedUntil = s.now.Add(duration)
 	case 6:
 		vm.up = false
-		s.after(lasts, func() { s.restart(vm.index) })
+		s.after(duration, func() { s.restart(vm.index) })
 	case 7:
-		if s.chance(0.5) {
-			vm.pausedUntil = s.now.Add(lasts)
+		if s.withProbability(0.5) {
+			vm.pausedUntil = s.now.Add(duration)
 		} else {
 			s.setState(server.name, []state.ServiceState{state.Leaving, state.Out, state.InService}[s.rng.IntN(3)])
 		}
@@ -99,9 +100,9 @@
 	return s.servers[s.group.Servers[s.rng.IntN(len(s.group.Servers))].Name]
 }
 
-func (s *sim) cutFor(d time.Duration, a, b string) {
-	s.cut[[2]string{a, b}] = true
-	s.after(d, func() { delete(s.cut, [2]string{a, b}) })
+func (s *sim) partitionFor(d time.Duration, a, b string) {
+	s.partitions[[2]string{a, b}] = true
+	s.after(d, func() { delete(s.partitions, [2]string{a, b}) })
 }
 
 func (s *sim) restart(i int) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// setState issues a ticket that reaches the VMs one after the other.
+// setState issues a ticket that reaches each VM after a random delay.
 func (s *sim) setState(server string, st state.ServiceState) {
 	grp := &state.Group{Name: "g", Servers: append([]state.BackendServer(nil), s.group.Servers...)}
 	grp.Server(server).State = st
@@ -118,7 +119,7 @@
 	cfg := &state.Config{Ticket: state.TicketID{Number: s.cfg.Ticket.Number + 1}, Groups: map[string]*state.Group{"g": grp}}
 	s.cfg = cfg
 	for i := range s.vms {
-		s.after(s.between(0, 1500), func() {
+		s.after(s.randomMillis(0, 1500), func() {
 			if v := s.vms[i]; cfg.Ticket.Number > v.cfg.Ticket.Number {
 				v.cfg = cfg
 			}
@@ -126,10 +127,10 @@
 	}
 }
 
-// heal ends all faults. Then one server is taken out of service or none.
+// heal ends all faults, and in half of the runs then lets one server leave.
 func (s *sim) heal() {
 	s.faulty = false
-	s.cut = make(map[[2]string]bool)
+	s.partitions = make(map[[2]string]bool)
 	for _, srv := range s.servers {
 		srv.up, srv.pausedUntil = true, s.now
 	}
@@ -140,19 +141,19 @@
 	for _, srv := range s.group.Servers {
 		s.setState(srv.Name, state.InService)
 	}
-	if s.chance(0.5) {
+	if s.withProbability(0.5) {
 		s.after(2*time.Second, func() { s.setState(s.anyServer().name, state.Leaving) })
 	}
 }
 
 func (s *sim) run() []string {
-	s.faults()
+	s.injectFaults()
 	s.runUntil(s.now.Add(faultPhase))
 	s.heal()
 	s.runUntil(s.now.Add(healPhase - 4*time.Second))
-	before := len(s.acked)
+	before := len(s.acknowledged)
 	s.runUntil(s.now.Add(time.Second))
-	s.busy = false
+	s.clientsActive = false
 	s.runUntil(s.now.Add(3 * time.Second))
 	s.check(before)
 	return s.failures
@@ -169,42 +170,42 @@
 	return primary
 }
 
-// check looks at the end state: one primary that all servers follow, no
-// acknowledged write missing, one result for every waiter.
-func (s *sim) check(ackedBefore int) {
-	if len(s.acked) == ackedBefore {
-		s.fail("no write was acknowledged after the faults had ended")
+// check verifies the final state: one primary that all servers follow, no
+// missing acknowledged write, and exactly one result for every waiter.
+func (s *sim) check(acknowledgedBefore int) {
+	if len(s.acknowledged) == acknowledgedBefore {
+		s.failf("no write was acknowledged after the faults had ended")
 	}
 	primary := s.primary()
 	if primary == nil {
-		s.fail("the group has no primary")
+		s.failf("the group has no primary")
 		return
 	}
 	if s.group.Server(primary.name).State != state.InService {
-		s.fail("the primary %s is leaving", primary.name)
+		s.failf("the primary %s is leaving", primary.name)
 	}
 	for _, srv := range s.servers {
 		if srv != primary && (srv.follows != primary.name || len(srv.log) != len(primary.log)) {
-			s.fail("%s does not follow %s: %+v", srv.name, primary.name, srv.status())
+			s.failf("%s does not follow %s: %+v", srv.name, primary.name, srv.status())
 		}
 	}
-	for id := range s.acked {
-		if !primary.has(id) {
-			s.fail("acknowledged write %d is missing", id)
+	for id := range s.acknowledged {
+		if !primary.holds(id) {
+			s.failf("acknowledged write %d is missing", id)
 		}
 	}
 	for _, v := range s.vms {
 		for id, w := range v.waits {
 			if w.results != 1 {
-				s.fail("%s: waiter %v of kind %d got %d results", v.name, id, w.waiter.Kind, w.results)
+				s.failf("%s: waiter %v of kind %d got %d results", v.name, id, w.waiter.Kind, w.results)
 			}
 		}
 	}
 }
 
-// forSeeds runs f for every seed on all processors.
+// forSeeds runs f for every seed, in parallel.
 func forSeeds(f func(seed uint64)) {
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the simulations allocate much and keep little
+	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the simulations allocate much short-lived memory
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -213,9 +214,9 @@
 	_ = g.Wait() // the functions return no errors
 }
 
-// Guards against lost acknowledged writes, two primaries of one term, stale
-// reads, waiters without a result and groups that stay without a primary, under
-// random faults of servers, VMs and the network.
+// Guards against lost acknowledged writes, two primaries in one term, stale reads,
+// waiters without a result and groups that stay without a primary, under random
+// faults of servers, VMs and the network.
 func TestModel(t *testing.T) {
 	var mu sync.Mutex
 	acked, terms := 0, 0
@@ -224,7 +225,7 @@
 		failures := s.run()
 		mu.Lock()
 		defer mu.Unlock()
-		acked += len(s.acked)
+		acked += len(s.acknowledged)
 		terms += len(s.leaders)
 		for _, f := range failures[:min(len(failures), 5)] {
 			t.Errorf("seed %d: %s", seed, f)
@@ -233,9 +234,9 @@
 	t.Logf("%d seeds, %d acknowledged writes, %d promotions", *seeds, acked, terms)
 }
 
-// Guards against a checker that cannot see a lost write: with writes
-// acknowledged on the primary's commit it must complain.
-func TestModelNoticesAcknowledgementOnCommit(t *testing.T) {
+// Guards against a checker that does not detect lost writes: it must report some
+// if writes are acknowledged on the primary's commit alone.
+func TestModelDetectsAcknowledgementOnCommit(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+50; seed++ {
 		s := newSim(seed)
 		s.ackOnCommit = true
@@ -243,12 +244,12 @@
 			return
 		}
 	}
-	t.Error("no lost write was noticed in 50 seeds")
+	t.Error("no lost write was detected in 50 seeds")
 }
 
-// Guards against a longer failover gap than promised: less than 1 s between
-// acknowledged writes when the primary is isolated, and hardly any when it is
-// handed over.
+// Guards against a failover gap above the target: less than 1 s between
+// acknowledged writes when the primary is isolated, and less than 100 ms in a
+// planned switchover.
 func TestGap(t *testing.T) {
 	for name, limit := range map[string]time.Duration{"isolated": time.Second, "leaving": 100 * time.Millisecond} {
 		var worst time.Duration
@@ -258,7 +259,7 @@
 			s.runUntil(s.now.Add(time.Second))
 			old := s.primary()
 			if name == "isolated" {
-				s.cut[[2]string{old.name, ""}] = true
+				s.partitions[[2]string{old.name, ""}] = true
 			} else {
 				s.setState(old.name, state.Leaving)
 			}
@@ -266,7 +267,7 @@
 			if s.primary() == old {
 				t.Errorf("%s, seed %d: the primary did not change", name, seed)
 			}
-			acks := append(slices.SortedFunc(maps.Values(s.acked), time.Time.Compare), s.now)
+			acks := append(slices.SortedFunc(maps.Values(s.acknowledged), time.Time.Compare), s.now)
 			for i := range acks[1:] {
 				worst = max(worst, acks[i+1].Sub(acks[i]))
 			}
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -10,8 +10,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// simVM runs the decisions of one VM as the driver does. A VM that restarts is
-// a new simVM, and messages to the old one are dropped.
+// simVM drives the decisions of one VM. A restart creates a new simVM; messages
+// to the old one are dropped.
 type simVM struct {
 	*sim
 	index       int
@@ -19,45 +19,45 @@
 	dataCentre  string
 	up          bool
 	pausedUntil time.Time
-	cfg         *state.Config // the ticket that has reached this VM
+	cfg         *state.Config // of the latest ticket that has reached this VM
 	g           *state.GroupState
-	timer       time.Time // when the timer runs; zero if it does not
+	timer       time.Time // when the timer expires; zero if it is not set
 	waits       map[state.WaiterID]*simWait
 }
 
 // simWait is a waiter that must get exactly one result.
 type simWait struct {
-	waiter  state.PositionWaiter
-	results int
-	then    func(replication.Result)
+	waiter   state.PositionWaiter
+	results  int
+	onResult func(replication.Result)
 }
 
 func (s *sim) startVM(i int) {
 	v := &simVM{sim: s, index: i, name: fmt.Sprint("vm", i), dataCentre: fmt.Sprint("dc", i%3), up: true, cfg: s.cfg,
 		g: &state.GroupState{Name: "g", Servers: make(map[string]*state.ServerView)}, waits: make(map[state.WaiterID]*simWait)}
 	s.vms[i], s.dataCentres[v.name] = v, v.dataCentre
-	v.event(nil, nil)
-	v.every(250, 400, v.exchange)
-	v.every(10, 120, v.write)
-	v.every(30, 400, func() { v.read(0, state.Point{}, true) })
+	v.process(nil, nil)
+	v.repeat(250, 400, v.exchange)
+	v.repeat(10, 120, v.write)
+	v.repeat(30, 400, func() { v.read(0, state.Point{}, true) })
 }
 
-// every repeats f at random intervals while the VM is up.
-func (v *simVM) every(lo, hi float64, f func()) {
-	v.after(v.between(lo, hi), v.local(func() {
-		if v.busy {
+// repeat repeats f at random intervals while the VM is up.
+func (v *simVM) repeat(lo, hi float64, f func()) {
+	v.after(v.randomMillis(lo, hi), v.onVM(func() {
+		if v.clientsActive {
 			f()
-			v.every(lo, hi, f)
+			v.repeat(lo, hi, f)
 		}
 	}))
 }
 
-// local returns a function that runs f on the VM: later if it is paused, and
-// not at all if it is down.
-func (v *simVM) local(f func()) (bound func()) {
+// onVM returns a function that runs f on the VM: after the pause if the VM is
+// paused, and not at all if it is down.
+func (v *simVM) onVM(f func()) (bound func()) {
 	bound = func() {
 		if v.now.Before(v.pausedUntil) {
-			v.at(v.pausedUntil, bound)
+			v.schedule(v.pausedUntil, bound)
 		} else if v.up {
 			f()
 		}
@@ -65,35 +65,35 @@
 	return bound
 }
 
-func (v *simVM) grp() *state.Group { return v.cfg.Groups["g"] }
+func (v *simVM) currentGroup() *state.Group { return v.cfg.Groups["g"] }
 
-// input makes the first running VM of each data centre a watcher. VMs that apply
-// different tickets can have the same index.
+// input makes the first running VM of each data centre a watcher. Two VMs share
+// each index, which can happen while VMs apply different tickets.
 func (v *simVM) input() failover.Input {
 	first := slices.IndexFunc(v.vms, func(o *simVM) bool { return o.dataCentre == v.dataCentre && o.up })
 	part := failover.Part{Watcher: first == v.index, Rank: v.index, Index: uint16(v.index / 2), HasIndex: true, DataCentre: v.dataCentre}
-	return failover.Input{State: v.g, Config: v.cfg, Group: v.grp(), Part: part, Now: v.now}
+	return failover.Input{State: v.g, Config: v.cfg, Group: v.currentGroup(), Part: part, Now: v.now}
 }
 
-// event carries out the effects of a decision like the driver: then failover is
-// decided on, then positions.
-func (v *simVM) event(positions []replication.Effect, orders []failover.Effect) {
+// process carries out the given effects and those of the decisions that follow, on
+// failover first and then on positions.
+func (v *simVM) process(positions []replication.Effect, orders []failover.Effect) {
 	orders = append(orders, failover.Tick(v.input())...)
 	if slices.Contains(orders, failover.Effect(failover.Probe{})) {
-		positions = append(positions, replication.Probe(v.g, v.grp(), v.now)...)
+		positions = append(positions, replication.Probe(v.g, v.currentGroup(), v.now)...)
 	} else {
-		positions = append(positions, replication.Tick(v.g, v.grp(), v.now)...)
+		positions = append(positions, replication.Tick(v.g, v.currentGroup(), v.now)...)
 	}
 	for _, e := range positions {
 		switch e := e.(type) {
 		case replication.AskStatus:
-			v.ask(e)
+			v.queryStatus(e)
 		case replication.Resolve:
 			w := v.waits[e.ID]
 			if w.results++; w.results > 1 {
-				v.fail("%s: waiter %v got %d results", v.name, e.ID, w.results)
+				v.failf("%s: waiter %v got %d results", v.name, e.ID, w.results)
 			}
-			v.after(0, v.local(func() { w.then(e.Result) }))
+			v.after(0, v.onVM(func() { w.onResult(e.Result) }))
 		case replication.WakeAt:
 			v.wakeAt(e.At)
 		}
@@ -103,42 +103,42 @@
 		case failover.WakeAt:
 			v.wakeAt(e.At)
 		case failover.Call:
-			v.order(e)
+			v.sendOrder(e)
 		}
 	}
 }
 
-// wakeAt sets the timer unless it runs earlier.
+// wakeAt sets the timer unless it expires earlier.
 func (v *simVM) wakeAt(at time.Time) {
 	if !at.After(v.now) {
-		v.fail("%s: a wake-up is not in the future: the VM would spin", v.name)
+		v.failf("%s: the wake-up is not in the future, so the VM would spin", v.name)
 	}
 	if !v.timer.IsZero() && !at.Before(v.timer) {
 		return
 	}
 	v.timer = at
-	v.at(at, v.local(func() {
+	v.schedule(at, v.onVM(func() {
 		if v.timer.Equal(at) {
 			v.timer = time.Time{}
-			v.event(nil, nil)
+			v.process(nil, nil)
 		}
 	}))
 }
 
-// call sends f to a server. end gets its answer or, after the timeout, a
-// failure; sometimes it then still gets the answer, or gets it twice.
+// call runs f on a server. end receives the answer or, after the timeout, a
+// failure. It may receive late and repeated answers as well.
 func (v *simVM) call(server string, timeout time.Duration, f func(s *simServer, reply func(failover.Result)), end func(failover.Outcome)) {
 	ended := false
 	answer := func(o failover.Outcome) func() {
-		return v.local(func() {
-			if !ended || v.chance(0.3) {
+		return v.onVM(func() {
+			if !ended || v.withProbability(0.3) {
 				ended = true
 				end(o)
 			}
 		})
 	}
 	failed := failover.Outcome{Result: failover.Failed}
-	v.after(timeout, v.local(func() {
+	v.after(timeout, v.onVM(func() {
 		if !ended {
 			ended = true
 			end(failed)
@@ -153,28 +153,28 @@
 	})
 }
 
-func (v *simVM) ask(a replication.AskStatus) {
+func (v *simVM) queryStatus(a replication.AskStatus) {
 	v.call(a.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
 		func(o failover.Outcome) {
 			if o.Result == failover.Failed {
 				// A server that is down refuses the connection.
-				v.event(replication.Failure(v.g, v.grp(), a, !v.servers[a.Server].up, v.now), nil)
+				v.process(replication.Failure(v.g, v.currentGroup(), a, !v.servers[a.Server].up, v.now), nil)
 				return
 			}
-			v.event(replication.Answer(v.g, v.grp(), a, o.Status, v.now), nil)
+			v.process(replication.Answer(v.g, v.currentGroup(), a, o.Status, v.now), nil)
 		})
 }
 
-func (v *simVM) order(c failover.Call) {
+func (v *simVM) sendOrder(c failover.Call) {
 	v.call(c.Server, c.Timeout, func(s *simServer, reply func(failover.Result)) {
-		if s.order(c) {
+		if s.execute(c) {
 			reply(failover.Refused)
 		} else if c.Order == failover.Switchover {
 			s.drain(c, 0, reply)
 		} else {
 			reply(failover.Done)
 		}
-	}, func(o failover.Outcome) { v.event(nil, failover.Answer(v.input(), c, o)) })
+	}, func(o failover.Outcome) { v.process(nil, failover.Answer(v.input(), c, o)) })
 }
 
 // drain replies once the successor holds the whole log.
@@ -190,26 +190,26 @@
 	}
 }
 
-// exchange tells another VM what this one knows.
+// exchange sends the state of the group to another VM.
 func (v *simVM) exchange() {
 	to := v.vms[v.rng.IntN(len(v.vms))]
 	term, primary, suspect := v.g.Term, v.g.Primary, !v.g.Failover.SuspectSince.IsZero()
 	if primary == "" || !to.up {
 		return
 	}
-	v.send(v.name, to.name, to.local(func() { to.event(nil, failover.Merge(to.input(), term, primary, suspect)) }))
+	v.send(v.name, to.name, to.onVM(func() { to.process(nil, failover.Merge(to.input(), term, primary, suspect)) }))
 }
 
-// wait adds a waiter; then gets its result.
-func (v *simVM) wait(w state.PositionWaiter, timeout time.Duration, then func(replication.Result)) {
+// wait adds a waiter, whose result is passed to onResult.
+func (v *simVM) wait(w state.PositionWaiter, timeout time.Duration, onResult func(replication.Result)) {
 	v.nextID++
 	w.ID = state.WaiterID{Session: uint64(v.nextID)}
 	w.Joined, w.Deadline = v.now, v.now.Add(timeout)
-	v.waits[w.ID] = &simWait{waiter: w, then: then}
-	v.event(replication.Wait(v.g, v.grp(), w, v.now), nil)
+	v.waits[w.ID] = &simWait{waiter: w, onResult: onResult}
+	v.process(replication.Wait(v.g, v.currentGroup(), w, v.now), nil)
 }
 
-// write is a client's write, from its routing to a read that must see it.
+// write performs a client's write, followed by a read that must see it.
 func (v *simVM) write() {
 	if server, term, ok := v.g.UsablePrimary(); ok {
 		v.writeTo(server, term)
@@ -230,20 +230,20 @@
 	v.nextID++
 	id, accepted := v.nextID, false
 	v.call(server, 300*time.Millisecond, func(s *simServer, reply func(failover.Result)) {
-		if s.has(id) {
+		if s.holds(id) {
 			return // a connection does not repeat messages
 		}
 		if accepted = s.leads(s.logTerm()) && s.switching == ""; accepted {
 			s.append(record{term: s.logTerm(), id: id})
 		}
 		if accepted && v.ackOnCommit {
-			v.acked[id] = v.now
+			v.acknowledged[id] = v.now
 		}
 		reply(failover.Done)
 	}, func(o failover.Outcome) {
 		switch {
 		case o.Result == failover.Failed:
-			v.event(nil, failover.Suspect(v.input(), server))
+			v.process(nil, failover.Suspect(v.input(), server))
 		case !accepted:
 			v.awaitPrimary()
 		case !v.ackOnCommit:
@@ -256,17 +256,17 @@
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: server, Term: term}
 	v.wait(w, 3*time.Second, func(r replication.Result) {
 		if r.Kind == replication.Satisfied {
-			v.acked[id] = v.now
-			v.read(id, r.Point, v.chance(0.3))
+			v.acknowledged[id] = v.now
+			v.read(id, r.Point, v.withProbability(0.3))
 		}
 	})
 }
 
-// read waits until a server covers the point of an acknowledged write, if aged
-// with a bound of age, and checks what it holds.
-func (v *simVM) read(id int, p state.Point, aged bool) {
+// read waits until a server covers the point of an acknowledged write, and checks
+// that it holds the write. With bounded set, the age of its data is bounded too.
+func (v *simVM) read(id int, p state.Point, bounded bool) {
 	w := state.PositionWaiter{Kind: state.WaitCover, Point: p, Server: v.group.Servers[v.rng.IntN(len(v.group.Servers))].Name}
-	if aged {
+	if bounded {
 		w.MaxAge = 100 * time.Millisecond
 	}
 	v.wait(w, 20*time.Millisecond, func(r replication.Result) {
@@ -274,12 +274,12 @@
 			return
 		}
 		s := v.servers[w.Server]
-		if id != 0 && !s.has(id) {
-			v.fail("%s covers %+v, but lacks write %d", s.name, p, id)
+		if id != 0 && !s.holds(id) {
+			v.failf("%s covers %+v, but lacks write %d", s.name, p, id)
 		}
-		for id, at := range v.acked {
-			if w.MaxAge > 0 && at.Before(v.now.Add(-w.MaxAge)) && at.After(v.now.Add(-2*time.Second)) && !s.has(id) {
-				v.fail("%s is held to be no older than %v, but lacks write %d of %v ago", s.name, w.MaxAge, id, v.now.Sub(at))
+		for id, at := range v.acknowledged {
+			if w.MaxAge > 0 && at.Before(v.now.Add(-w.MaxAge)) && at.After(v.now.Add(-2*time.Second)) && !s.holds(id) {
+				v.failf("%s is reported to be at most %v old, but lacks write %d of %v ago", s.name, w.MaxAge, id, v.now.Sub(at))
 			}
 		}
 	})
