--- a/coordination/replication/rounds.go
+++ b/coordination/replication/rounds.go
@@ -6,10 +6,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// startRound asks every server that has no unanswered query.
+// startRound queries every server that has no outstanding query.
 func startRound(g *state.GroupState, grp *state.Group, now time.Time, effects []Effect) []Effect {
 	spacing := min(2*g.Round.Spacing, maxSpacing)
-	if g.Round.Settled > 0 || unasked(g) || spacing == 0 {
+	if g.Round.Settled > 0 || hasUnservedWaiter(g) || spacing == 0 {
 		spacing = minSpacing
 	}
 	g.Round = state.PositionRound{Number: g.Round.Number + 1, Started: now, Spacing: spacing}
@@ -28,8 +28,8 @@
 	return append(effects, RoundStarted{Waiters: len(g.Waiters)})
 }
 
-// endQuery reports whether the query was outstanding and belonged to the
-// current round.
+// endQuery marks the query as ended. It reports whether the query was outstanding
+// and belonged to the current round.
 func endQuery(g *state.GroupState, v *state.ServerView, ask AskStatus) bool {
 	if v.Outstanding != ask.Round {
 		return false
@@ -42,24 +42,26 @@
 	return true
 }
 
-// nextRound returns when the next round may start, if one is wanted and a
-// server can be asked. A waiter that no round has served yet does not wait for
-// the grown spacing.
+// nextRound returns when the next round may start, if there are waiters and a
+// server can be queried. A waiter that no round has served yet is served after
+// minSpacing, even if the spacing has grown.
 func nextRound(g *state.GroupState, grp *state.Group) (at time.Time, wanted bool) {
-	if grp == nil || len(g.Waiters) == 0 || !anyIdle(g, grp) {
+	if grp == nil || len(g.Waiters) == 0 || !anyServerIdle(g, grp) {
 		return time.Time{}, false
 	}
 	spacing := g.Round.Spacing
-	if unasked(g) {
+	if hasUnservedWaiter(g) {
 		spacing = minSpacing
 	}
 	if g.Round.Pending > 0 && g.Round.Answered < grp.Majority() {
-		spacing = max(spacing, roundPatience)
+		spacing = max(spacing, incompleteRoundDelay)
 	}
 	return g.Round.Started.Add(spacing), true
 }
 
-func nextWake(g *state.GroupState, grp *state.Group) (at time.Time, wanted bool) {
+// nextWakeTime returns the earlier of the next round's start and the first
+// deadline.
+func nextWakeTime(g *state.GroupState, grp *state.Group) (at time.Time, wanted bool) {
 	at, wanted = nextRound(g, grp)
 	for i := range g.Waiters {
 		if d := g.Waiters[i].Deadline; !wanted || d.Before(at) {
@@ -69,14 +71,14 @@
 	return at, wanted
 }
 
-// unasked reports whether a waiter joined after the latest round started.
-func unasked(g *state.GroupState) bool {
+// hasUnservedWaiter reports whether a waiter joined after the latest round started.
+func hasUnservedWaiter(g *state.GroupState) bool {
 	// Waiters are in the order in which they joined.
 	n := len(g.Waiters)
 	return n > 0 && g.Waiters[n-1].FirstRound > g.Round.Number
 }
 
-func anyIdle(g *state.GroupState, grp *state.Group) bool {
+func anyServerIdle(g *state.GroupState, grp *state.Group) bool {
 	for i := range grp.Servers {
 		if g.View(grp.Servers[i].Name).Outstanding == 0 {
 			return true
--- a/coordination/replication/judge.go
+++ b/coordination/replication/waiters.go
@@ -6,12 +6,12 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// learnTargets sets the target of the writes that ran on the server that
-// answered. The round started after the write's commit, so the end of the
-// server's log lies behind the write. That is known also after a planned
-// switchover, in which the server drops nothing. The write may have run under a
-// later term than the VM knew; then the end of the log is of a later term too.
-func learnTargets(g *state.GroupState, ask AskStatus) {
+// setWriteTargets sets the target position of the writes that ran on the server
+// that answered. The round started after the write's commit, so the end of the
+// server's log is at or after the write. This holds after a planned switchover
+// too, because the server drops no records in it. The write may have run in a
+// later term than this VM knew; then the end of the log is in a later term too.
+func setWriteTargets(g *state.GroupState, ask AskStatus) {
 	v := g.View(ask.Server)
 	for i := range g.Waiters {
 		w := &g.Waiters[i]
@@ -25,12 +25,12 @@
 	}
 }
 
-// settle resolves and removes the waiters whose wait has ended.
-func settle(g *state.GroupState, grp *state.Group, now time.Time, effects []Effect) []Effect {
+// resolveWaiters resolves and removes the waiters whose wait is over.
+func resolveWaiters(g *state.GroupState, grp *state.Group, now time.Time, effects []Effect) []Effect {
 	kept := g.Waiters[:0]
 	for i := range g.Waiters {
 		w := g.Waiters[i]
-		r, done := judge(g, grp, &w, now)
+		r, done := evaluate(g, grp, &w, now)
 		if !done {
 			kept = append(kept, w)
 			continue
@@ -43,17 +43,18 @@
 	return effects
 }
 
-func judge(g *state.GroupState, grp *state.Group, w *state.PositionWaiter, now time.Time) (r Result, done bool) {
+// evaluate returns the result of a waiter, and whether its wait is over.
+func evaluate(g *state.GroupState, grp *state.Group, w *state.PositionWaiter, now time.Time) (r Result, done bool) {
 	if grp == nil {
 		return Result{Kind: TimedOut}, true
 	}
 	switch w.Kind {
 	case state.WaitDurable:
-		r, done = judgeDurable(g, grp, w)
+		r, done = evaluateDurable(g, grp, w)
 	case state.WaitCover:
-		r, done = judgeCover(g, w, now)
+		r, done = evaluateCover(g, w, now)
 	case state.WaitPrimary:
-		r, done = judgePrimary(g, grp, w)
+		r, done = evaluatePrimary(g, grp, w)
 	}
 	if !done && !now.Before(w.Deadline) {
 		return Result{Kind: TimedOut, Server: w.Server, Term: w.Term}, true
@@ -61,18 +62,18 @@
 	return r, done
 }
 
-// judgeDurable acknowledges a write that a majority holds under its own term.
-// If a later term is established, the history of its primary decides.
-func judgeDurable(g *state.GroupState, grp *state.Group, w *state.PositionWaiter) (Result, bool) {
+// evaluateDurable acknowledges a write that a majority holds in the write's own
+// term. Once a later term is established, the history of its primary decides.
+func evaluateDurable(g *state.GroupState, grp *state.Group, w *state.PositionWaiter) (Result, bool) {
 	if w.TargetKnown && countHolding(g, grp, w.Target) >= grp.Majority() {
 		return Result{Kind: Satisfied, Point: w.Target, Server: w.Server, Term: w.Target.Term}, true
 	}
 	lost := Result{Kind: Lost, Server: w.Server, Term: w.Term}
-	if !w.TargetKnown && !asked(g, w) {
+	if !w.TargetKnown && !positionQueried(g, w) {
 		return Result{}, false
 	}
 	if v := g.Servers[w.Server]; !w.TargetKnown && v != nil && v.Status.AdoptedTerm > w.Term {
-		return lost, true // the server no longer tells where the write ended
+		return lost, true // the server no longer reports the end of the write
 	}
 	primary, start, established := establishedPrimary(g, grp, max(w.Term, w.Target.Term))
 	if !established {
@@ -82,16 +83,16 @@
 	if !w.TargetKnown || !known || w.Target.Position > end {
 		return lost, true
 	}
-	// Only the point in the later term is safe for tokens: a server that was
-	// promoted in between and replaced has a later LogTerm than the write, but
-	// need not hold it.
+	// Only the point in the later term is safe for session tokens: a server that
+	// was promoted in between and then replaced has a later LogTerm than the
+	// write, but may lack the write.
 	point := state.Point{Term: primary.LogTerm, Position: start + termStartRecord}
 	return Result{Kind: Satisfied, Point: point, Server: primary.Server, Term: primary.LogTerm}, true
 }
 
-// asked reports whether the server that ran the write was asked since for the
-// end of its log, with or without an answer.
-func asked(g *state.GroupState, w *state.PositionWaiter) bool {
+// positionQueried reports whether the server that ran the write was queried for
+// the end of its log after the write, whether or not it answered.
+func positionQueried(g *state.GroupState, w *state.PositionWaiter) bool {
 	v := g.Servers[w.Server]
 	return v != nil && (v.Round >= w.FirstRound || v.FailedAt.After(w.Joined))
 }
@@ -99,12 +100,12 @@
 // termStartRecord is the length, in positions, of the record that starts a term.
 const termStartRecord = 1
 
-// establishedPrimary returns the primary of a term above the given one whose
-// term-start record is held by a majority, and the start of that term.
+// establishedPrimary returns the primary of a later term than the given one if a
+// majority holds the record that starts that term, and the start of the term.
 //
-// The majority is needed: a primary that was promoted but whose log no majority
-// holds can itself be replaced by a server with another history, and what is
-// only in its log is then dropped.
+// The majority is necessary: a promoted primary whose log no majority holds can
+// be replaced by a server with another history, and records that only it holds
+// are then dropped.
 func establishedPrimary(g *state.GroupState, grp *state.Group, above uint64) (st *state.ServerStatus, start uint64, ok bool) {
 	if g.Term <= above || grp.Server(g.Primary) == nil {
 		return nil, 0, false
@@ -121,9 +122,9 @@
 	return st, start, true
 }
 
-// countHolding counts the servers that hold p and have promised to no later
-// term. Their statuses may be from different moments: a later promotion needs
-// the promise of one of these servers, which holds p when it gives it.
+// countHolding returns the number of servers that hold p and have adopted no later
+// term. The statuses may be of different times: a later promotion requires that
+// one of these servers adopts the later term, and it holds p when it does so.
 func countHolding(g *state.GroupState, grp *state.Group, p state.Point) int {
 	n := 0
 	for i := range grp.Servers {
@@ -134,7 +135,9 @@
 	return n
 }
 
-func judgeCover(g *state.GroupState, w *state.PositionWaiter, now time.Time) (Result, bool) {
+// evaluateCover resolves a waiter once the server covers its point and is known to
+// be recent enough.
+func evaluateCover(g *state.GroupState, w *state.PositionWaiter, now time.Time) (Result, bool) {
 	v := g.Servers[w.Server]
 	if v == nil || !v.Reachable() || !v.Status.Covers(w.Point) {
 		return Result{}, false
@@ -144,17 +147,18 @@
 			return Result{}, false
 		}
 	}
-	return satisfiedBy(&v.Status), true
+	return satisfiedAt(&v.Status), true
 }
 
-// judgePrimary wants a primary that answered a round that started after the
-// waiter joined, and a majority that in such rounds knew of no later term.
-func judgePrimary(g *state.GroupState, grp *state.Group, w *state.PositionWaiter) (Result, bool) {
+// evaluatePrimary resolves a waiter once the primary has answered a round that
+// started after the waiter joined, and a majority answered such rounds without
+// having adopted a later term.
+func evaluatePrimary(g *state.GroupState, grp *state.Group, w *state.PositionWaiter) (Result, bool) {
 	v := g.Servers[g.Primary]
 	if v == nil || !v.Reachable() || v.Round < w.FirstRound || !v.Status.Leads(g.Term) {
 		return Result{}, false
 	}
-	if v.Status.SwitchingTo != "" || beingReplaced(g) {
+	if v.Status.SwitchingTo != "" || replacingPrimary(g) {
 		return Result{}, false
 	}
 	supporters := 0
@@ -167,11 +171,11 @@
 	if supporters < grp.Majority() {
 		return Result{}, false
 	}
-	return satisfiedBy(&v.Status), true
+	return satisfiedAt(&v.Status), true
 }
 
-// beingReplaced reports whether this VM is about to depose the primary.
-func beingReplaced(g *state.GroupState) bool {
+// replacingPrimary reports whether this VM is replacing the primary.
+func replacingPrimary(g *state.GroupState) bool {
 	switch g.Failover.Step {
 	case state.FailoverAdopting, state.FailoverPromoting, state.FailoverSwitching:
 		return true
@@ -179,7 +183,7 @@
 	return false
 }
 
-func satisfiedBy(st *state.ServerStatus) Result {
+func satisfiedAt(st *state.ServerStatus) Result {
 	point := state.Point{Term: st.LogTerm, Position: st.Position}
 	return Result{Kind: Satisfied, Point: point, Server: st.Server, Term: st.LogTerm}
 }
