--- a/coordination/leadership/failing_test.go
+++ b/coordination/leadership/failing_test.go
@@ -7,17 +7,17 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-// Guards against reads that go on to a replica which fails part of them while it
-// looks healthy, and against a replica that is never tried again.
+// Guards against sending reads to a replica that fails some of them but otherwise
+// looks healthy, and against never trying such a replica again.
 func TestReadsAvoidFailingServers(t *testing.T) {
 	servers := []*catalog.Server{{ID: "near", DataCentre: "x"}, {ID: "far", DataCentre: "y"}}
 	d := &catalog.Deployment{}
-	g := group()
+	g := newGroup()
 	now := 10 * second
-	reader := func() string { return g.Reader(d, servers, "x", at(1, 1), nil, now).ID }
+	reader := func() string { return g.Reader(d, servers, "x", point(1, 1), nil, now).ID }
 	run := func(id string, o Outcome) {
 		g.Sent(id)
-		g.Done(id, o, 10*time.Millisecond, at(1, 5), now)
+		g.Done(id, o, 10*time.Millisecond, point(1, 5), now)
 		now += 20 * time.Millisecond
 	}
 	for range 10 {
@@ -35,9 +35,9 @@
 		run("near", o)
 	}
 	if got := reader(); got != "far" {
-		t.Errorf("reads go to %s, which fails two of five", got)
+		t.Errorf("reads go to %s, which fails two of five statements", got)
 	}
-	// With every server failing, reads still go somewhere.
+	// Reads still go to some server while all of them fail.
 	for range 20 {
 		run("near", Failing)
 		run("far", Failing)
@@ -51,6 +51,6 @@
 	}
 	run("near", Declined)
 	if got := reader(); got != "near" {
-		t.Errorf("reads go to %s after a statement that was only declined", got)
+		t.Errorf("reads go to %s after a declined statement", got)
 	}
 }
--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -1,13 +1,14 @@
-// Package leadership decides which server of a group is the primary and which
-// server may run a read.
+// Package leadership tracks the primary of each group and selects the servers for
+// writes and reads.
 //
-// Three views of the primary differ in age: the role that a server registers,
-// the role in its answers, and the proof that a statement of a writing
-// transaction ran, which a server that lost the lead refuses. Only the last one
-// counts for consistency. The others are hints about whom to ask.
+// There are three sources of information about the primary, of different age: the
+// role that a server registers, the role in its answers, and a proof of
+// leadership, which is a statement of a writing transaction that the server ran.
+// A server that is no longer the primary refuses such statements. Consistency
+// depends on proofs only; the other two are hints about which server to try.
 //
-// Times are readings of one clock of this VM that also counts while the VM is
-// suspended.
+// Times are readings of a monotonic clock of this VM that advances while the VM
+// is suspended.
 package leadership
 
 import (
@@ -20,70 +21,74 @@
 )
 
 const (
-	// sampleSpacing and maxSamples keep samples for 6 s, more than any bound on
-	// staleness that operators set.
+	// sampleSpacing and maxSamples retain samples for 6 s, which exceeds every
+	// staleness bound that operators set.
 	sampleSpacing = 50 * time.Millisecond
 	maxSamples    = 120
-	// suspectFor keeps work away from a server that broke a connection or was
-	// silent, until it is tried again.
-	suspectFor = time.Second
-	// lagFor is how long a replica that lacked a point is avoided; replicas
-	// receive within tens of milliseconds.
-	lagFor = 40 * time.Millisecond
-	// initialLatency is assumed of a server that has not answered yet.
+	// suspectTTL is how long a server is avoided after a lost connection or a
+	// missing answer.
+	suspectTTL = time.Second
+	// lagPeriod is how long a replica that lacked a point is avoided. Replicas
+	// receive records within tens of milliseconds.
+	lagPeriod = 40 * time.Millisecond
+	// initialLatency is assumed for a server that has not answered yet.
 	initialLatency = 10 * time.Millisecond
-	// latencyWeight is the weight of the newest answer in a server's latency.
+	// latencyWeight is the weight of the latest answer in the moving average of a
+	// server's latency.
 	latencyWeight = 0.2
 	// remotePenalty is added to the latency of servers in other data centres.
 	remotePenalty = 4 * time.Millisecond
-	// failureWeight is the weight of the newest outcome in a server's share of
-	// failures, which halves in failureHalfLife so that the server is tried again.
+	// failureWeight is the weight of the latest outcome in the moving average of a
+	// server's failure rate. The rate decays with failureHalfLife, so that the
+	// server is tried again.
 	failureWeight   = 0.15
 	failureHalfLife = 2 * time.Second
-	// failurePenalty makes a read on a server that fails all statements cost as
-	// much as one of nine times its latency: the read is repeated elsewhere.
+	// failurePenalty raises the cost of a read on a server that fails all
+	// statements to that of nine times its latency, because the read has to be
+	// repeated elsewhere.
 	failurePenalty = 8
-	// hedgeShare is the part of the reads that may run on a second server because
-	// the first has not answered: enough for the slowest ones, and little load if
-	// all servers are slow. maxHedges may be saved up.
-	hedgeShare = 0.05
+	// hedgeRatio is the fraction of the reads that may be hedged, which means sent
+	// to a second server because the first has not answered. It covers the slowest
+	// reads and adds little load if all servers are slow. Up to maxHedges unused
+	// hedges accumulate.
+	hedgeRatio = 0.05
 	maxHedges  = 10.0
-	// primaryPenalty multiplies the cost of a read on the primary, whose slots
-	// the writes need.
+	// primaryPenalty multiplies the cost of a read on the primary, to keep its
+	// slots free for writes.
 	primaryPenalty = 1.5
 )
 
-// Sample says that every commit acknowledged before At is held at Point.
+// Sample states that Point includes every commit acknowledged before At.
 type Sample struct {
 	At    time.Duration
 	Point state.Point
 }
 
-// server is what this VM has seen of a backend server.
-type server struct {
-	born         int64
-	applied      state.Point
-	deniedAt     uint64 // revision of the registration that claimed the lead when the server denied it
-	denied       bool
-	suspectUntil time.Duration
-	lagUntil     time.Duration
-	latency      time.Duration
-	outstanding  int
-	failing      float64 // share of the latest statements that failed, as of failedAt
-	failedAt     time.Duration
+// serverStats holds this VM's observations of a backend server.
+type serverStats struct {
+	startTime       int64
+	applied         state.Point
+	deniedRevision  uint64 // revision of the registration at the time of the refusal
+	denied          bool   // the server refused, as a replica, a statement for the primary
+	suspectUntil    time.Duration
+	lagUntil        time.Duration
+	latency         time.Duration
+	outstanding     int
+	failureRate     float64 // moving average of failed statements, as of failureRateTime
+	failureRateTime time.Duration
 }
 
-// Group is what this VM knows of a group's leadership.
+// Group holds what this VM knows about the leadership of a group.
 type Group struct {
 	primary  string
 	term     uint64
 	provenAt time.Duration
-	samples  []Sample // ascending, all of the current term
-	servers  map[string]*server
-	hedges   float64 // second attempts of reads that are allowed now
+	samples  []Sample // in ascending order, all of the current term
+	servers  map[string]*serverStats
+	hedges   float64 // hedged reads that are allowed now
 }
 
-// Table holds the groups.
+// Table holds the leadership of all groups by name.
 type Table struct {
 	mu     lockrank.Mutex // guards groups and everything reachable from it
 	groups map[string]*Group
@@ -94,29 +99,30 @@
 	return &Table{mu: lockrank.New(lockrank.Groups), groups: make(map[string]*Group)}
 }
 
-// With calls f with the named group under the table's lock. f must not keep it.
+// With calls f with the named group under the table's lock. f must not retain the
+// group.
 func (t *Table) With(name string, f func(*Group)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
 	if g == nil {
-		g = &Group{servers: make(map[string]*server)}
+		g = &Group{servers: make(map[string]*serverStats)}
 		t.groups[name] = g
 	}
 	f(g)
 }
 
-func (g *Group) server(id string) *server {
+func (g *Group) server(id string) *serverStats {
 	s := g.servers[id]
 	if s == nil {
-		s = &server{latency: initialLatency}
+		s = &serverStats{latency: initialLatency}
 		g.servers[id] = s
 	}
 	return s
 }
 
-// Prove records that the server led the group at sentAt or later, when its log
-// ended at p. Proofs of earlier terms than the latest are ignored.
+// Prove records that the server was the primary at sentAt or later, with a log
+// that ended at p. Proofs of earlier terms than the latest are ignored.
 func (g *Group) Prove(id string, p state.Point, sentAt time.Duration) {
 	if p.Term < g.term || p.Term == 0 {
 		return
@@ -130,12 +136,12 @@
 	s := g.server(id)
 	s.denied = false
 	g.provenAt = max(g.provenAt, sentAt)
-	g.sample(Sample{At: sentAt, Point: p})
+	g.addSample(Sample{At: sentAt, Point: p})
 }
 
-// sample appends a sample. Samples closer than the spacing replace the newest,
-// but never the one before it, so that the spacing is kept.
-func (g *Group) sample(s Sample) {
+// addSample appends a sample, or replaces the latest one if that is less than
+// sampleSpacing after its predecessor.
+func (g *Group) addSample(s Sample) {
 	n := len(g.samples)
 	if n > 0 && (s.At <= g.samples[n-1].At || s.Point.Position < g.samples[n-1].Point.Position) {
 		return
@@ -151,8 +157,8 @@
 	g.samples = append(g.samples, s)
 }
 
-// Newest returns the latest proof: the primary and its sample. It reports false
-// if the group's lead was never proven.
+// Newest returns the primary and the sample of the latest proof. It reports false
+// if there is no proof.
 func (g *Group) Newest() (string, Sample, bool) {
 	if len(g.samples) == 0 {
 		return "", Sample{}, false
@@ -160,15 +166,15 @@
 	return g.primary, g.samples[len(g.samples)-1], true
 }
 
-// ProvenAt returns when the current primary last proved its lead; zero if never.
+// ProvenAt returns the time of the latest proof of the current primary, or zero.
 func (g *Group) ProvenAt() time.Duration { return g.provenAt }
 
-// Term returns the highest term seen.
+// Term returns the highest proven term.
 func (g *Group) Term() uint64 { return g.term }
 
-// Floor returns a point that holds every commit acknowledged maxStale before
-// now: the oldest one that is recent enough, which most replicas hold. It
-// reports false if no sample is recent enough.
+// Floor returns a point that includes every commit acknowledged more than maxStale
+// before now. It returns the oldest sample that is recent enough, because that is
+// the one that most replicas hold. It reports false if there is none.
 func (g *Group) Floor(now, maxStale time.Duration) (state.Point, bool) {
 	for _, s := range g.samples {
 		if s.At >= now-maxStale {
@@ -178,9 +184,9 @@
 	return state.Point{}, false
 }
 
-// Cover returns the point that holds both the floor and the session's own
-// commits. A point of an earlier term may name a tail that a promotion dropped;
-// every point of the current term holds what survived of it.
+// Cover returns the point that includes both the floor and the session's own
+// commits. A point of an earlier term may lie in a tail of the log that a
+// promotion dropped; every point of the current term includes what survived.
 func Cover(floor, own state.Point) state.Point {
 	if own.Term > floor.Term || own.Term == floor.Term && own.Position > floor.Position {
 		return own
@@ -188,14 +194,15 @@
 	return floor
 }
 
-// Deny records that the server refused as a replica what only a primary runs.
+// Deny records that the server refused, as a replica, a statement that only a
+// primary runs.
 func (g *Group) Deny(s *catalog.Server) {
 	v := g.server(s.ID)
-	v.denied, v.deniedAt = true, s.Revision
+	v.denied, v.deniedRevision = true, s.Revision
 }
 
-// Primary returns the server to ask as the primary, or nil. A server that
-// denied its lead is asked again when it registers the role anew.
+// Primary returns the most likely primary, or nil. A server that denied being the
+// primary is considered again once it registers as the primary anew.
 func (g *Group) Primary(servers []*catalog.Server, now time.Duration) *catalog.Server {
 	var best *catalog.Server
 	bestRank := -1
@@ -208,10 +215,13 @@
 	return best
 }
 
+// primaryRank returns the rank of a server as the primary, or -1 if it is not
+// eligible. Suspected servers rank below all others; otherwise a proven
+// primary ranks above one that is only registered.
 func (g *Group) primaryRank(s *catalog.Server, now time.Duration) int {
 	v := g.server(s.ID)
 	proven := s.ID == g.primary
-	if !proven && !s.Primary || v.denied && s.Revision <= v.deniedAt {
+	if !proven && !s.Primary || v.denied && s.Revision <= v.deniedRevision {
 		return -1
 	}
 	rank := 0
@@ -224,8 +234,8 @@
 	return rank
 }
 
-// Reader returns the server with the least cost for a read that needs the
-// point, or nil. Servers in tried are left out.
+// Reader returns the server with the lowest cost for a read that needs the point,
+// or nil. It skips the servers in tried.
 func (g *Group) Reader(d *catalog.Deployment, servers []*catalog.Server, dataCentre string, need state.Point, tried map[string]bool, now time.Duration) *catalog.Server {
 	var best *catalog.Server
 	var bestCost float64
@@ -241,6 +251,9 @@
 	return best
 }
 
+// readCost returns the cost of a read on the server. It reports false if the
+// server is suspected, or is a replica that recently lagged and is not known to
+// hold the point.
 func (g *Group) readCost(s *catalog.Server, dataCentre string, need state.Point, now time.Duration) (float64, bool) {
 	v := g.server(s.ID)
 	if now < v.suspectUntil {
@@ -250,7 +263,7 @@
 	if s.DataCentre != dataCentre {
 		latency += remotePenalty
 	}
-	cost := float64(latency) * float64(1+v.outstanding) * (1 + failurePenalty*v.failureShare(now))
+	cost := float64(latency) * float64(1+v.outstanding) * (1 + failurePenalty*v.failureRateAt(now))
 	if s.ID == g.primary {
 		return cost * primaryPenalty, true
 	}
@@ -261,10 +274,10 @@
 // Sent records that a statement was sent to the server.
 func (g *Group) Sent(id string) { g.server(id).outstanding++ }
 
-// CountRead counts a read, which allows a part of a second attempt.
-func (g *Group) CountRead() { g.hedges = min(g.hedges+hedgeShare, maxHedges) }
+// CountRead counts a read, which adds hedgeRatio to the allowed hedges.
+func (g *Group) CountRead() { g.hedges = min(g.hedges+hedgeRatio, maxHedges) }
 
-// Hedge reports whether a read may run on a second server, and counts it.
+// Hedge reports whether a read may be hedged, and counts the hedge if so.
 func (g *Group) Hedge() bool {
 	if g.hedges < 1 {
 		return false
@@ -273,18 +286,18 @@
 	return true
 }
 
-// Outcome is what the end of a statement says of the server.
+// Outcome classifies the end of a statement with regard to the server's health.
 type Outcome uint8
 
 // Outcomes.
 const (
 	Answered Outcome = iota // the statement succeeded
 	Failing                 // it failed, or no answer came
-	Declined                // not run, for a reason that says nothing of the server's health
+	Declined                // not run, for a reason unrelated to the server's health
 )
 
-// Done records the end of a statement at now: the outcome, after what time, and
-// where the server's log stood.
+// Done records the end of a statement at now: its outcome, its duration, and the
+// position of the server's log.
 func (g *Group) Done(id string, o Outcome, took time.Duration, at state.Point, now time.Duration) {
 	v := g.server(id)
 	v.outstanding--
@@ -295,9 +308,9 @@
 	if o == Failing {
 		failed = 1
 	}
-	v.failing = v.failureShare(now)
-	v.failing += failureWeight * (failed - v.failing)
-	v.failedAt = now
+	v.failureRate = v.failureRateAt(now)
+	v.failureRate += failureWeight * (failed - v.failureRate)
+	v.failureRateTime = now
 	if o == Failing {
 		return
 	}
@@ -307,34 +320,35 @@
 	}
 }
 
-// failureShare returns the share of the latest statements that failed, less the
-// longer ago that was.
-func (v *server) failureShare(now time.Duration) float64 {
-	if v.failing == 0 {
+// failureRateAt returns the moving average of failed statements, decayed to now.
+func (v *serverStats) failureRateAt(now time.Duration) float64 {
+	if v.failureRate == 0 {
 		return 0
 	}
-	return v.failing * math.Exp2(-float64(now-v.failedAt)/float64(failureHalfLife))
+	return v.failureRate * math.Exp2(-float64(now-v.failureRateTime)/float64(failureHalfLife))
 }
 
-// Suspect keeps work away from a server that broke a connection or was silent.
-func (g *Group) Suspect(id string, now time.Duration) { g.server(id).suspectUntil = now + suspectFor }
+// Suspect makes reads and writes avoid a server for a while, after a lost
+// connection or a missing answer.
+func (g *Group) Suspect(id string, now time.Duration) { g.server(id).suspectUntil = now + suspectTTL }
 
-// Suspected reports whether work is kept away from the server.
+// Suspected reports whether the server is being avoided.
 func (g *Group) Suspected(id string, now time.Duration) bool { return now < g.server(id).suspectUntil }
 
-// Lags records that a replica lacked a point it was asked for.
-func (g *Group) Lags(id string, now time.Duration) { g.server(id).lagUntil = now + lagFor }
+// Lags records that a replica lacked a requested point.
+func (g *Group) Lags(id string, now time.Duration) { g.server(id).lagUntil = now + lagPeriod }
 
-// Reborn forgets what was seen of a server that started anew without its log.
+// Reborn discards the observations of a server that was restarted without its log.
+// born is the server's start time.
 func (g *Group) Reborn(id string, born int64) {
 	v := g.server(id)
-	if v.born == born {
+	if v.startTime == born {
 		return
 	}
-	known := v.born != 0
-	v.born = born
+	known := v.startTime != 0
+	v.startTime = born
 	if known {
 		v.applied, v.denied, v.suspectUntil, v.lagUntil = state.Point{}, false, 0, 0
-		v.latency, v.failing = initialLatency, 0
+		v.latency, v.failureRate = initialLatency, 0
 	}
 }
--- a/coordination/leadership/leadership_test.go
+++ b/coordination/leadership/leadership_test.go
@@ -8,62 +8,62 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-func group() *Group { return &Group{servers: make(map[string]*server)} }
+func newGroup() *Group { return &Group{servers: make(map[string]*serverStats)} }
 
-func at(term, position uint64) state.Point { return state.Point{Term: term, Position: position} }
+func point(term, position uint64) state.Point { return state.Point{Term: term, Position: position} }
 
 const second = time.Second
 
-// Guards against a floor older than the bound, which would let a read miss a
-// commit that it must see.
+// Guards against a floor that is older than the staleness bound: a read could miss
+// a commit that it must see.
 func TestFloorIsInsideTheBound(t *testing.T) {
-	g := group()
+	g := newGroup()
 	if _, ok := g.Floor(10*second, second); ok {
-		t.Error("a floor without a sample")
+		t.Error("Floor returned a point without any sample")
 	}
 	for i := range 20 {
-		g.Prove("a", at(1, uint64(i)), 10*second+time.Duration(i)*100*time.Millisecond)
+		g.Prove("a", point(1, uint64(i)), 10*second+time.Duration(i)*100*time.Millisecond)
 	}
 	now := 12 * second
 	p, ok := g.Floor(now, second)
-	if !ok || p != at(1, 10) {
+	if !ok || p != point(1, 10) {
 		t.Errorf("floor %v, %v", p, ok)
 	}
 	if _, ok := g.Floor(now+10*second, second); ok {
-		t.Error("a floor from samples that are too old")
+		t.Error("Floor returned a sample that is too old")
 	}
 }
 
-// Guards against proofs that arrive late: one of an earlier term must not
-// replace the primary, one sent earlier must not lower the newest sample.
+// Guards against late proofs: a proof of an earlier term must not replace the
+// primary, and one sent earlier must not replace the latest sample.
 func TestLateProofs(t *testing.T) {
-	g := group()
-	g.Prove("a", at(1, 5), second)
-	g.Prove("b", at(2, 6), 2*second)
-	g.Prove("a", at(1, 9), 3*second)
+	g := newGroup()
+	g.Prove("a", point(1, 5), second)
+	g.Prove("b", point(2, 6), 2*second)
+	g.Prove("a", point(1, 9), 3*second)
 	server, s, ok := g.Newest()
-	if !ok || server != "b" || s.Point != at(2, 6) || g.Term() != 2 {
+	if !ok || server != "b" || s.Point != point(2, 6) || g.Term() != 2 {
 		t.Errorf("newest is %s %v", server, s)
 	}
-	g.Prove("b", at(2, 8), 4*second)
-	g.Prove("b", at(2, 7), 3*second)
-	if _, s, _ := g.Newest(); s.Point != at(2, 8) || s.At != 4*second {
-		t.Errorf("a late proof replaced the newest: %v", s)
+	g.Prove("b", point(2, 8), 4*second)
+	g.Prove("b", point(2, 7), 3*second)
+	if _, s, _ := g.Newest(); s.Point != point(2, 8) || s.At != 4*second {
+		t.Errorf("a late proof replaced the latest sample: %v", s)
 	}
 	if p, ok := g.Floor(4*second, 3*second); !ok || p.Term != 2 {
 		t.Errorf("floor %v from an earlier term", p)
 	}
 }
 
-// Guards against a session that waits for ever for a point of a tail that a
+// Guards against a session that waits forever for a point in a log tail that a
 // promotion dropped.
 func TestCoverAfterPromotion(t *testing.T) {
 	for _, tt := range []struct{ floor, own, want state.Point }{
-		{at(1, 5), at(1, 9), at(1, 9)},
-		{at(1, 9), at(1, 5), at(1, 9)},
-		{at(2, 7), at(1, 9), at(2, 7)},
-		{at(1, 9), at(2, 3), at(2, 3)},
-		{at(1, 9), state.Point{}, at(1, 9)},
+		{point(1, 5), point(1, 9), point(1, 9)},
+		{point(1, 9), point(1, 5), point(1, 9)},
+		{point(2, 7), point(1, 9), point(2, 7)},
+		{point(1, 9), point(2, 3), point(2, 3)},
+		{point(1, 9), state.Point{}, point(1, 9)},
 	} {
 		if got := Cover(tt.floor, tt.own); got != tt.want {
 			t.Errorf("Cover(%v, %v) = %v, want %v", tt.floor, tt.own, got, tt.want)
@@ -71,10 +71,10 @@
 	}
 }
 
-// Guards against a primary that is asked again and again after it denied its
-// lead, and against one that is never asked again.
+// Guards against repeatedly selecting a server that denied being the primary, and
+// against never selecting it again after a new registration.
 func TestDeniedPrimary(t *testing.T) {
-	g := group()
+	g := newGroup()
 	old := &catalog.Server{ID: "a", Primary: true, Revision: 4}
 	other := &catalog.Server{ID: "b", Revision: 5}
 	servers := []*catalog.Server{old, other}
@@ -87,7 +87,7 @@
 	}
 	other.Primary, other.Revision = true, 6
 	if p := g.Primary(servers, second); p != other {
-		t.Errorf("primary %v, want the one that registered", p)
+		t.Errorf("primary %v, want the one that registered the role", p)
 	}
 	old.Revision = 9
 	g.Deny(other)
@@ -96,12 +96,12 @@
 	}
 }
 
-// Guards against a primary that is silent and still preferred to its successor.
+// Guards against preferring an unresponsive primary to its successor.
 func TestSuspectedPrimary(t *testing.T) {
-	g := group()
+	g := newGroup()
 	old := &catalog.Server{ID: "a", Primary: true, Revision: 4}
 	next := &catalog.Server{ID: "b", Primary: true, Revision: 6}
-	g.Prove("a", at(1, 1), second)
+	g.Prove("a", point(1, 1), second)
 	g.Suspect("a", second)
 	if p := g.Primary([]*catalog.Server{old, next}, second); p != next {
 		t.Errorf("primary %v, want the one that is not suspected", p)
@@ -111,18 +111,18 @@
 	}
 }
 
-// Guards against reads on replicas that are known to lag, on servers that take
-// no work, and on a primary while a replica fits.
+// Guards against reads on replicas that are known to lag, on servers that are out
+// of service, and on the primary while a replica is eligible.
 func TestReader(t *testing.T) {
-	g := group()
+	g := newGroup()
 	a := &catalog.Server{ID: "a", DataCentre: "x"}
 	b := &catalog.Server{ID: "b", DataCentre: "y"}
 	c := &catalog.Server{ID: "c", DataCentre: "z"}
 	d := &catalog.Deployment{Out: map[string]bool{"z": true}}
 	servers := []*catalog.Server{a, b, c}
-	g.Prove("b", at(1, 10), second)
+	g.Prove("b", point(1, 10), second)
 	read := func(now time.Duration, tried map[string]bool) *catalog.Server {
-		return g.Reader(d, servers, "x", at(1, 10), tried, now)
+		return g.Reader(d, servers, "x", point(1, 10), tried, now)
 	}
 	if s := read(second, nil); s != a {
 		t.Errorf("reads on %v, want the near replica", s)
@@ -141,25 +141,26 @@
 		g.Sent("a")
 	}
 	if s := read(2*second, nil); s != b {
-		t.Errorf("reads on %v though the replica has many statements under way", s)
+		t.Errorf("reads on %v, want the primary while the replica has many outstanding statements", s)
 	}
 }
 
-// Guards against what was known of a server that started anew without its log.
+// Guards against keeping the observations of a server that was restarted without
+// its log.
 func TestReborn(t *testing.T) {
-	g := group()
+	g := newGroup()
 	g.Reborn("a", 1)
 	g.Sent("a")
-	g.Done("a", Answered, time.Millisecond, at(3, 7), second)
+	g.Done("a", Answered, time.Millisecond, point(3, 7), second)
 	g.Reborn("a", 2)
 	if got := g.server("a").applied; got != (state.Point{}) {
-		t.Errorf("a new server is taken to hold %v", got)
+		t.Errorf("a restarted server is assumed to hold %v", got)
 	}
 }
 
-// Guards against second attempts that double the load when all servers are slow.
+// Guards against hedged reads that double the load while all servers are slow.
 func TestHedgesAreBounded(t *testing.T) {
-	g := group()
+	g := newGroup()
 	hedged := 0
 	for range 1000 {
 		g.CountRead()
@@ -176,6 +177,6 @@
 	for hedged = 0; g.Hedge(); hedged++ {
 	}
 	if hedged > maxHedges {
-		t.Errorf("%d second attempts at once", hedged)
+		t.Errorf("%d hedged reads at once", hedged)
 	}
 }
