--- a/coordination/succession/succession.go
+++ b/coordination/succession/succession.go
@@ -1,9 +1,8 @@
-// Package succession decides when a group needs another primary and which
-// server becomes it.
+// Package succession decides when a group needs a new primary and selects it.
 //
-// The platform promotes; one VM, the steward, orders it. Each order carries a
-// fencing token that was never used before, so an order that is carried out
-// late, after a newer one, has no effect.
+// The platform performs promotions on the order of a single VM, the failover
+// coordinator (see placement.View.Steward). Each order carries a unique fencing
+// token, so an order that is executed after a newer one has no effect.
 package succession
 
 import (
@@ -14,71 +13,73 @@
 )
 
 const (
-	// proofInterval is the age of a proof of lead from which the steward asks
-	// for a new one, in a deployment with few groups.
+	// proofInterval is the age from which the coordinator renews a proof of
+	// leadership, in a deployment with few groups.
 	proofInterval = 300 * time.Millisecond
-	// intervalPerGroup bounds the steward's questions to 200 a second. With 800
-	// groups one without statements is asked every 4 s, which leaves 3 of the 7 s
-	// in which a change of primary must be over.
+	// intervalPerGroup limits the coordinator to 200 queries per second. With 800
+	// groups an idle group is queried every 4 s, which leaves 3 s of the 7 s in
+	// which a change of primary must be complete.
 	intervalPerGroup = 5 * time.Millisecond
-	// deadAfter is how long no VM has had a proof before the primary is taken
-	// for lost. It is more than the longest statements and the time in which a
-	// VM that lost its executor finds another one.
-	deadAfter = time.Second
-	// goneAfter is the same for a primary at whose address nothing listens.
-	goneAfter = 500 * time.Millisecond
-	// registeredWithin is how long after the latest server was registered others
-	// may still be missing: in a large deployment that starts they come one after
-	// the other, and a group's replicas may be known before its primary.
-	registeredWithin = 2500 * time.Millisecond
-	// minFailures is how many questions must have failed in that time.
+	// lostTimeout is how long all VMs must have been without a proof for the
+	// primary to count as lost. It exceeds the duration of the longest
+	// statements and the time in which a VM that lost its executor finds
+	// another one.
+	lostTimeout = time.Second
+	// refusedTimeout is the same for a primary that refuses connections.
+	refusedTimeout = 500 * time.Millisecond
+	// registrationGrace is how long after the latest registration of a new server
+	// others may still be missing. When a large deployment starts, servers register
+	// one after the other, and the replicas of a group may be known before its
+	// primary.
+	registrationGrace = 2500 * time.Millisecond
+	// minFailures is how many queries must have failed in that time.
 	minFailures = 2
-	// RepeatAfter is how long an order may stay without effect.
+	// RepeatAfter is how long an order may have no effect before it is repeated.
 	RepeatAfter = 700 * time.Millisecond
 )
 
-// AskInterval returns the age of a proof of lead from which the steward of so
-// many groups asks for a new one.
+// AskInterval returns the age from which the coordinator renews a proof of
+// leadership, for the given number of groups.
 func AskInterval(groups int) time.Duration {
 	return max(proofInterval, time.Duration(groups)*intervalPerGroup)
 }
 
-// Facts are what the steward knows of a group.
+// Facts holds what the coordinator knows about a group.
 type Facts struct {
 	Interval time.Duration   // see AskInterval
-	Primary  *catalog.Server // to ask as the primary; nil if none is known
-	Leaving  bool            // Primary should take no new work
-	ProvenAt time.Duration   // latest proof of lead by any VM
-	Failures int             // questions that failed since then
-	Refusals int             // of these, those at whose time nothing listened at the primary's address
-	Since    time.Duration   // when the steward began to watch the group
-	Isolated bool            // the steward hears no majority of the VMs
-	// RegisteredAt is when a server that was not known registered last.
+	Primary  *catalog.Server // most likely primary; nil if none is known
+	Leaving  bool            // Primary is being taken out of service
+	ProvenAt time.Duration   // latest proof of leadership that any VM has
+	Failures int             // queries that failed since then
+	Refusals int             // of these, refused connections
+	Since    time.Duration   // when the coordinator began to watch the group
+	Isolated bool            // the coordinator hears from no majority of the VMs
+	// RegisteredAt is the time of the latest registration of a new server.
 	RegisteredAt time.Duration
 	Now          time.Duration
 }
 
-// Action is what the steward does about a group.
+// Action is the coordinator's action on a group.
 type Action uint8
 
 // Actions.
 const (
 	Nothing  Action = iota
-	Ask             // ask the primary for a proof of its lead
-	HandOver        // replace a primary that is leaving, and lose nothing
-	Replace         // replace a primary that is lost
+	Ask             // query the primary for a proof of leadership
+	HandOver        // replace a leaving primary without losing commits
+	Replace         // replace a lost primary
 )
 
-// Decide returns what to do about a group now.
+// Decide returns the action that is due.
 func Decide(f Facts) Action {
 	age := f.Now - max(f.ProvenAt, f.Since)
-	missing := f.Primary == nil && (f.ProvenAt != 0 || f.Now-f.RegisteredAt > registeredWithin)
-	lost := age > deadAfter && (f.Failures >= minFailures || missing)
-	gone := age > goneAfter && f.Refusals >= minFailures
+	missing := f.Primary == nil && (f.ProvenAt != 0 || f.Now-f.RegisteredAt > registrationGrace)
+	lost := age > lostTimeout && (f.Failures >= minFailures || missing)
+	refusing := age > refusedTimeout && f.Refusals >= minFailures
 	switch {
-	case (lost || gone) && !f.Isolated:
+	case (lost || refusing) && !f.Isolated:
 		return Replace
-	case f.Leaving && age <= deadAfter:
+	case f.Leaving && age <= lostTimeout:
 		return HandOver
 	case age > f.Interval && f.Primary != nil:
 		return Ask
@@ -90,25 +91,25 @@
 type Candidate struct {
 	Server   *catalog.Server
 	Received state.Point // end of its log
-	Usable   bool        // takes new work
+	Usable   bool        // accepts new work
 }
 
-// Best returns the candidate to promote: one that takes new work, with the
-// longest log. It reports false if there is none.
+// Best returns the usable candidate with the longest log. It reports false if
+// there is none.
 func Best(candidates []Candidate) (Candidate, bool) {
 	var best Candidate
 	found := false
 	for _, c := range candidates {
-		if c.Usable && (!found || longer(c.Received, best.Received)) {
+		if c.Usable && (!found || isLonger(c.Received, best.Received)) {
 			best, found = c, true
 		}
 	}
 	return best, found
 }
 
-func longer(a, b state.Point) bool {
+func isLonger(a, b state.Point) bool {
 	return a.Term > b.Term || a.Term == b.Term && a.Position > b.Position
 }
 
-// Holds reports whether a log that ends at p holds everything up to q.
-func Holds(p, q state.Point) bool { return p == q || longer(p, q) }
+// Holds reports whether a log that ends at p includes everything up to q.
+func Holds(p, q state.Point) bool { return p == q || isLonger(p, q) }
--- a/coordination/succession/succession_test.go
+++ b/coordination/succession/succession_test.go
@@ -8,8 +8,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-// Guards against primaries that are replaced too early, too late, or by a VM on
-// the small side of a partition.
+// Guards against replacing a primary too early or too late, and against replacing
+// it from the minority side of a partition.
 func TestDecide(t *testing.T) {
 	primary := &catalog.Server{ID: "a"}
 	const now = time.Minute
@@ -19,20 +19,20 @@
 	}{
 		"proven":                     {Facts{Primary: primary, ProvenAt: now - proofInterval/2}, Nothing},
 		"proof is old":               {Facts{Primary: primary, ProvenAt: now - proofInterval*2}, Ask},
-		"one question failed":        {Facts{Primary: primary, ProvenAt: now - 2*deadAfter, Failures: 1}, Ask},
-		"lost":                       {Facts{Primary: primary, ProvenAt: now - 2*deadAfter, Failures: minFailures}, Replace},
-		"gone":                       {Facts{Primary: primary, ProvenAt: now - goneAfter - 1, Failures: minFailures, Refusals: minFailures}, Replace},
-		"gone a moment ago":          {Facts{Primary: primary, ProvenAt: now - goneAfter, Failures: minFailures, Refusals: minFailures}, Ask},
-		"refused once":               {Facts{Primary: primary, ProvenAt: now - deadAfter, Failures: minFailures, Refusals: 1}, Ask},
-		"gone and isolated":          {Facts{Primary: primary, ProvenAt: now - 2*deadAfter, Failures: minFailures, Refusals: minFailures, Isolated: true}, Ask},
-		"lost and isolated":          {Facts{Primary: primary, ProvenAt: now - 2*deadAfter, Failures: minFailures, Isolated: true}, Ask},
-		"none is known":              {Facts{ProvenAt: now - 2*deadAfter}, Replace},
-		"none was ever known":        {Facts{RegisteredAt: now - registeredWithin - 1}, Replace},
-		"not registered yet":         {Facts{RegisteredAt: now - registeredWithin}, Nothing},
-		"lost while others register": {Facts{ProvenAt: now - 2*deadAfter, RegisteredAt: now}, Replace},
-		"watched since now":          {Facts{ProvenAt: now - 2*deadAfter, Since: now}, Nothing},
+		"one query failed":           {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: 1}, Ask},
+		"lost":                       {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: minFailures}, Replace},
+		"gone":                       {Facts{Primary: primary, ProvenAt: now - refusedTimeout - 1, Failures: minFailures, Refusals: minFailures}, Replace},
+		"gone for less time":         {Facts{Primary: primary, ProvenAt: now - refusedTimeout, Failures: minFailures, Refusals: minFailures}, Ask},
+		"refused once":               {Facts{Primary: primary, ProvenAt: now - lostTimeout, Failures: minFailures, Refusals: 1}, Ask},
+		"gone and isolated":          {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: minFailures, Refusals: minFailures, Isolated: true}, Ask},
+		"lost and isolated":          {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: minFailures, Isolated: true}, Ask},
+		"none is known":              {Facts{ProvenAt: now - 2*lostTimeout}, Replace},
+		"none was ever known":        {Facts{RegisteredAt: now - registrationGrace - 1}, Replace},
+		"not registered yet":         {Facts{RegisteredAt: now - registrationGrace}, Nothing},
+		"lost while others register": {Facts{ProvenAt: now - 2*lostTimeout, RegisteredAt: now}, Replace},
+		"watched since now":          {Facts{ProvenAt: now - 2*lostTimeout, Since: now}, Nothing},
 		"leaving":                    {Facts{Primary: primary, ProvenAt: now, Leaving: true}, HandOver},
-		"leaving and lost":           {Facts{Primary: primary, ProvenAt: now - 2*deadAfter, Failures: minFailures, Leaving: true}, Replace},
+		"leaving and lost":           {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: minFailures, Leaving: true}, Replace},
 	} {
 		tt.facts.Now, tt.facts.Interval = now, AskInterval(3)
 		if got := Decide(tt.facts); got != tt.want {
@@ -41,13 +41,14 @@
 	}
 }
 
-// Guards against a steward that cannot keep up with its questions in a large
-// deployment and takes primaries for lost, and against one that is too slow there.
+// Guards against a coordinator that is overloaded by its queries in a large
+// deployment and then replaces working primaries, and against one that detects
+// failures there too late.
 func TestAskIntervalGrowsWithGroups(t *testing.T) {
 	const (
 		planned    = 800             // groups
 		within     = 7 * time.Second // for a change of primary
-		detectLate = time.Second     // two questions that fail, one after the other
+		detectLate = time.Second     // two consecutive queries that fail
 		promotion  = time.Second     // the order and its effect
 	)
 	if got := AskInterval(3); got != proofInterval {
@@ -55,10 +56,10 @@
 	}
 	interval := AskInterval(planned)
 	if interval+detectLate+promotion > within {
-		t.Errorf("a group without statements is asked every %v", interval)
+		t.Errorf("an idle group is queried every %v", interval)
 	}
 	if perSecond := planned / interval.Seconds(); perSecond > 200 {
-		t.Errorf("%.0f questions a second", perSecond)
+		t.Errorf("%.0f queries per second", perSecond)
 	}
 }
 
@@ -72,7 +73,7 @@
 		t.Errorf("best is %v", best.Server)
 	}
 	if _, ok := Best([]Candidate{candidate("c", 3, 5, false)}); ok {
-		t.Error("a leaving server was chosen")
+		t.Error("Best returned a leaving server")
 	}
 	if !Holds(state.Point{Term: 3, Position: 4}, state.Point{Term: 3, Position: 4}) || Holds(state.Point{Term: 3, Position: 3}, state.Point{Term: 3, Position: 4}) {
 		t.Error("Holds is wrong")
