--- a/coordination/placement/connections.go
+++ b/coordination/placement/connections.go
@@ -3,36 +3,36 @@
 import "github.com/chestnutdyke/chestnutdyke/state/catalog"
 
 const (
-	// reservedConnections of a server are left to VMs with another view of the
-	// fleet.
+	// reservedConnections is the number of connections per server that are not
+	// planned, because VMs with another view may choose further executors.
 	reservedConnections = 3
-	// transientConnections of a server are shared by the customers that keep
-	// none of their own.
+	// transientConnections is the number of connections per server that the
+	// customers without permanent connections share.
 	transientConnections = 7
 )
 
-// Connections says what connections a customer may have to a server.
+// Connections describes the connections that a customer may have to a server.
 type Connections struct {
 	Limit     int
-	Permanent bool // they are kept while they rest
+	Permanent bool // idle connections stay open
 }
 
-// PlanConnections divides the connections of each server of the group among the
-// customers. Those with the highest rates keep one connection and get a part of
-// the rest by their rate; the others open one when they need it, if there are
-// more customers than connections.
+// PlanConnections returns a customer's part of the connections to each server of
+// the group. Each customer keeps one connection and a part of the rest in
+// proportion to its rate. If there are more customers than connections, only those
+// with the highest rates keep one, and the others open one on demand.
 func PlanConnections(config *catalog.Config, customer, group string) Connections {
 	g := config.Group(group)
 	if g == nil {
 		return Connections{Limit: 1}
 	}
-	places := g.MaxConnections - reservedConnections
-	if len(config.Customers) > places {
-		places -= transientConnections
+	available := g.MaxConnections - reservedConnections
+	if len(config.Customers) > available {
+		available -= transientConnections
 	}
-	if config.RateRank(customer) >= places {
+	if config.RateRank(customer) >= available {
 		return Connections{Limit: 1}
 	}
-	free := places - min(len(config.Customers), places)
+	free := available - min(len(config.Customers), available)
 	return Connections{Limit: 1 + int(float64(free)*config.RateShare(customer)), Permanent: true}
 }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,13 +1,13 @@
-// Package placement decides which VM does what for whom.
+// Package placement assigns tasks to VMs.
 //
 // A connection to a backend server belongs to one customer, and there are fewer
-// connections than VMs and customers. So for each customer and server one VM,
-// the executor, holds the connections, and the other VMs pass statements on to
-// it. Executors are chosen in the server's data centre: a statement then crosses
-// data centres once at most, and reads on a local replica never do.
+// connections than combinations of VM and customer. Therefore one VM, the executor,
+// holds the connections of a customer to a server, and the other VMs forward
+// statements to it. Executors are chosen in the server's data centre: a statement
+// then crosses data centres at most once, and reads on a local replica never do.
 //
-// The choice is a weighted rendezvous hash over the VMs that this VM hears. Two
-// VMs with different views may choose different executors; that costs
+// The choice uses a weighted rendezvous hash over the VMs that this VM considers
+// alive. VMs with different views may choose different executors; that costs
 // connections and is otherwise harmless.
 package placement
 
@@ -21,27 +21,27 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-// VM is another VM, or this one, as it described itself.
+// VM is the latest known status of a VM, as reported by that VM.
 type VM struct {
 	Name        string
 	DataCentre  string
-	Weight      float64         // processor share
-	Incarnation int64           // start of its process, Unix nanoseconds
-	Alive       bool            // heard of lately; always true for this VM
-	Leaving     bool            // stops
-	StoreCutOff bool            // does not reach the store
+	Weight      float64         // share of the processor
+	Incarnation int64           // start time of its process, Unix nanoseconds
+	Alive       bool            // heard from recently; always true for this VM
+	Leaving     bool            // shutting down
+	StoreCutOff bool            // cannot reach the store
 	Unreachable map[string]bool // backend servers that it cannot reach
 }
 
-// View is what this VM knows of all VMs. It is immutable.
+// View is this VM's view of all VMs. It is immutable.
 type View struct {
 	Self    string
-	VMs     []VM // with this VM
-	Members int  // VMs that own a share of the limits, alive or not
-	Listed  bool // the store's list of VMs was read
+	VMs     []VM // including this VM
+	Members int  // number of VMs that own a share of the limits, alive or not
+	Listed  bool // the list of VMs was read from the store
 }
 
-// AliveCount returns the number of VMs heard of lately, with this VM.
+// AliveCount returns the number of VMs that are alive, including this VM.
 func (v *View) AliveCount() int {
 	n := 0
 	for i := range v.VMs {
@@ -52,8 +52,9 @@
 	return n
 }
 
-// CutOff reports whether this VM hears nobody of other data centres although it
-// knows VMs of two or more: its own is cut off, rather than all others lost.
+// CutOff reports whether no VM of another data centre is alive although VMs of two
+// or more others are known. It is then more likely that this data centre is
+// partitioned than that all others have failed.
 func (v *View) CutOff() bool {
 	self := v.vm(v.Self)
 	others := make(map[string]bool)
@@ -70,85 +71,88 @@
 	return len(others) > 1
 }
 
-// Isolated reports whether this VM hears no majority of the VMs: it is probably
-// on the small side of a partition.
+// Isolated reports whether no majority of the VMs is alive from this VM's
+// perspective. It is then probably on the minority side of a partition.
 func (v *View) Isolated() bool { return v.Members > 2 && 2*v.AliveCount() <= v.Members }
 
-// Executor returns the VM that holds the customer's connections to the server.
-// It reports false if no VM that is heard of reaches the server.
+// Executor returns the VM that holds the customer's connections to the server. It
+// reports false if no VM that is alive can reach the server.
 func (v *View) Executor(customer string, s *catalog.Server) (string, bool) {
 	key := customer + "|" + s.ID
-	local := v.best(key, func(vm *VM) bool {
+	local := v.bestVM(key, func(vm *VM) bool {
 		return vm.DataCentre == s.DataCentre && !vm.Leaving && !vm.Unreachable[s.ID]
 	})
 	if local != "" {
 		return local, true
 	}
-	remote := v.best(key, func(vm *VM) bool { return !vm.Leaving && !vm.Unreachable[s.ID] })
+	remote := v.bestVM(key, func(vm *VM) bool { return !vm.Leaving && !vm.Unreachable[s.ID] })
 	return remote, remote != ""
 }
 
-// Ledgers returns the VMs that count the halves of a customer's limit. They are
-// in different data centres if VMs of two are heard of, so that a data centre
-// which is lost takes one half with it at most. The other half stays where it is.
+// Ledgers returns the VMs that account for the halves of a customer's limit. They
+// are in different data centres if VMs of two are alive, so that the loss of a data
+// centre affects at most one half. The ledger of the other half then stays where
+// it is.
 func (v *View) Ledgers(customer string) [catalog.Halves]string {
-	centres := v.rank(customer)
+	dataCentres := v.rankDataCentres(customer)
 	var ledgers [catalog.Halves]string
 	for half := range ledgers {
-		ledgers[half] = v.ledger(customer, half, centres)
+		ledgers[half] = v.ledger(customer, half, dataCentres)
 	}
 	return ledgers
 }
 
-func (v *View) ledger(customer string, half int, centres []string) string {
+// ledger returns the VM that accounts for one half of the customer's limit, given
+// the customer's ranking of the data centres.
+func (v *View) ledger(customer string, half int, dataCentres []string) string {
 	key := "ledger|" + strconv.Itoa(half) + "|" + customer
-	inCentre := func(i int) string {
-		if i >= len(centres) {
+	inDataCentre := func(i int) string {
+		if i >= len(dataCentres) {
 			return ""
 		}
-		return v.best(key, func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == centres[i] })
+		return v.bestVM(key, func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == dataCentres[i] })
 	}
-	// Its own data centre, then those that are neither half's own, then the
-	// other half's own.
-	if vm := inCentre(half); vm != "" {
+	// The preferred data centre of this half comes first, then those that neither
+	// half prefers, then that of the other half.
+	if vm := inDataCentre(half); vm != "" {
 		return vm
 	}
-	for i := catalog.Halves; i < len(centres); i++ {
-		if vm := inCentre(i); vm != "" {
+	for i := catalog.Halves; i < len(dataCentres); i++ {
+		if vm := inDataCentre(i); vm != "" {
 			return vm
 		}
 	}
-	if vm := inCentre(catalog.Halves - 1 - half); vm != "" {
+	if vm := inDataCentre(catalog.Halves - 1 - half); vm != "" {
 		return vm
 	}
 	return v.Self
 }
 
-// Half returns the half whose ledger this VM asks first if neither is closer, so
-// that the VMs of a data centre share both.
+// Half returns the half whose ledger this VM asks first if neither is closer. The
+// choice spreads the VMs of a data centre over both halves.
 func (v *View) Half() uint8 { return uint8(lease.Score("half", v.Self) % catalog.Halves) }
 
-// rank returns the data centres by the rendezvous score of the key, highest
-// first.
-func (v *View) rank(key string) []string {
-	var centres []string
+// rankDataCentres returns the data centres in descending order of their
+// rendezvous score for the key.
+func (v *View) rankDataCentres(key string) []string {
+	var dataCentres []string
 	for i := range v.VMs {
-		if dc := v.VMs[i].DataCentre; !slices.Contains(centres, dc) {
-			centres = append(centres, dc)
+		if dc := v.VMs[i].DataCentre; !slices.Contains(dataCentres, dc) {
+			dataCentres = append(dataCentres, dc)
 		}
 	}
-	slices.SortFunc(centres, func(a, b string) int {
+	slices.SortFunc(dataCentres, func(a, b string) int {
 		return cmp.Or(cmp.Compare(lease.Score(key, b), lease.Score(key, a)), cmp.Compare(a, b))
 	})
-	return centres
+	return dataCentres
 }
 
-// Complete reports whether this VM hears all VMs that own a share of the limits.
+// Complete reports whether all VMs that own a share of the limits are alive.
 func (v *View) Complete() bool { return v.Listed && v.AliveCount() == v.Members }
 
-// Steward returns the VM that orders promotions: the one that has run longest.
-// A hash would give the duty back to a VM that was just killed, and each change
-// costs time in which no primary is replaced.
+// Steward returns the failover coordinator, which orders promotions: the VM with
+// the longest uptime. A hash would return this duty to a VM that has just restarted
+// after a crash, and no primary is replaced while the duty changes hands.
 func (v *View) Steward() string {
 	var oldest *VM
 	for i := range v.VMs {
@@ -166,39 +170,41 @@
 	return oldest.Name
 }
 
-// StoreReached reports whether a VM that is heard of reaches the store.
+// StoreReached reports whether a VM that is alive can reach the store.
 func (v *View) StoreReached() bool {
 	return slices.ContainsFunc(v.VMs, func(vm VM) bool { return vm.Alive && !vm.StoreCutOff })
 }
 
-// watchers is how many VMs watch a kind of objects. One is enough while the
-// store answers it; the second hides the time until a silent one is noticed.
-const watchers = 2
+// watchersPerKind is the number of VMs that watch the store for a kind of
+// objects. One suffices while it receives answers; the second covers the time
+// until a failed one is detected.
+const watchersPerKind = 2
 
-// Watches reports whether this VM watches the store for the kind of objects.
-// The other VMs learn from those that do. If the store answers no VM that is
-// heard of, as many go on asking it for all: each call is paid for.
+// Watches reports whether this VM watches the store for the kind of objects. The
+// other VMs receive the changes from the watchers. If no VM that is alive can reach
+// the store, the same number keep polling it for all VMs, because each call is
+// billed.
 func (v *View) Watches(kind string) bool {
 	reached := v.StoreReached()
-	first := ""
-	for range watchers {
-		next := v.best("watch|"+kind, func(vm *VM) bool {
-			return !vm.Leaving && (!vm.StoreCutOff || !reached) && vm.Name != first
+	chosen := ""
+	for range watchersPerKind {
+		next := v.bestVM("watch|"+kind, func(vm *VM) bool {
+			return !vm.Leaving && (!vm.StoreCutOff || !reached) && vm.Name != chosen
 		})
 		if next == v.Self || next == "" {
 			return true
 		}
-		first = next
+		chosen = next
 	}
 	return false
 }
 
-// Relays reports whether this VM fetches what others know for its data centre.
-// The other VMs of the data centre ask it or each other, because bytes between
-// data centres are paid for.
+// Relays reports whether this VM fetches updates from other data centres on behalf
+// of its own. The other VMs of the data centre get them from it or from each other,
+// because traffic between data centres is billed.
 func (v *View) Relays() bool {
 	self := v.vm(v.Self)
-	return v.best("relay", func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == self.DataCentre }) == v.Self
+	return v.bestVM("relay", func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == self.DataCentre }) == v.Self
 }
 
 // Near reports whether the VM is in this VM's data centre.
@@ -216,13 +222,13 @@
 	return nil
 }
 
-// best returns the alive VM that fits and has the highest weighted rendezvous
-// score of the key, or "".
-func (v *View) best(key string, fits func(*VM) bool) string {
+// bestVM returns the eligible VM with the highest weighted rendezvous score for the
+// key, among those that are alive, or "".
+func (v *View) bestVM(key string, eligible func(*VM) bool) string {
 	name, score := "", 0.0
 	for i := range v.VMs {
 		vm := &v.VMs[i]
-		if !vm.Alive || !fits(vm) {
+		if !vm.Alive || !eligible(vm) {
 			continue
 		}
 		s := weightedScore(key, vm)
@@ -233,8 +239,8 @@
 	return name
 }
 
-// weightedScore turns the hash into a uniform number u in (0, 1) and returns
-// -weight/ln(u), which gives each VM keys in proportion to its weight.
+// weightedScore maps the hash to a uniform number u in (0, 1) and returns
+// -weight/ln(u), which assigns keys to VMs in proportion to their weights.
 func weightedScore(key string, vm *VM) float64 {
 	u := (float64(lease.Score(key, vm.Name)>>11) + 0.5) / (1 << 53)
 	return -vm.Weight / math.Log(u)
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -7,20 +7,20 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-func fleet(zones, each int) *View {
-	v := &View{Self: "vm-0-0", Members: zones * each}
-	for z := range zones {
-		for n := range each {
+func newView(dataCentres, vmsEach int) *View {
+	v := &View{Self: "vm-0-0", Members: dataCentres * vmsEach}
+	for z := range dataCentres {
+		for n := range vmsEach {
 			v.VMs = append(v.VMs, VM{Name: fmt.Sprintf("vm-%d-%d", z, n), DataCentre: fmt.Sprintf("z%d", z), Weight: 1, Alive: true})
 		}
 	}
 	return v
 }
 
-// Guards against executors outside of the server's data centre, and against
-// statements that are sent to VMs that cannot run them.
+// Guards against choosing an executor outside the server's data centre while one
+// inside is eligible, and against choosing a VM that cannot run the statement.
 func TestExecutor(t *testing.T) {
-	v := fleet(3, 2)
+	v := newView(3, 2)
 	s := &catalog.Server{ID: "s", DataCentre: "z1"}
 	first, ok := v.Executor("c", s)
 	if !ok || first != "vm-1-0" && first != "vm-1-1" {
@@ -35,20 +35,20 @@
 	v.vm(second).Leaving = true
 	third, ok := v.Executor("c", s)
 	if !ok || third == first || third == second {
-		t.Errorf("executor %s, want one elsewhere", third)
+		t.Errorf("executor %s, want one in another data centre", third)
 	}
 	for i := range v.VMs {
 		v.VMs[i].Alive = false
 	}
 	if vm, ok := v.Executor("c", s); ok {
-		t.Errorf("executor %s though no VM is heard of", vm)
+		t.Errorf("executor %s although no VM is alive", vm)
 	}
 }
 
-// Guards against keys that all move when one VM leaves, and against weights that
-// are ignored.
+// Guards against reassigning the keys of other VMs when one VM leaves, and against
+// ignoring the weights.
 func TestRendezvousMovesLittle(t *testing.T) {
-	v := fleet(1, 5)
+	v := newView(1, 5)
 	v.VMs[0].Weight = 3
 	count := make(map[string]int)
 	before := make(map[string]string)
@@ -68,10 +68,10 @@
 	}
 }
 
-// Guards against a data centre that takes both halves of a limit with it, and
-// against the other half moving when one is lost.
+// Guards against losing both halves of a limit with one data centre, and against
+// moving the other half when one is lost.
 func TestLedgersAreInTwoDataCentres(t *testing.T) {
-	v := fleet(3, 2)
+	v := newView(3, 2)
 	dc := func(name string) string { return v.vm(name).DataCentre }
 	for i := range 50 {
 		key := fmt.Sprint("customer-", i)
@@ -92,7 +92,7 @@
 			v.VMs[j].Alive = v.VMs[j].DataCentre == dc(before[0])
 		}
 		if after := v.Ledgers(key); dc(after[0]) != dc(before[0]) || dc(after[1]) != dc(before[0]) {
-			t.Errorf("%s: ledgers %v although only %s is heard", key, after, dc(before[0]))
+			t.Errorf("%s: ledgers %v although only %s is alive", key, after, dc(before[0]))
 		}
 		for j := range v.VMs {
 			v.VMs[j].Alive = true
@@ -100,13 +100,13 @@
 	}
 }
 
-// Guards against a part of the fleet without a watcher, and against both sides
-// of a partition taking themselves for the larger one.
+// Guards against a kind of objects without a watcher, and against both sides of a
+// partition considering themselves the majority.
 func TestWatchersAndIsolation(t *testing.T) {
-	for _, lost := range []bool{false, true} { // the store answers nobody
+	for _, lost := range []bool{false, true} { // whether no VM can reach the store
 		watching := 0
-		for _, vm := range fleet(3, 2).VMs {
-			v := fleet(3, 2)
+		for _, vm := range newView(3, 2).VMs {
+			v := newView(3, 2)
 			v.Self = vm.Name
 			for i := range v.VMs {
 				v.VMs[i].StoreCutOff = lost
@@ -115,11 +115,11 @@
 				watching++
 			}
 		}
-		if watching != watchers {
-			t.Errorf("%d VMs watch, want %d (store lost: %v)", watching, watchers, lost)
+		if watching != watchersPerKind {
+			t.Errorf("%d VMs watch, want %d (store lost: %v)", watching, watchersPerKind, lost)
 		}
 	}
-	v := fleet(3, 2)
+	v := newView(3, 2)
 	for i := 2; i < 6; i++ {
 		v.VMs[i].Alive = false
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// Guards against customers that have more connections together than a server
-// takes, and against large customers without one of their own.
+// Guards against planning more permanent connections than a server accepts, and
+// against customers without any connection.
 func TestPlanConnections(t *testing.T) {
 	for _, tt := range []struct{ customers, max int }{{8, 21}, {80, 50}, {3, 4}, {1, 1}} {
 		c := &catalog.Config{Groups: []catalog.Group{{Name: "g", MaxConnections: tt.max}}}
@@ -157,9 +157,9 @@
 	}
 }
 
-// Guards against a duty that returns to a VM which was just killed.
+// Guards against a coordinator duty that returns to a VM which has just restarted.
 func TestStewardIsTheOldest(t *testing.T) {
-	v := fleet(3, 2)
+	v := newView(3, 2)
 	for i := range v.VMs {
 		v.VMs[i].Incarnation = int64(10 + i)
 	}
@@ -173,6 +173,6 @@
 	}
 	v.VMs[0].Alive, v.VMs[0].Incarnation = true, 99
 	if s := v.Steward(); s != "vm-1-0" {
-		t.Errorf("steward %s after a VM started again", s)
+		t.Errorf("steward %s after a VM was restarted", s)
 	}
 }
