--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -7,36 +7,36 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// RampUp is the time over which a backend server that came back into service
-// gets its full share of reads.
+// RampUp is the time in which the reads on a backend server that has returned to
+// service grow to its full share.
 const RampUp = 5 * time.Second
 
-// Query says what a request needs.
+// Query describes a request and the conditions for its routing.
 type Query struct {
 	Config     *state.Config
 	Group      *state.Group
 	DataCentre string // of this VM
 	Now        time.Time
 	Read       bool
-	// ReplicaAllowed says that the session knows what its reads must cover.
-	// Without it, and without MaxAge, reads go to the primary.
+	// ReplicaAllowed is true if the session knows which point its reads must
+	// cover. Otherwise reads without MaxAge go to the primary.
 	ReplicaAllowed bool
-	Point          state.Point   // what the read must cover; zero is covered by every server
-	MaxAge         time.Duration // greatest age of the data; zero is no bound
-	Excluded       string        // backend server that just failed this request
-	Asked          string        // replica whose position was already asked for this request
-	Spread         uint64        // spreads equal choices
+	Point          state.Point   // point that the read must cover; zero is covered by every server
+	MaxAge         time.Duration // maximum age of the data; zero means no limit
+	Excluded       string        // backend server on which this request has just failed
+	Asked          string        // replica whose position was already queried for this request
+	Spread         uint64        // varies between requests, to spread them over equal choices
 	Load           func(server string) float64
-	PrimaryOnly    bool // baseline for measurements: all reads on the primary
+	PrimaryOnly    bool // send all reads to the primary, as a baseline for benchmarks
 }
 
-// Kind says what to do next.
+// Kind is the kind of a choice.
 type Kind int
 
 // Kinds of choices.
 const (
 	Send         Kind = iota // send the request to Server
-	AskPosition              // ask for the position of Server, a replica, then choose again
+	AskPosition              // query the position of Server, a replica, then choose again
 	AwaitPrimary             // no usable primary is known
 )
 
@@ -48,9 +48,9 @@
 	Term    uint64 // with Primary
 }
 
-// Choose returns the backend server for a request: for reads the least loaded
-// replica that covers the point and is recent enough, in the VM's data centre
-// first; otherwise the primary.
+// Choose returns the backend server for a request. For reads it prefers the least
+// loaded replica that covers the point and is recent enough, first in the VM's data
+// centre; otherwise it returns the primary.
 func Choose(g *state.GroupState, q Query) Choice {
 	if q.Read && !q.PrimaryOnly && (q.ReplicaAllowed || q.MaxAge > 0) {
 		if c, ok := chooseReplica(g, q); ok {
@@ -67,35 +67,37 @@
 	}
 	_, _, usable := g.UsablePrimary()
 	if !usable && !(q.Read && g.View(g.Primary).Reachable()) {
-		return await // a primary that hands over still serves reads
+		return await // a primary in a switchover still serves reads
 	}
 	return Choice{Kind: Send, Server: g.Primary, Primary: true, Term: g.Term}
 }
 
+// chooseReplica returns the choice of a replica for a read. It prefers a local
+// replica, even if its position must be queried first, to a remote one.
 func chooseReplica(g *state.GroupState, q Query) (Choice, bool) {
-	var near, far, ask *state.BackendServer
+	var local, remote, toQuery *state.BackendServer
 	for i := range q.Group.Servers {
 		s := &q.Group.Servers[i]
 		if !usableReplica(g, q, s) {
 			continue
 		}
-		local := s.DataCentre == q.DataCentre
+		sameDC := s.DataCentre == q.DataCentre
 		switch {
-		case covers(g, q, s.Name) && local:
-			near = lessLoaded(q, near, s)
+		case covers(g, q, s.Name) && sameDC:
+			local = lessLoaded(q, local, s)
 		case covers(g, q, s.Name):
-			far = lessLoaded(q, far, s)
-		case local && s.Name != q.Asked:
-			ask = lessLoaded(q, ask, s)
+			remote = lessLoaded(q, remote, s)
+		case sameDC && s.Name != q.Asked:
+			toQuery = lessLoaded(q, toQuery, s)
 		}
 	}
 	switch {
-	case near != nil:
-		return Choice{Kind: Send, Server: near.Name}, true
-	case ask != nil && q.Asked == "":
-		return Choice{Kind: AskPosition, Server: ask.Name}, true
-	case far != nil:
-		return Choice{Kind: Send, Server: far.Name}, true
+	case local != nil:
+		return Choice{Kind: Send, Server: local.Name}, true
+	case toQuery != nil && q.Asked == "":
+		return Choice{Kind: AskPosition, Server: toQuery.Name}, true
+	case remote != nil:
+		return Choice{Kind: Send, Server: remote.Name}, true
 	default:
 		return Choice{}, false
 	}
@@ -109,12 +111,13 @@
 	if !v.FailedAt.IsZero() {
 		return false
 	}
-	return admittedByRamp(v, q)
+	return admittedByRampUp(v, q)
 }
 
-// admittedByRamp keeps most requests away from a server that has just come
-// back, because its caches are cold.
-func admittedByRamp(v *state.ServerView, q Query) bool {
+// admittedByRampUp reports whether the request may use a server that may have
+// returned recently. The fraction of admitted requests grows linearly over RampUp,
+// because the server's caches are cold.
+func admittedByRampUp(v *state.ServerView, q Query) bool {
 	if v.ReturnsAt.IsZero() {
 		return true
 	}
@@ -126,6 +129,8 @@
 	return time.Duration(q.Spread%steps)*RampUp/steps < elapsed
 }
 
+// covers reports whether a replica is known to cover the point and to be recent
+// enough.
 func covers(g *state.GroupState, q Query, server string) bool {
 	v := g.View(server)
 	if v.AskedAt.IsZero() || v.Status.Role != state.Replica || !v.Status.Covers(q.Point) {
@@ -138,6 +143,7 @@
 	return known && age <= q.MaxAge
 }
 
+// lessLoaded returns the less loaded of two servers. best may be nil.
 func lessLoaded(q Query, best, s *state.BackendServer) *state.BackendServer {
 	if best == nil {
 		return s
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -11,9 +11,10 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// group has a primary in dc1 at position 100 of term 2, which began at 50, a
-// replica in dc2 at 90 and one in dc3 at 40 of term 1.
-func group() (*state.Config, *state.Group, *state.GroupState) {
+// newGroup returns a group with a primary in dc1 at position 100 of term 2, which
+// began at position 50, a replica in dc2 at position 90, and a replica in dc3 at
+// position 40 of term 1.
+func newGroup() (*state.Config, *state.Group, *state.GroupState) {
 	grp := &state.Group{Name: "g", Servers: []state.BackendServer{
 		{Name: "a", DataCentre: "dc1", State: state.InService},
 		{Name: "b", DataCentre: "dc2", State: state.InService},
@@ -33,8 +34,8 @@
 	return cfg, grp, g
 }
 
-// Guards against stale reads, reads of unknown age, and work for servers that
-// are leaving.
+// Guards against stale reads, reads of unknown age, and requests to leaving
+// servers.
 func TestChoose(t *testing.T) {
 	primary := Choice{Kind: Send, Server: "a", Primary: true, Term: 2}
 	replica := func(name string) Choice { return Choice{Kind: Send, Server: name} }
@@ -85,7 +86,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg, grp, g := group()
+			cfg, grp, g := newGroup()
 			q := Query{
 				Config: cfg, Group: grp, DataCentre: "dc2", Now: now, Read: true, ReplicaAllowed: true,
 				Load: func(string) float64 { return 0 },
@@ -98,9 +99,10 @@
 	}
 }
 
-// Guards against a server that gets its full share while its caches are cold.
+// Guards against sending a returned server its full share of reads while its
+// caches are cold.
 func TestReturnedServerRampsUp(t *testing.T) {
-	cfg, grp, g := group()
+	cfg, grp, g := newGroup()
 	g.View("b").ReturnsAt = now.Add(-RampUp / 4)
 	served := 0
 	const requests = 640
@@ -114,6 +116,6 @@
 		}
 	}
 	if served < requests/5 || served > requests*3/10 {
-		t.Errorf("%d of %d requests after a quarter of the time", served, requests)
+		t.Errorf("%d of %d requests were served after a quarter of RampUp", served, requests)
 	}
 }
