--- a/coordination/failover/detect.go
+++ b/coordination/failover/detect.go
@@ -53,7 +53,7 @@
 		return state.ConditionHeadless
 	}
 	if !d.isResponsive(d.State.Primary) {
-		return d.silentPrimaryCondition(ahead)
+		return d.unresponsivePrimaryCondition(ahead)
 	}
 	switch {
 	case !d.State.Servers[d.State.Primary].Status.Leads(d.State.Term):
@@ -67,9 +67,9 @@
 	}
 }
 
-// silentPrimaryCondition returns the condition of a group whose primary does
+// unresponsivePrimaryCondition returns the condition of a group whose primary does
 // not answer.
-func (d *decision) silentPrimaryCondition(ahead int) state.Condition {
+func (d *decision) unresponsivePrimaryCondition(ahead int) state.Condition {
 	failed := d.primaryFailed()
 	switch {
 	case failed && ahead == 0:
@@ -147,12 +147,12 @@
 		if v == nil || v.FailedAt.IsZero() {
 			continue
 		}
-		again := maxRecheck
+		recheck := maxRecheck
 		if !v.SilentSince.IsZero() {
-			again = min(max(d.Now.Sub(v.SilentSince)/4, minRecheck), maxRecheck)
+			recheck = min(max(d.Now.Sub(v.SilentSince)/4, minRecheck), maxRecheck)
 		}
-		if !wanted || again < interval {
-			interval, wanted = again, true
+		if !wanted || recheck < interval {
+			interval, wanted = recheck, true
 		}
 	}
 	return interval, wanted
--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -112,9 +112,9 @@
 	}{
 		"first watcher, requests wait":  {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters},
 		"second watcher":                {Part{Watcher: true, DataCentre: "dc-c"}, true, []string{"a"}, silenceWithWaiters + watcherStagger},
-		"watcher, nobody waits":         {Part{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, silenceWithoutWaiters},
+		"watcher, no requests wait":     {Part{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, silenceWithoutWaiters},
 		"other VM, requests wait":       {Part{Rank: 1, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters + 2*waiterStagger},
-		"other VM, nobody waits":        {Part{Rank: 0, DataCentre: "dc-b"}, false, []string{"a"}, never},
+		"other VM, no requests wait":    {Part{Rank: 0, DataCentre: "dc-b"}, false, []string{"a"}, never},
 		"primary of a newer ticket":     {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, never},
 		"no majority":                   {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a", "c"}, never},
 		"replica silent, primary works": {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"c"}, never},
@@ -194,16 +194,16 @@
 func TestRetryUsesAHigherTerm(t *testing.T) {
 	for result, earliest := range map[Result]time.Duration{Failed: retryBase, Refused: promotionGrace} {
 		in, adopt := startedAttempt(t)
-		promised := map[Result]uint64{Failed: adopt.Term, Refused: 5 << indexBits}[result]
-		in.deliver(Adopt, "b", adopt.Term, result, newStatus("b", promised, 1, 10))
+		adoptedTerm := map[Result]uint64{Failed: adopt.Term, Refused: 5 << indexBits}[result]
+		in.deliver(Adopt, "b", adopt.Term, result, newStatus("b", adoptedTerm, 1, 10))
 		in.deliver(Adopt, "a", adopt.Term, Failed, state.ServerStatus{})
 		next, at := Call{}, silenceWithWaiters
 		for ; next.Term == 0 && at < 3*time.Second; at += 10 * time.Millisecond {
 			in.failQueries(at, "a")
-			in.State.Observe(newStatus("b", promised, 1, 10), start.Add(at))
+			in.State.Observe(newStatus("b", adoptedTerm, 1, 10), start.Add(at))
 			_, next = calls(Tick(in.at(at)))
 		}
-		if next.Order != Adopt || next.Term <= promised || at < silenceWithWaiters+earliest {
+		if next.Order != Adopt || next.Term <= adoptedTerm || at < silenceWithWaiters+earliest {
 			t.Errorf("result %d: %v after %v", result, next, at-silenceWithWaiters)
 		}
 	}
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -54,15 +54,15 @@
 
 // onVM returns a function that runs f on the VM: after the pause if the VM is
 // paused, and not at all if it is down.
-func (v *simVM) onVM(f func()) (bound func()) {
-	bound = func() {
+func (v *simVM) onVM(f func()) (wrapped func()) {
+	wrapped = func() {
 		if v.now.Before(v.pausedUntil) {
-			v.schedule(v.pausedUntil, bound)
+			v.schedule(v.pausedUntil, wrapped)
 		} else if v.up {
 			f()
 		}
 	}
-	return bound
+	return wrapped
 }
 
 func (v *simVM) currentGroup() *state.Group { return v.cfg.Groups["g"] }
--- a/coordination/replication/replication_test.go
+++ b/coordination/replication/replication_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	three = &state.Group{Name: "g", Servers: []state.BackendServer{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+	start        = time.Unix(1000, 0)
+	threeServers = &state.Group{Name: "g", Servers: []state.BackendServer{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 )
 
 // newStatus returns a server's status. Terms 2 and 3 start at positions 10 and 20.
@@ -27,7 +27,7 @@
 
 func newState(observed ...state.ServerStatus) *state.GroupState {
 	g := &state.GroupState{Name: "g", Servers: map[string]*state.ServerView{}}
-	g.Configure(three)
+	g.Configure(threeServers)
 	for _, s := range observed {
 		g.Observe(s, start)
 	}
@@ -76,7 +76,7 @@
 		"term not in the history":      {1, 5, []state.ServerStatus{newStatus("b", p, 3, 3, 30), newStatus("c", r, 3, 3, 30)}, Lost, none},
 	} {
 		w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: c.term, Target: state.Point{Term: c.term, Position: c.target}, TargetKnown: c.target != 0, Deadline: start.Add(time.Second)}
-		_, results, _ := splitEffects(Wait(newState(c.statuses...), three, w, start))
+		_, results, _ := splitEffects(Wait(newState(c.statuses...), threeServers, w, start))
 		checkResult(t, name, results, c.want, c.point)
 	}
 }
@@ -107,11 +107,11 @@
 	} {
 		g := newState(c.seen...)
 		w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Deadline: start.Add(time.Second)}
-		asks, results, _ := splitEffects(Wait(g, three, w, start.Add(time.Millisecond)))
+		asks, results, _ := splitEffects(Wait(g, threeServers, w, start.Add(time.Millisecond)))
 		for _, answer := range append(after, c.answer) {
 			for _, ask := range asks {
 				if ask.Server == answer.Server {
-					_, more, _ := splitEffects(Answer(g, three, ask, answer, start.Add(2*time.Millisecond)))
+					_, more, _ := splitEffects(Answer(g, threeServers, ask, answer, start.Add(2*time.Millisecond)))
 					results = append(results, more...)
 				}
 			}
@@ -122,21 +122,21 @@
 
 // Guards against a write that waits for the log end of a server that does not
 // answer.
-func TestSilentServerBeforeTarget(t *testing.T) {
+func TestUnresponsiveServerBeforeTarget(t *testing.T) {
 	g := newState(newStatus("a", state.Primary, 2, 2, 10))
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Joined: start, Deadline: start.Add(time.Second)}
-	asks, _, _ := splitEffects(Wait(g, three, w, start))
+	asks, _, _ := splitEffects(Wait(g, threeServers, w, start))
 	var results []Result
 	for _, ask := range asks {
 		var effects []Effect
 		at := start.Add(2 * time.Millisecond)
 		switch ask.Server {
 		case "a":
-			effects = Failure(g, three, ask, false, at)
+			effects = Failure(g, threeServers, ask, false, at)
 		case "b":
-			effects = Answer(g, three, ask, newStatus("b", state.Primary, 3, 3, 21), at)
+			effects = Answer(g, threeServers, ask, newStatus("b", state.Primary, 3, 3, 21), at)
 		case "c":
-			effects = Answer(g, three, ask, newStatus("c", state.Replica, 3, 3, 21), at)
+			effects = Answer(g, threeServers, ask, newStatus("c", state.Replica, 3, 3, 21), at)
 		}
 		_, more, _ := splitEffects(effects)
 		results = append(results, more...)
@@ -158,18 +158,18 @@
 // write's commit, which would acknowledge the write without its own records.
 func TestRoundBeforeTheWriteIsNotUsed(t *testing.T) {
 	g := newState()
-	asks, _, _ := splitEffects(Probe(g, three, start))
+	asks, _, _ := splitEffects(Probe(g, threeServers, start))
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Deadline: start.Add(time.Second)}
-	Wait(g, three, w, start.Add(100*time.Microsecond))
+	Wait(g, threeServers, w, start.Add(100*time.Microsecond))
 	for round, now := range []time.Time{start.Add(minSpacing / 2), start.Add(minSpacing)} {
 		var effects []Effect
 		for _, ask := range append(asks, asks...) { // every answer arrives twice
-			effects = append(effects, Answer(g, three, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, 15+uint64(round)), now)...)
+			effects = append(effects, Answer(g, threeServers, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, 15+uint64(round)), now)...)
 		}
 		early, results, _ := splitEffects(effects)
 		if round == 0 {
 			checkResult(t, "round from before the write", results, 0, state.Point{})
-			asks, _, _ = splitEffects(Tick(g, three, start.Add(minSpacing)))
+			asks, _, _ = splitEffects(Tick(g, threeServers, start.Add(minSpacing)))
 		} else {
 			checkResult(t, "round from after the write", results, Satisfied, state.Point{Term: 2, Position: 16})
 		}
@@ -186,13 +186,13 @@
 func TestRoundSpacing(t *testing.T) {
 	g := newState()
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Deadline: start.Add(200 * time.Millisecond)}
-	effects, now := Wait(g, three, w, start), start
+	effects, now := Wait(g, threeServers, w, start), start
 	var spacings []time.Duration
 	for {
 		asks, results, wake := splitEffects(effects)
 		for _, ask := range asks {
 			if ask.Server != "c" { // c never answers; the write never reaches b
-				_, _, wake = splitEffects(Answer(g, three, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, map[string]uint64{"a": 15, "b": 14}[ask.Server]), now))
+				_, _, wake = splitEffects(Answer(g, threeServers, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, map[string]uint64{"a": 15, "b": 14}[ask.Server]), now))
 			}
 		}
 		if len(results) > 0 {
@@ -203,7 +203,7 @@
 			t.Fatalf("wake-up at %v, which is not after %v", wake, now)
 		}
 		spacings, now = append(spacings, wake.Sub(now)), wake
-		effects = Tick(g, three, now)
+		effects = Tick(g, threeServers, now)
 	}
 	want := []time.Duration{1, 2, 4, 8, 10, 10}
 	for i := range want {
@@ -242,11 +242,11 @@
 			g.ObserveFailure("b", now)
 		}
 		w := state.PositionWaiter{Kind: state.WaitCover, Server: "b", Point: c.point, MaxAge: c.maxAge, Deadline: now.Add(5 * time.Millisecond)}
-		asks, results, _ := splitEffects(Wait(g, three, w, now))
+		asks, results, _ := splitEffects(Wait(g, threeServers, w, now))
 		if c.want == Satisfied && (len(results) != 1 || len(asks) != 0) || c.want == 0 && (len(results) != 0 || len(asks) != 3) {
 			t.Errorf("%s: %d queries, results %+v", name, len(asks), results)
 		}
-		if _, late, _ := splitEffects(Tick(g, three, w.Deadline)); c.want == 0 && (len(late) != 1 || late[0].Kind != TimedOut) {
+		if _, late, _ := splitEffects(Tick(g, threeServers, w.Deadline)); c.want == 0 && (len(late) != 1 || late[0].Kind != TimedOut) {
 			t.Errorf("%s: results %+v at the deadline", name, late)
 		}
 	}
@@ -275,9 +275,9 @@
 		if c.other {
 			g.Failover.Step = state.FailoverAdopting
 		}
-		asks, all, _ := splitEffects(Wait(g, three, state.PositionWaiter{Kind: state.WaitPrimary, Deadline: start.Add(time.Second)}, start))
+		asks, all, _ := splitEffects(Wait(g, threeServers, state.PositionWaiter{Kind: state.WaitPrimary, Deadline: start.Add(time.Second)}, start))
 		for i, answer := range []state.ServerStatus{c.a, c.b} {
-			_, results, _ := splitEffects(Answer(g, three, asks[i], answer, start))
+			_, results, _ := splitEffects(Answer(g, threeServers, asks[i], answer, start))
 			all = append(all, results...)
 		}
 		checkResult(t, name, all, c.want, state.Point{Term: 2, Position: 15})
--- a/coordination/succession/succession.go
+++ b/coordination/succession/succession.go
@@ -53,7 +53,7 @@
 	Failures int             // queries that failed since then
 	Refusals int             // of these, refused connections
 	Since    time.Duration   // when the coordinator began to watch the group
-	Isolated bool            // the coordinator hears from no majority of the VMs
+	Isolated bool            // the coordinator has no contact with a majority of the VMs
 	// RegisteredAt is the time of the latest registration of a new server.
 	RegisteredAt time.Duration
 	Now          time.Duration
