--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -1,6 +1,6 @@
-// Package access decides whether a request may run: the key check, the routes
-// that a customer may use, and the policy of a VM that is cut off from the
-// store.
+// Package access decides whether a request may run. It checks the API key, the
+// routes that the customer may use, and the policy that applies while a VM is
+// cut off from the configuration store.
 package access
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// ContactBound is the age up to which a configuration counts as confirmed. A
-// healthy VM stays below about 6 s, and one failed call of the store adds at
-// most 3 s, so a shorter bound would refuse customers although the store is
-// reached.
+// ContactBound is the maximum time since the last confirmation for which a
+// configuration counts as current. The time stays below about 6 s on a healthy
+// VM, and one failed call to the store adds up to 3 s, so a shorter bound would
+// refuse customers although the store is reachable.
 const ContactBound = 15 * time.Second
 
 // Reason says why a request is refused.
@@ -22,12 +22,12 @@
 // Reasons.
 const (
 	None            Reason = iota // allowed
-	UnknownCustomer               // the configuration has no such customer
-	WrongKey                      // no key was presented, or it is none of the customer's keys
-	RevokedKey                    // the key was the customer's and is revoked
+	UnknownCustomer               // the customer is not in the configuration
+	WrongKey                      // no key was presented, or the customer has no such key
+	RevokedKey                    // the customer's key was revoked
 	RouteNotAllowed               // the customer may not use the route
-	UnknownRoute                  // the configuration has no such route
-	CutOff                        // the configuration is older than the customer accepts
+	UnknownRoute                  // the route is not in the configuration
+	CutOff                        // the configuration was not confirmed for longer than the customer's policy allows
 	NoConfiguration               // this VM has no configuration yet
 )
 
@@ -49,7 +49,7 @@
 	return reasonNames[r]
 }
 
-// Request is what a client presents.
+// Request holds the customer, route and key that a client presents.
 type Request struct {
 	Customer string
 	Route    string
@@ -59,7 +59,7 @@
 
 // Outcome is the result of a check. Exactly one of Customer and Reason is set.
 type Outcome struct {
-	Customer string // customer to charge
+	Customer string // whose limit the request counts against
 	Reason   Reason // why the request is refused; None if it is allowed
 }
 
@@ -69,15 +69,15 @@
 func refused(r Reason) Outcome { return Outcome{Reason: r} }
 
 // Check decides whether a request may run under the configuration, which may be
-// nil. It is called for every request, so that a revocation stops the next
-// request of a session that is already connected. It does not allocate.
+// nil. It is called for every request, so that a revoked key also stops sessions
+// that are already connected. It does not allocate.
 func Check(c *state.Config, fresh state.Freshness, now time.Time, r Request) Outcome {
 	if c == nil {
 		return refused(NoConfiguration)
 	}
 	route := c.Routes[r.Route]
 	if route != nil && route.Open {
-		return checkOpen(c, fresh, now, route)
+		return checkOpenRoute(c, fresh, now, route)
 	}
 	customer := c.Customers[r.Customer]
 	if customer == nil {
@@ -86,7 +86,7 @@
 	if reason := checkKey(customer.Keys, r); reason != None {
 		return refused(reason)
 	}
-	// The route is examined after the key, so that a client without a key
+	// The key is checked before the route, so that a client without a valid key
 	// cannot find out which routes exist.
 	if route == nil {
 		return refused(UnknownRoute)
@@ -94,22 +94,22 @@
 	if !route.Allows(customer.Name) {
 		return refused(RouteNotAllowed)
 	}
-	return checkContact(customer, fresh, now)
+	return checkCutOff(customer, fresh, now)
 }
 
-// checkOpen decides on a route that needs no key. The cut-off policy is that of
-// the customer who is charged.
-func checkOpen(c *state.Config, fresh state.Freshness, now time.Time, route *state.Route) Outcome {
+// checkOpenRoute decides on a route that needs no key. The cut-off policy of the
+// customer that is charged for the route applies.
+func checkOpenRoute(c *state.Config, fresh state.Freshness, now time.Time, route *state.Route) Outcome {
 	customer := c.Customers[route.ChargedTo]
 	if customer == nil {
 		return refused(UnknownCustomer)
 	}
-	return checkContact(customer, fresh, now)
+	return checkCutOff(customer, fresh, now)
 }
 
 // checkKey compares the presented key with every key of the customer, so that
-// the time taken does not depend on which one matches. If two keys have the
-// same hash and one of them is revoked, the key is revoked.
+// the time it takes does not reveal which one matches. If several keys have the
+// same hash and one of them is revoked, the key counts as revoked.
 func checkKey(keys []state.Key, r Request) Reason {
 	matched, revoked := 0, 0
 	for i := range keys {
@@ -129,26 +129,26 @@
 	}
 }
 
-func checkContact(c *state.Customer, fresh state.Freshness, now time.Time) Outcome {
-	if Served(c.CutOff, fresh, now) {
+func checkCutOff(c *state.Customer, fresh state.Freshness, now time.Time) Outcome {
+	if MayServe(c.CutOff, fresh, now) {
 		return Outcome{Customer: c.Name}
 	}
 	return refused(CutOff)
 }
 
-// Served reports whether the policy lets this VM serve a customer at the given
-// time. While the store is down for all VMs no revocation can be accepted, so
-// the age of the configuration does not count.
-func Served(p state.CutOffPolicy, fresh state.Freshness, now time.Time) bool {
+// MayServe reports whether the policy allows this VM to serve a customer at the
+// given time. The age of the configuration is ignored while the store is down
+// for all VMs, because no key can be revoked then.
+func MayServe(p state.CutOffPolicy, fresh state.Freshness, now time.Time) bool {
 	if fresh.StoreDown || p.Always {
 		return true
 	}
 	return !fresh.ConfirmedAt.IsZero() && Elapsed(fresh.ConfirmedAt, now) <= max(p.ServeFor, ContactBound)
 }
 
-// Elapsed returns the time from t to now. Where the monotonic clock and the
-// wall clock disagree the longer time counts, because the monotonic clock of
-// some hosts stands still while the VM is suspended.
+// Elapsed returns the time from t to now, measured by the monotonic clock or the
+// wall clock, whichever gives the longer time. The monotonic clock of some hosts
+// stops while the VM is suspended.
 func Elapsed(t, now time.Time) time.Duration {
 	return max(now.Sub(t), now.Round(0).Sub(t.Round(0)))
 }
--- a/coordination/access/access_test.go
+++ b/coordination/access/access_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against a request that runs without the key of its customer, with a
+// Guards against running a request without a valid key of its customer, with a
 // revoked key, or on a route that the customer may not use.
 func TestKeyAndRoute(t *testing.T) {
 	fresh := state.Freshness{ConfirmedAt: now}
@@ -68,20 +68,20 @@
 	}
 }
 
-// Guards against a customer whose stored hash is all zeros being entered
-// without a key, since the hash of an absent key is the zero value too.
+// Guards against access without a key to a customer whose stored hash is all
+// zeros: the hash of an absent key is the zero value too.
 func TestAbsentKeyMatchesNothing(t *testing.T) {
 	c := testConfig()
 	c.Customers["binder"].Keys = []state.Key{{ID: "zero"}}
 	got := Check(c, state.Freshness{ConfirmedAt: now}, now, Request{Customer: "binder", Route: "stock"})
 	if got.Reason != WrongKey {
-		t.Fatalf("got %+v, want a wrong key", got)
+		t.Fatalf("got %+v, want reason WrongKey", got)
 	}
 }
 
-// Guards against serving a customer longer than its policy says while cut off,
-// and against refusing one although the store is down for everyone or was
-// reached a moment ago.
+// Guards against serving a customer for longer than its policy allows while the
+// VM is cut off from the store, and against refusing one although the store is
+// down for all VMs or was reached recently.
 func TestCutOff(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -112,12 +112,12 @@
 	}
 }
 
-// Guards against the check becoming a cost of every request.
+// Guards against allocations in a check that runs for every request.
 func TestCheckDoesNotAllocate(t *testing.T) {
 	c, fresh := testConfig(), state.Freshness{ConfirmedAt: now}
 	r := Request{Customer: "binder", Route: "stock", Key: hash("new"), HasKey: true}
 	if n := testing.AllocsPerRun(100, func() { Check(c, fresh, now, r) }); n != 0 {
-		t.Fatalf("%v allocations a check, want none", n)
+		t.Fatalf("%v allocations per check, want none", n)
 	}
 }
 
