--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,5 +1,5 @@
-// Package drain decides when a VM takes work, and how fast a returned backend
-// server gets its share.
+// Package drain decides whether a VM accepts work, and how quickly connections
+// to a backend server are opened after it returns to service.
 package drain
 
 import (
@@ -8,9 +8,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// VMState returns the state of the named VM with its data centre taken into
-// account. A VM that the configuration does not list is in service: tickets may
-// add it after it has started.
+// VMState returns the effective state of the named VM: that of its data centre
+// unless the data centre is in service, and its own otherwise. A VM that the
+// configuration does not list counts as in service, because a ticket may add it
+// after it has started.
 func VMState(c *state.Config, name, dataCentre string) state.ServiceState {
 	if c == nil {
 		return state.InService
@@ -25,30 +26,30 @@
 	return vm.State
 }
 
-// TakesWork reports whether a VM in the given state opens sessions and runs
-// requests of sessions without a transaction.
+// TakesWork reports whether a VM in the given state accepts new sessions, and
+// new requests of sessions without an open transaction.
 func TakesWork(s state.ServiceState) bool { return s == state.InService }
 
 // Returned lists the backend servers that are in service under next and were
-// not under prev. The first configuration of a VM returns none, because it says
-// nothing of how long a server has been in service.
+// not under prev. It lists none for the first configuration of a VM, which does
+// not tell how long a server has been in service.
 func Returned(prev, next *state.Config) []Server {
 	if prev == nil || next == nil {
 		return nil
 	}
-	var back []Server
+	var returned []Server
 	for name, g := range next.Groups {
 		for i := range g.Servers {
 			s := &g.Servers[i]
 			if next.ServerState(s) == state.InService && !wasInService(prev, name, s.Name) {
-				back = append(back, Server{Group: name, Name: s.Name})
+				returned = append(returned, Server{Group: name, Name: s.Name})
 			}
 		}
 	}
-	return back
+	return returned
 }
 
-// Server names a backend server of a group.
+// Server identifies a backend server within its group.
 type Server struct{ Group, Name string }
 
 func wasInService(c *state.Config, group, server string) bool {
@@ -60,17 +61,18 @@
 	return s != nil && c.ServerState(s) == state.InService
 }
 
-// warmSteps is the number of steps in which connections are opened ahead of
-// their use.
-const warmSteps = 4
+// warmUpStaggerDivisor sets the part of the warm-up period, one quarter, over
+// which VMs spread their start.
+const warmUpStaggerDivisor = 4
 
-// WarmTarget returns how many connections a VM should hold open, elapsed after
-// it began to warm up, so that the fleet's VMs do not open theirs at once.
-// spread is between 0 and 1 and differs between VMs.
-func WarmTarget(limit int, elapsed, over time.Duration, spread float64) int {
-	if over <= 0 || elapsed >= over {
+// WarmTarget returns how many connections to a server a VM should hold open when
+// the given part of the warm-up period has elapsed. The number grows linearly to
+// the limit. stagger lies between 0 and 1 and differs between VMs, which delays
+// them by different times so that they do not all connect at once.
+func WarmTarget(limit int, elapsed, period time.Duration, stagger float64) int {
+	if period <= 0 || elapsed >= period {
 		return limit
 	}
-	progress := float64(elapsed)/float64(over) - spread/warmSteps
+	progress := float64(elapsed)/float64(period) - stagger/warmUpStaggerDivisor
 	return max(0, int(progress*float64(limit)))
 }
