--- a/coordination/queueing/queueing.go
+++ b/coordination/queueing/queueing.go
@@ -1,6 +1,7 @@
-// Package queueing decides who gets a backend connection: start-time fair
-// queueing between customers, bounded by each request's deadline. All functions
-// work on the connections of one backend server, under the backend table's lock.
+// Package queueing decides which request gets a backend connection, by start-time
+// fair queueing between customers with a deadline for each request. All functions
+// work on the connections of one backend server; the caller holds the lock of the
+// backend table.
 package queueing
 
 import (
@@ -10,25 +11,26 @@
 )
 
 const (
-	// minRetryDelay and maxRetryDelay bound the time between attempts to connect
-	// to a backend server that refuses connections.
-	minRetryDelay = 20 * time.Millisecond
-	maxRetryDelay = 2 * time.Second
-	// serviceWeight is the weight of a new sample in the average service time.
-	serviceWeight = 0.1
+	// minReconnectDelay and maxReconnectDelay bound the time between attempts to
+	// connect to a backend server that refuses connections.
+	minReconnectDelay = 20 * time.Millisecond
+	maxReconnectDelay = 2 * time.Second
+	// serviceTimeWeight is the weight of a new sample in the moving average of
+	// the service time.
+	serviceTimeWeight = 0.1
 )
 
-// Reason says why a request got no connection.
+// Reason says why a request was refused a connection.
 type Reason int
 
 // Reasons.
 const (
-	QueueFull   Reason = iota // too many requests wait
-	TooLate                   // the deadline would pass before its turn
-	Unreachable               // the backend server accepts no connection
+	QueueFull   Reason = iota // too many requests are waiting
+	TooLate                   // the deadline has passed or would pass in the queue
+	Unreachable               // connecting to the backend server failed
 )
 
-// Effect is one of Grant, Refuse, Open and Close.
+// Effect is an action that the caller carries out: Grant, Refuse, Open or Close.
 type Effect interface{ effect() }
 
 // Grant gives a connection to a request.
@@ -37,7 +39,7 @@
 	Conn   state.ConnID
 }
 
-// Refuse tells a request that it gets no connection.
+// Refuse ends the wait of a request without a connection.
 type Refuse struct {
 	Waiter state.WaiterID
 	Reason Reason
@@ -54,17 +56,17 @@
 func (Open) effect()   {}
 func (Close) effect()  {}
 
-// Options choose between variants of the policy.
+// Options select variants of the queueing policy.
 type Options struct {
-	// FIFO serves requests in order of arrival. It is the baseline for
-	// measurements of fair queueing.
+	// FIFO serves requests in order of arrival. It is the baseline that fair
+	// queueing is measured against.
 	FIFO bool
-	// MaxWaiters bounds the requests that wait for one backend server; zero means
-	// DefaultMaxWaiters.
+	// MaxWaiters limits the number of requests that wait for one backend server.
+	// Zero means DefaultMaxWaiters.
 	MaxWaiters int
 }
 
-// DefaultMaxWaiters is the default of Options.MaxWaiters.
+// DefaultMaxWaiters is the default value of Options.MaxWaiters.
 const DefaultMaxWaiters = 512
 
 func (o Options) maxWaiters() int {
@@ -74,12 +76,14 @@
 	return DefaultMaxWaiters
 }
 
-// Acquire asks for a connection for a request.
+// Acquire grants an idle connection to a request or queues the request. A request
+// that would not be served before its deadline is refused at once. If the queue
+// is full, the request with the latest virtual start time is refused.
 func Acquire(s *state.ServerConns, w state.ConnWaiter, now time.Time, o Options) []Effect {
 	w.Start = startTime(s, w, o)
 	if len(s.Idle) > 0 && len(s.Waiters) == 0 {
 		conn := takeIdle(s, w.ID.Session)
-		account(s, w)
+		advanceFinishTime(s, w)
 		s.Virtual = w.Start
 		return []Effect{grant(s, w, conn, now)}
 	}
@@ -88,19 +92,19 @@
 	}
 	var effects []Effect
 	if len(s.Waiters) >= o.maxWaiters() {
-		last := latest(s)
+		last := lastWaiter(s)
 		if s.Waiters[last].Start <= w.Start {
 			return []Effect{Refuse{w.ID, QueueFull}}
 		}
 		effects = append(effects, Refuse{s.Waiters[last].ID, QueueFull})
 		s.Waiters = append(s.Waiters[:last], s.Waiters[last+1:]...)
 	}
-	account(s, w)
+	advanceFinishTime(s, w)
 	s.Waiters = append(s.Waiters, w)
-	return append(effects, open(s, now)...)
+	return append(effects, openConns(s, now)...)
 }
 
-// Withdraw removes a request that no longer waits.
+// Withdraw removes a request from the queue.
 func Withdraw(s *state.ServerConns, id state.WaiterID) {
 	for i := range s.Waiters {
 		if s.Waiters[i].ID == id {
@@ -110,19 +114,19 @@
 	}
 }
 
-// Opened adds a new connection and gives it to the next request.
+// Opened adds a new connection and assigns it to the next waiting request.
 func Opened(s *state.ServerConns, conn state.ConnID, now time.Time) []Effect {
 	s.Opening--
 	s.Failures = 0
-	return offer(s, conn, 0, now)
+	return assignConn(s, conn, 0, now)
 }
 
-// OpenFailed records that an attempt to connect failed. Requests are refused if
-// there is no other connection that could serve them.
+// OpenFailed records a failed attempt to connect. It refuses all waiting requests
+// if the server has no connection left, open or being opened.
 func OpenFailed(s *state.ServerConns, now time.Time) []Effect {
 	s.Opening--
 	s.Failures++
-	delay := min(minRetryDelay<<min(s.Failures-1, 10), maxRetryDelay)
+	delay := min(minReconnectDelay<<min(s.Failures-1, 10), maxReconnectDelay)
 	s.RetryAt = now.Add(delay)
 	if s.Open() > 0 {
 		return nil
@@ -135,17 +139,17 @@
 	return effects
 }
 
-// Release takes back a connection that is ready for another request.
+// Release takes back a connection that can serve another request.
 func Release(s *state.ServerConns, conn state.ConnID, now time.Time) []Effect {
 	if _, ok := s.Busy[conn]; !ok {
-		return nil // it failed in the meantime
+		return nil // closed in the meantime
 	}
 	session := s.Busy[conn].Holder.Session
-	recordService(s, conn, now)
-	return offer(s, conn, session, now)
+	recordServiceTime(s, conn, now)
+	return assignConn(s, conn, session, now)
 }
 
-// Closed forgets a connection that was closed or lost.
+// Closed removes a connection that was closed or lost.
 func Closed(s *state.ServerConns, conn state.ConnID, now time.Time) []Effect {
 	delete(s.Busy, conn)
 	for i := range s.Idle {
@@ -154,11 +158,11 @@
 			break
 		}
 	}
-	return open(s, now)
+	return openConns(s, now)
 }
 
-// SetLimit changes the number of connections that may be open. Idle connections
-// above it are closed, busy ones when they are released.
+// SetLimit changes the maximum number of connections. Idle connections above it
+// are closed at once, busy ones when they are released.
 func SetLimit(s *state.ServerConns, limit int, now time.Time) []Effect {
 	s.Limit = limit
 	var effects []Effect
@@ -166,10 +170,11 @@
 		effects = append(effects, Close{s.Idle[0].ID})
 		s.Idle = s.Idle[1:]
 	}
-	return append(effects, open(s, now)...)
+	return append(effects, openConns(s, now)...)
 }
 
-// Expire refuses requests whose deadline has passed and retries connecting.
+// Expire refuses requests whose deadline has passed, and opens connections if the
+// delay after a failed attempt is over.
 func Expire(s *state.ServerConns, now time.Time) []Effect {
 	var effects []Effect
 	kept := s.Waiters[:0]
@@ -181,10 +186,10 @@
 		kept = append(kept, w)
 	}
 	s.Waiters = kept
-	return append(effects, open(s, now)...)
+	return append(effects, openConns(s, now)...)
 }
 
-// Warm opens connections until the given number is open, within the limit.
+// Warm opens connections ahead of their use, up to the given number or the limit.
 func Warm(s *state.ServerConns, conns int, now time.Time) []Effect {
 	var effects []Effect
 	for s.Open() < min(conns, s.Limit) && !now.Before(s.RetryAt) {
@@ -195,9 +200,9 @@
 }
 
 // takeIdle removes and returns the idle connection that the session used last,
-// because another one must first discard the state of another session. Without
-// one it takes the least recently used, which its last session is the least
-// likely to ask for.
+// because any other one must first discard the state of another session. If there
+// is none, it takes the least recently used connection, which its previous session
+// is the least likely to need again.
 func takeIdle(s *state.ServerConns, session uint64) state.ConnID {
 	best := 0
 	for i := range s.Idle {
@@ -210,9 +215,10 @@
 	return conn
 }
 
-// offer gives a connection to the next request, or keeps it idle. session used
-// it last; zero if none has.
-func offer(s *state.ServerConns, conn state.ConnID, session uint64, now time.Time) []Effect {
+// assignConn gives a free connection to the next waiting request, or keeps it
+// idle, or closes it if it exceeds the limit. session is the one that used it
+// last, or zero.
+func assignConn(s *state.ServerConns, conn state.ConnID, session uint64, now time.Time) []Effect {
 	if s.Open()+1 > s.Limit {
 		return []Effect{Close{conn}}
 	}
@@ -220,7 +226,7 @@
 		s.Idle = append(s.Idle, state.IdleConn{ID: conn, Since: now, Session: session})
 		return nil
 	}
-	return []Effect{grant(s, next(s), conn, now)}
+	return []Effect{grant(s, dequeue(s), conn, now)}
 }
 
 func grant(s *state.ServerConns, w state.ConnWaiter, conn state.ConnID, now time.Time) Grant {
@@ -228,9 +234,9 @@
 	return Grant{Waiter: w.ID, Conn: conn}
 }
 
-// open asks for connections as long as more requests wait than connections are
-// being opened.
-func open(s *state.ServerConns, now time.Time) []Effect {
+// openConns requests connections until as many are being opened as requests are
+// waiting, within the limit.
+func openConns(s *state.ServerConns, now time.Time) []Effect {
 	var effects []Effect
 	for s.Opening < len(s.Waiters) && s.Open() < s.Limit && !now.Before(s.RetryAt) {
 		s.Opening++
@@ -239,7 +245,7 @@
 	return effects
 }
 
-// startTime returns the virtual time at which the waiter would start.
+// startTime returns the virtual start time of a new waiter.
 func startTime(s *state.ServerConns, w state.ConnWaiter, o Options) float64 {
 	if o.FIFO {
 		return s.Virtual + float64(len(s.Waiters)) + 1
@@ -247,14 +253,14 @@
 	return max(s.Virtual, s.Finish[w.Customer])
 }
 
-// account advances the virtual finish time of the waiter's customer.
-func account(s *state.ServerConns, w state.ConnWaiter) {
+// advanceFinishTime advances the virtual finish time of the waiter's customer.
+func advanceFinishTime(s *state.ServerConns, w state.ConnWaiter) {
 	s.Finish[w.Customer] = w.Start + 1/max(w.Weight, 1e-6)
 }
 
-// latest returns the index of the waiter with the greatest virtual start time,
-// which belongs to the customer that uses most of the queue for its weight.
-func latest(s *state.ServerConns) int {
+// lastWaiter returns the index of the waiter with the greatest virtual start time.
+// It belongs to the customer that has queued the most relative to its weight.
+func lastWaiter(s *state.ServerConns) int {
 	last := 0
 	for i := range s.Waiters {
 		if s.Waiters[i].Start >= s.Waiters[last].Start {
@@ -264,9 +270,9 @@
 	return last
 }
 
-// next removes and returns the waiter with the least virtual start time. The
-// earliest of equals wins.
-func next(s *state.ServerConns) state.ConnWaiter {
+// dequeue removes and returns the waiter with the smallest virtual start time, the
+// one that arrived first if several have the same.
+func dequeue(s *state.ServerConns) state.ConnWaiter {
 	best := 0
 	for i := range s.Waiters {
 		if s.Waiters[i].Start < s.Waiters[best].Start {
@@ -279,18 +285,20 @@
 	return w
 }
 
-func recordService(s *state.ServerConns, conn state.ConnID, now time.Time) {
+// recordServiceTime updates the average service time with the time for which the
+// connection was busy, and removes it from the busy connections.
+func recordServiceTime(s *state.ServerConns, conn state.ConnID, now time.Time) {
 	sample := now.Sub(s.Busy[conn].Since)
 	delete(s.Busy, conn)
 	if s.Service == 0 {
 		s.Service = sample
 		return
 	}
-	s.Service += time.Duration(serviceWeight * float64(sample-s.Service))
+	s.Service += time.Duration(serviceTimeWeight * float64(sample-s.Service))
 }
 
 // expectedWait estimates the time until the waiter gets a connection, from the
-// waiters that come before it.
+// number of waiters that are served before it and the average service time.
 func expectedWait(s *state.ServerConns, w state.ConnWaiter) time.Duration {
 	ahead := 0
 	for i := range s.Waiters {
--- a/coordination/queueing/queueing_test.go
+++ b/coordination/queueing/queueing_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// serve releases the connection n times and returns who got it, in order.
+// serve releases the connection n times and returns the customers that got it, in
+// order.
 func serve(s *state.ServerConns, conn state.ConnID, n int, customers map[uint64]string) []string {
 	var order []string
 	for range n {
@@ -44,7 +45,7 @@
 	return order
 }
 
-// Guards against a customer with many requests that keeps others waiting.
+// Guards against a customer with many queued requests that delays the others.
 func TestCustomersShareByWeight(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -82,7 +83,7 @@
 	}
 }
 
-// Guards against requests that wait although they cannot be served in time.
+// Guards against queueing requests that cannot be served before their deadline.
 func TestRefusesEarlyWhenDeadlineCannotBeMet(t *testing.T) {
 	s := newServer(1)
 	s.Service = 100 * time.Millisecond
@@ -103,8 +104,8 @@
 	}
 }
 
-// Guards against more connections than the VM's share, whatever the order of
-// events.
+// Guards against opening more connections than the limit when it is lowered while
+// connections are busy and some of them are lost.
 func TestOpenNeverExceedsLimit(t *testing.T) {
 	s := newServer(3)
 	next := state.ConnID(0)
@@ -135,7 +136,7 @@
 	}
 }
 
-// Guards against a connection that is given out again after it has failed.
+// Guards against reusing a connection that was closed before it was released.
 func TestReleaseAfterCloseIsIgnored(t *testing.T) {
 	s := newServer(1)
 	s.Busy[1] = state.BusyConn{Since: start}
@@ -145,7 +146,8 @@
 	}
 }
 
-// Guards against requests that wait for a server that refuses connections.
+// Guards against requests that keep waiting for a server that refuses connections,
+// and against connecting to it again without a delay.
 func TestUnreachableServerRefusesWaiters(t *testing.T) {
 	s := newServer(2)
 	w := waiter("a", 1, 1)
@@ -157,14 +159,14 @@
 		t.Error(diff)
 	}
 	if got := Acquire(s, waiter("a", 2, 1), start, Options{}); len(got) != 0 {
-		t.Errorf("connected again at once: %v", got)
+		t.Errorf("reconnected without a delay: %v", got)
 	}
-	if got := Expire(s, start.Add(minRetryDelay)); len(got) != 1 {
+	if got := Expire(s, start.Add(minReconnectDelay)); len(got) != 1 {
 		t.Errorf("effects after the delay: %v, want one attempt", got)
 	}
 }
 
-// Guards against a storm of retries after a failover.
+// Guards against a retry storm after a failover.
 func TestRetryBudget(t *testing.T) {
 	b := &state.RetryBudget{}
 	allowed := 0
@@ -174,13 +176,13 @@
 			allowed++
 		}
 	}
-	if limit := retryRate + 1000*retryShare; float64(allowed) > limit {
+	if limit := retriesPerSecond + 1000*retriesPerRequest; float64(allowed) > limit {
 		t.Errorf("%d retries of 1000 requests, want at most %g", allowed, limit)
 	}
 }
 
-// Guards against connections that change between sessions although each could
-// keep its own, which costs a DISCARD ALL for each request.
+// Guards against connections that alternate between sessions although each session
+// could keep its own, which costs a DISCARD ALL per request.
 func TestSessionGetsItsConnectionBack(t *testing.T) {
 	s := newServer(3)
 	s.Idle = []state.IdleConn{{ID: 1, Session: 7}, {ID: 2, Session: 8}, {ID: 3, Session: 9}}
--- a/coordination/queueing/retry.go
+++ b/coordination/queueing/retry.go
@@ -7,23 +7,23 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// The retry budget keeps a failover from becoming a storm: retries are limited
-// to a share of the requests, and to a low rate when there are few requests.
+// The retry budget prevents a retry storm after a failover: retries are limited
+// to a fraction of the requests, plus a low rate for times with few requests.
 const (
-	retryShare     = 0.1  // retries earned by each request
-	retryRate      = 10.0 // retries earned each second
-	maxRetryTokens = 100.0
-	minBackoff     = 5 * time.Millisecond
-	maxBackoff     = 200 * time.Millisecond
+	retriesPerRequest = 0.1
+	retriesPerSecond  = 10.0
+	maxRetryTokens    = 100.0
+	minBackoff        = 5 * time.Millisecond
+	maxBackoff        = 200 * time.Millisecond
 )
 
-// Earn records a request, which adds to the budget.
+// Earn adds the retries that one request earns to the budget.
 func Earn(b *state.RetryBudget, now time.Time) {
 	refill(b, now)
-	b.Tokens = min(b.Tokens+retryShare, maxRetryTokens)
+	b.Tokens = min(b.Tokens+retriesPerRequest, maxRetryTokens)
 }
 
-// Retry takes a retry from the budget. It reports false if none is left.
+// Retry takes one retry from the budget and reports whether one was left.
 func Retry(b *state.RetryBudget, now time.Time) bool {
 	refill(b, now)
 	if b.Tokens < 1 {
@@ -33,19 +33,21 @@
 	return true
 }
 
-// Backoff returns the time to wait before the given retry, counted from 1. It
-// is drawn from the upper half of an interval that doubles, so that requests
-// which failed together do not return together.
+// Backoff returns the delay before the given attempt, counted from 1. The delay
+// is random within the upper half of an exponentially growing interval, so that
+// requests that failed together are not retried together.
 func Backoff(attempt int) time.Duration {
 	limit := min(minBackoff<<min(max(attempt-1, 0), 10), maxBackoff)
 	return limit/2 + rand.N(limit/2)
 }
 
+// refill adds the retries earned by the time that has passed. A new budget starts
+// with those of one second.
 func refill(b *state.RetryBudget, now time.Time) {
 	if b.Updated.IsZero() {
-		b.Tokens = retryRate
+		b.Tokens = retriesPerSecond
 	} else if elapsed := now.Sub(b.Updated); elapsed > 0 {
-		b.Tokens = min(b.Tokens+retryRate*elapsed.Seconds(), maxRetryTokens)
+		b.Tokens = min(b.Tokens+retriesPerSecond*elapsed.Seconds(), maxRetryTokens)
 	}
 	b.Updated = now
 }
