--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -8,36 +8,36 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// PartKind says what a part of an answer holds. A part holds one kind only.
+// PartKind says what a part of an answer contains. A part contains one kind only.
 type PartKind int
 
 // Kinds of parts.
 const (
-	PartData       PartKind = iota // rows, notices
-	PartLead                       // what comes before a statement runs: it is parsed, bound, described
-	PartCompletion                 // the end of a statement
+	PartData       PartKind = iota // rows and notices
+	PartLead                       // responses from before a statement runs: parsed, bound, described
+	PartCompletion                 // completion of a statement
 	PartError                      // an error
 )
 
-// End says how a backend server's answer ended.
+// End describes how a backend server's answer ended.
 type End struct {
 	InTransaction bool   // a transaction is open on the connection
-	Status        byte   // transaction status as the protocol has it, for the client
+	Status        byte   // transaction status in the encoding of the wire protocol, for the client
 	ErrorCode     string // SQLSTATE of the error in the answer; empty if none
-	RolledBack    bool   // the last statement completed was a rollback
-	Committed     bool   // a statement completed was a commit
+	RolledBack    bool   // the last completed statement was a rollback
+	Committed     bool   // one of the completed statements was a commit
 }
 
-// readOnlyViolation is the SQLSTATE with which a backend server refuses a write
-// before running it.
+// readOnlyViolation is the SQLSTATE with which a read-only backend server refuses
+// a write without running it.
 const readOnlyViolation = "25006"
 
-// Part takes a part of the answer. Parts that could prove a write done are held
-// until a majority holds the write; errors are held because a refusal as a
-// write makes the request run elsewhere, and so is what comes before the first
-// row.
+// Part handles a part of the answer. Parts that may show that a write completed
+// are held until a majority of servers has the write. Errors, and what comes
+// before the first row, are held because a request that is refused as a write
+// runs again on another server.
 func (d *Decider) Part(s *state.Session, conn state.ConnID, request uint64, kind PartKind, part any) []Effect {
-	if !d.current(s, conn, request) {
+	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
 	s.Answering = true
@@ -52,16 +52,16 @@
 	return []Effect{FlushHeld{}, Forward{Part: part}}
 }
 
-// Ended takes the end of the answer.
+// Ended handles the end of the answer.
 func (d *Decider) Ended(s *state.Session, conn state.ConnID, request uint64, end End, now time.Time) []Effect {
-	if !d.current(s, conn, request) {
+	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
 	if d.mayRerouteWrite(s, end) {
 		return d.rerouteWrite(s, end, now)
 	}
-	if d.mayReopen(s, end) {
-		return d.reopen(s, now)
+	if d.mayRestartTransaction(s, end) {
+		return d.restartTransaction(s, now)
 	}
 	s.InTransaction, s.Reopening = end.InTransaction, false
 	s.Opening = nil
@@ -70,8 +70,9 @@
 	}
 	var effects []Effect
 	if end.ErrorCode == readOnlyViolation && s.TargetsPrimary {
-		// The primary may be handing over; find out before the next transaction.
-		effects = append(effects, d.queryServers(s, now, now.Add(firstCheck)))
+		// The primary may be handing over. Query the servers now, so that the next
+		// transaction finds the new one.
+		effects = append(effects, d.queryServers(s, now, now.Add(firstCheckDelay)))
 	}
 	if !s.InTransaction {
 		effects = append(effects, d.releaseConn(s)...)
@@ -92,7 +93,8 @@
 	}})
 }
 
-// needsAcknowledgement reports whether the answer may contain a committed write.
+// needsAcknowledgement reports whether the answer may contain a committed write,
+// which a majority of servers must have before the client is told.
 func (d *Decider) needsAcknowledgement(s *state.Session, end End) bool {
 	if !s.TargetsPrimary || readOnly(s.Request.Class) {
 		return false
@@ -103,9 +105,9 @@
 	return s.Completed && !end.RolledBack && !d.Options.AckOnCommit
 }
 
-// mayRerouteWrite reports whether the server refused the request as a write and
-// keeps nothing of it, so that another server may run it. A transaction that the
-// request began itself is rolled back.
+// mayRerouteWrite reports whether the server refused the request as a write
+// without any lasting effect, so that another server may run it. A transaction
+// that the request itself began is rolled back.
 func (d *Decider) mayRerouteWrite(s *state.Session, end End) bool {
 	if end.ErrorCode != readOnlyViolation || end.Committed || s.InTransaction || s.Reopening || s.Forwarded {
 		return false
@@ -117,46 +119,50 @@
 	return route != nil && route.Access == state.ReadWrite
 }
 
+// rerouteWrite runs a request that was refused as a write on another server.
 func (d *Decider) rerouteWrite(s *state.Session, end End, now time.Time) []Effect {
 	s.Refusals++
 	effects := []Effect{DropHeld{}}
 	if !readOnly(s.Request.Class) {
-		// A server that was taken for the primary is read-only.
+		// The server was chosen as the primary but is read-only.
 		s.Excluded = s.Server
 		effects = append(effects, Suspect{Group: d.groupOf(s), Server: s.Server})
 	}
 	s.Request.Class = state.ClassWrite
 	s.Sent = false
 	if end.InTransaction {
-		effects = append(effects, d.dropConn(s)...)
+		effects = append(effects, d.discardConn(s)...)
 	} else {
 		effects = append(effects, d.releaseConn(s)...)
 	}
 	return append(effects, d.route(s, now)...)
 }
 
-// mayReopen reports whether the first statement of a transaction was refused as
-// a write by a server that has ceased to be the primary. The transaction has
-// done nothing yet, so it can begin again on the new primary.
-func (d *Decider) mayReopen(s *state.Session, end End) bool {
+// mayRestartTransaction reports whether a former primary refused the first
+// statement of a transaction as a write. The transaction has had no effect yet,
+// so it can be started again on the new primary.
+func (d *Decider) mayRestartTransaction(s *state.Session, end End) bool {
 	if end.ErrorCode != readOnlyViolation || s.Opening == nil || s.Forwarded || s.Refusals >= maxWriteRefusals {
 		return false
 	}
-	// On a read-only route the server refuses writes because it was told to.
+	// On a read-only route the transaction itself is read-only, and the refusal
+	// says nothing about the server.
 	_, route, _ := d.lookup(s)
 	return (s.InTransaction || s.Reopening) && route != nil && route.Access == state.ReadWrite
 }
 
-func (d *Decider) reopen(s *state.Session, now time.Time) []Effect {
+// restartTransaction starts the transaction again on another server, together with
+// the current request.
+func (d *Decider) restartTransaction(s *state.Session, now time.Time) []Effect {
 	s.Refusals++
 	s.InTransaction, s.Reopening = false, true
 	s.Excluded, s.Sent = s.Server, false
 	effects := []Effect{DropHeld{}, Suspect{Group: d.groupOf(s), Server: s.Server}}
-	effects = append(effects, d.dropConn(s)...)
+	effects = append(effects, d.discardConn(s)...)
 	return append(effects, d.route(s, now)...)
 }
 
-// Lost tells that the backend connection failed before the answer ended.
+// Lost handles the failure of the session's backend connection.
 func (d *Decider) Lost(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
 	if s.Conn != conn || conn == 0 {
 		return nil
@@ -164,7 +170,8 @@
 	s.Conn, s.Cancelled = 0, false
 	suspect := Suspect{Group: d.groupOf(s), Server: s.Server}
 	if s.Phase == state.PhaseAcknowledging {
-		// The request committed one transaction and began another.
+		// A connection is held in this phase only if the request committed one
+		// transaction and began another.
 		effects := []Effect{suspect, WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)}, DropHeld{}}
 		return append(effects, d.close(s, Outcome{Kind: Unknown, Reason: ConnectionLost})...)
 	}
@@ -174,11 +181,12 @@
 		}
 		return []Effect{suspect}
 	}
-	return append([]Effect{suspect}, d.afterLoss(s, ConnectionLost, now)...)
+	return append([]Effect{suspect}, d.retryOrFail(s, ConnectionLost, now)...)
 }
 
-// afterLoss ends or retries a request that was sent and whose connection is gone.
-func (d *Decider) afterLoss(s *state.Session, reason Reason, now time.Time) []Effect {
+// retryOrFail retries a request that was sent and whose connection was lost or
+// closed, or ends it with an unknown outcome.
+func (d *Decider) retryOrFail(s *state.Session, reason Reason, now time.Time) []Effect {
 	if s.InTransaction || s.Reopening {
 		out := Outcome{Kind: Unknown, Reason: TransactionLost}
 		if s.Request.Class == state.ClassEnd || s.Request.MayCommit {
@@ -196,11 +204,11 @@
 }
 
 // mayRetry reports whether a request that was sent may be sent again: it has no
-// effect or is idempotent, nothing of its answer reached the client, its
+// effect or is idempotent, the client has received no part of its answer, its
 // deadline has not passed and the retry budget allows it.
 func (d *Decider) mayRetry(s *state.Session, now time.Time) bool {
-	repeatable := readOnly(s.Request.Class) || s.Request.Class == state.ClassBegin || s.Request.Idempotent || d.Options.RetryAnything
-	if !repeatable || s.Forwarded || !now.Before(s.Request.Deadline) {
+	retryable := readOnly(s.Request.Class) || s.Request.Class == state.ClassBegin || s.Request.Idempotent || d.Options.RetryAnything
+	if !retryable || s.Forwarded || !now.Before(s.Request.Deadline) {
 		return false
 	}
 	allowed := false
@@ -208,23 +216,25 @@
 	return allowed
 }
 
-// Resolved takes the answer to an Await.
+// Resolved handles the result of an Await.
 func (d *Decider) Resolved(s *state.Session, request uint64, r replication.Result, now time.Time) []Effect {
 	if s.Request.Number != request {
 		return nil
 	}
 	switch s.Phase {
 	case state.PhasePosition:
-		return d.positionKnown(s, r, now)
+		return d.handlePosition(s, r, now)
 	case state.PhaseExecuting:
-		return d.checked(s, r, now)
+		return d.handleServerCheck(s, r, now)
 	case state.PhaseAcknowledging:
-		return d.acknowledged(s, r)
+		return d.handleAcknowledgement(s, r)
 	}
 	return nil
 }
 
-func (d *Decider) positionKnown(s *state.Session, r replication.Result, now time.Time) []Effect {
+// handlePosition routes a request again after it waited for a replica's position
+// or for a primary.
+func (d *Decider) handlePosition(s *state.Session, r replication.Result, now time.Time) []Effect {
 	if !now.Before(s.Request.Deadline) {
 		return d.refuse(s, Refused(NoPrimary))
 	}
@@ -234,7 +244,9 @@
 	return d.route(s, now)
 }
 
-func (d *Decider) acknowledged(s *state.Session, r replication.Result) []Effect {
+// handleAcknowledgement ends a write according to whether a majority of servers has
+// it.
+func (d *Decider) handleAcknowledgement(s *state.Session, r replication.Result) []Effect {
 	if r.Kind != replication.Satisfied {
 		effects := []Effect{DropHeld{}}
 		return append(effects, d.finish(s, Outcome{Kind: Unknown, Reason: NotAcknowledged})...)
@@ -244,8 +256,8 @@
 	return append(effects, d.finish(s, Outcome{Kind: Answered})...)
 }
 
-// current reports whether an event of the connection belongs to the request
-// that the session executes now.
-func (d *Decider) current(s *state.Session, conn state.ConnID, request uint64) bool {
+// isCurrent reports whether an event of the connection belongs to the request that
+// the session is executing.
+func (d *Decider) isCurrent(s *state.Session, conn state.ConnID, request uint64) bool {
 	return s.Phase == state.PhaseExecuting && s.Conn == conn && s.Request.Number == request
 }
--- a/coordination/session/check.go
+++ b/coordination/session/check.go
@@ -7,45 +7,47 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// A request whose answer does not begin is checked on: a server that is cut off
-// breaks no connection, and the client would wait until its deadline.
+// The server is checked while a request has received no part of its answer. A
+// network partition closes no connection, so the client would otherwise wait
+// until its deadline.
 const (
-	firstCheck = 100 * time.Millisecond // from the sending of the request
-	nextCheck  = 200 * time.Millisecond // from the previous check
-	// replicaPatience is how long a replica may take to answer a status query
-	// while a read waits for it.
-	replicaPatience = 400 * time.Millisecond
-	// supersededGrace is left to an answer that is on its way when a later
-	// primary is known, as in a planned switchover.
+	firstCheckDelay = 100 * time.Millisecond // after the request is sent
+	recheckDelay    = 200 * time.Millisecond // after the previous check
+	// replicaStatusTimeout is the time within which a replica must answer a
+	// status query while a read waits for it.
+	replicaStatusTimeout = 400 * time.Millisecond
+	// supersededGrace is the time for an answer that may be on its way to arrive
+	// after a later primary was found, as in a planned switchover.
 	supersededGrace = 100 * time.Millisecond
 )
 
-// check finds out whether the server that runs the request can still answer.
-func (d *Decider) check(s *state.Session, now time.Time) []Effect {
+// checkServer finds out whether the server that runs the request can still answer
+// it. If not, the request is retried or ends with an unknown outcome.
+func (d *Decider) checkServer(s *state.Session, now time.Time) []Effect {
 	switch {
 	case s.Answering:
 		return nil
 	case s.Superseded:
-		effects := d.dropConn(s)
-		return append(effects, d.afterLoss(s, ConnectionLost, now)...)
+		effects := d.discardConn(s)
+		return append(effects, d.retryOrFail(s, ConnectionLost, now)...)
 	case s.TargetsPrimary:
 		return []Effect{d.queryServers(s, now, s.Request.Deadline)}
 	case s.CheckedAt.IsZero():
 		s.CheckedAt = now
 		return []Effect{
-			d.queryServers(s, now, earlier(now.Add(replicaPatience), s.Request.Deadline)),
-			Wake{Request: s.Request.Number, At: now.Add(replicaPatience)},
+			d.queryServers(s, now, earlier(now.Add(replicaStatusTimeout), s.Request.Deadline)),
+			Wake{Request: s.Request.Number, At: now.Add(replicaStatusTimeout)},
 		}
 	case d.answeredSince(s, s.CheckedAt):
 		s.CheckedAt = time.Time{}
-		return []Effect{Wake{Request: s.Request.Number, At: now.Add(nextCheck)}}
+		return []Effect{Wake{Request: s.Request.Number, At: now.Add(recheckDelay)}}
 	}
-	effects := append(d.dropConn(s), Suspect{Group: d.groupOf(s), Server: s.Server})
-	return append(effects, d.afterLoss(s, ConnectionLost, now)...)
+	effects := append(d.discardConn(s), Suspect{Group: d.groupOf(s), Server: s.Server})
+	return append(effects, d.retryOrFail(s, ConnectionLost, now)...)
 }
 
 // queryServers asks all servers of the group for their status. The waiter also
-// tells the failover that a request waits for the primary.
+// shows the failover logic that a request is waiting for the primary.
 func (d *Decider) queryServers(s *state.Session, now, deadline time.Time) Effect {
 	return Await{Group: d.groupOf(s), Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
@@ -65,19 +67,19 @@
 	return answered
 }
 
-// checked takes the primary that queryServers found. The request is given up
-// after a while if a later primary than its own is found, because its server
-// cannot acknowledge it any more.
-func (d *Decider) checked(s *state.Session, r replication.Result, now time.Time) []Effect {
+// handleServerCheck handles the result of queryServers. If a later primary than
+// the request's own was found, the request is abandoned after supersededGrace,
+// because its server can no longer get a majority to acknowledge it.
+func (d *Decider) handleServerCheck(s *state.Session, r replication.Result, now time.Time) []Effect {
 	if s.Answering || !s.TargetsPrimary {
 		return nil
 	}
 	if r.Kind != replication.Satisfied || r.Term <= s.Term {
-		return []Effect{Wake{Request: s.Request.Number, At: now.Add(nextCheck)}}
+		return []Effect{Wake{Request: s.Request.Number, At: now.Add(recheckDelay)}}
 	}
 	s.Superseded = true
 	if !d.reachable(s) {
-		return d.check(s, now)
+		return d.checkServer(s, now)
 	}
 	return []Effect{Wake{Request: s.Request.Number, At: now.Add(supersededGrace)}}
 }
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -1,11 +1,11 @@
-// Package session decides the life of one session and its requests: admission,
-// choice of the backend server, answer, retry and outcome. It knows nothing of
+// Package session is the state machine of a session and its requests: admission,
+// choice of the backend server, answer, retry and outcome. It is independent of
 // the wire protocol: payloads and parts of answers are opaque.
 //
 // A session has at most one request at a time. The caller holds the session's
-// lock during each call and carries out the returned effects in order. Every
-// answer to an effect names the request that asked for it; answers that come
-// late are recognised by that and change nothing.
+// lock during each call and carries out the returned effects in order. The
+// response to an effect carries the number of the request that caused it, so that
+// late responses are recognised and ignored.
 package session
 
 import (
@@ -19,45 +19,45 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// coverWait is the longest time that a read waits for a replica to reach the
-// position that it must cover before it goes to the primary.
-const coverWait = 5 * time.Millisecond
+// replicaPositionTimeout is the longest time that a read waits for a replica to
+// reach the required position before it goes to the primary.
+const replicaPositionTimeout = 5 * time.Millisecond
 
 // requestCost is the number of tokens that a request takes from its customer's
-// limit.
+// rate limit.
 const requestCost = 1
 
-// maxWriteRefusals bounds how often a request is routed again because the
-// server refused it as a write; after that its answer goes to the client.
+// maxWriteRefusals limits how often a request is routed again because a server
+// refused it as a write. After that the refusal goes to the client.
 const maxWriteRefusals = 3
 
-// Options choose between variants of the policy. All but the zero value are
-// baselines for measurements.
+// Options select variants of the policy. The zero value is the normal policy; all
+// others are baselines for benchmarks.
 type Options struct {
-	ReadsOnPrimary bool // no read goes to a replica
-	NoGroupCommit  bool // every write has a position round of its own
-	AckOnCommit    bool // writes are acknowledged when the primary has committed; unsafe
-	RetryAnything  bool // requests that must not be repeated are retried after they were sent; unsafe
+	ReadsOnPrimary bool // reads never go to a replica
+	NoGroupCommit  bool // each write has its own position round
+	AckOnCommit    bool // writes are acknowledged once the primary has committed them; unsafe
+	RetryAnything  bool // requests that are not idempotent are also retried after they were sent; unsafe
 }
 
-// Decider makes the decisions for all sessions of a VM.
+// Decider decides on the events of all sessions of a VM.
 type Decider struct {
 	Tables  *state.Tables
 	Options Options
 }
 
-// Login decides whether a client may open the session. It returns the refusal,
-// or nil.
+// Login decides whether a client may open the session. It returns nil if it may,
+// and the refusal otherwise.
 func (d *Decider) Login(s *state.Session, now time.Time) *Outcome {
-	if out := d.access(s, now); out.Kind != Answered {
+	if out := d.checkAccess(s, now); out.Kind != Answered {
 		return &out
 	}
 	return nil
 }
 
-// access decides whether the session may run a request now, and notes the
-// customer whose limit it counts against.
-func (d *Decider) access(s *state.Session, now time.Time) Outcome {
+// checkAccess decides whether the session may run a request now, and records the
+// customer whose limit the request counts against.
+func (d *Decider) checkAccess(s *state.Session, now time.Time) Outcome {
 	out := access.Check(d.Tables.Config.Current(), d.Tables.Config.Freshness(), now, access.Request{
 		Customer: s.Login,
 		Route:    s.Route,
@@ -81,13 +81,13 @@
 	access.NoConfiguration: NoConfiguration,
 }
 
-// Arrive starts a request.
+// Arrive starts handling a request of the client.
 func (d *Decider) Arrive(s *state.Session, r state.Request, now time.Time) []Effect {
-	begin(s, r)
-	if out := d.access(s, now); out.Kind != Answered {
+	resetRequest(s, r)
+	if out := d.checkAccess(s, now); out.Kind != Answered {
 		return d.refuseAccess(s, out)
 	}
-	d.restrict(s)
+	d.applyReadOnlyRoute(s)
 	wake := Wake{Request: r.Number, At: r.Deadline}
 	if s.InTransaction && (r.Class == state.ClassEnd || r.Class == state.ClassRollback) {
 		return append([]Effect{wake}, d.send(s, now)...)
@@ -95,9 +95,10 @@
 	return append([]Effect{wake}, d.admit(s, now)...)
 }
 
-// restrict makes a request on a read-only route run in read-only mode, so that
-// the server refuses it if it writes. A transaction has the mode of its BEGIN.
-func (d *Decider) restrict(s *state.Session) {
+// applyReadOnlyRoute makes a request on a read-only route run in read-only mode, so
+// that the server refuses writes. A request in a transaction keeps the mode that
+// the transaction began with.
+func (d *Decider) applyReadOnlyRoute(s *state.Session) {
 	_, route, _ := d.lookup(s)
 	if route == nil || route.Access != state.ReadOnly || s.InTransaction {
 		return
@@ -110,9 +111,9 @@
 	}
 }
 
-// begin resets the per-request fields. The connection, the server and the term
-// of a running transaction stay.
-func begin(s *state.Session, r state.Request) {
+// resetRequest sets the new request and resets the fields that belong to a request.
+// The connection, server and term of an open transaction are kept.
+func resetRequest(s *state.Session, r state.Request) {
 	s.Request = r
 	s.Sent, s.Forwarded, s.MayHaveRun = false, false, false
 	s.Attempts, s.Refusals = 0, 0
@@ -120,8 +121,9 @@
 	s.Reopening = false
 }
 
-// refuseAccess refuses a request whose session may not run it. The session is
-// closed if its key was refused, or if it could not end its transaction.
+// refuseAccess refuses a request that the session may not run. The session is
+// closed if its key was refused or if it has an open transaction, which it could
+// not end.
 func (d *Decider) refuseAccess(s *state.Session, out Outcome) []Effect {
 	if out.Reason == KeyRefused || s.InTransaction {
 		return d.close(s, out)
@@ -129,22 +131,24 @@
 	return d.refuse(s, out)
 }
 
-// admit lets the request pass if its customer's limit has a token, or makes it
-// wait for one. The token is spent when the request is sent; inside a
-// transaction that is now.
+// admit applies the customer's rate limit: the request proceeds if a token is
+// available, and waits for one or is refused otherwise. The token is spent when
+// the request is sent; in a transaction, which already holds a connection, that
+// is now.
 func (d *Decider) admit(s *state.Session, now time.Time) []Effect {
 	if s.InTransaction {
 		a := share.Take(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
-		return d.afterAdmission(s, a, now)
+		return d.startAdmission(s, a, now)
 	}
 	a := share.Admit(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
-	return d.afterAdmission(s, a, now)
+	return d.startAdmission(s, a, now)
 }
 
-// afterAdmission carries out an admission that was just asked for.
-func (d *Decider) afterAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
+// startAdmission handles the decision on an admission that was just requested, and
+// asks for the processing of limits that the decision depends on.
+func (d *Decider) startAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
 	s.Phase = state.PhaseAdmission
-	effects := d.admitted(s, a, now)
+	effects := d.handleAdmission(s, a, now)
 	if a.Verdict == share.Wait {
 		effects = append(effects, AdvanceLimits{At: a.Until})
 	}
@@ -154,7 +158,9 @@
 	return effects
 }
 
-// Admitted takes the decision on a request that waited for a token.
+// Admitted handles the decision on a request that waited for a token. The token is
+// returned if the request no longer waits, or if it will spend one when it is
+// sent.
 func (d *Decider) Admitted(s *state.Session, request uint64, a share.Admission, now time.Time) []Effect {
 	waits := s.Phase == state.PhaseAdmission && s.Request.Number == request
 	if a.Verdict == share.Granted && !(waits && s.InTransaction) {
@@ -163,10 +169,12 @@
 	if !waits {
 		return nil
 	}
-	return d.admitted(s, a, now)
+	return d.handleAdmission(s, a, now)
 }
 
-func (d *Decider) admitted(s *state.Session, a share.Admission, now time.Time) []Effect {
+// handleAdmission sends or routes a request that was admitted, and refuses one that
+// was not.
+func (d *Decider) handleAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
 	switch a.Verdict {
 	case share.Wait:
 		return nil
@@ -182,8 +190,8 @@
 	return d.route(s, now)
 }
 
-// rateRefusal tells a customer that is over its rate from a VM that may spend
-// nothing.
+// rateRefusal returns the refusal of a request that got no token. It distinguishes
+// a customer that exceeds its rate from a VM that may spend no tokens.
 func (d *Decider) rateRefusal(a share.Admission, now time.Time) Outcome {
 	if !lease.Valid(d.Tables.Lease, now) || d.Tables.Shares.Agreed() == 0 {
 		return Refused(NotConfirmed)
@@ -191,9 +199,8 @@
 	return Outcome{Kind: NotRun, Reason: RateExceeded, RetryAfter: max(0, a.RetryAt.Sub(now))}
 }
 
-// leaveAdmission forgets the session's request among those that wait for a
-// token.
-func (d *Decider) leaveAdmission(s *state.Session) {
+// cancelAdmission removes the session's request from those that wait for a token.
+func (d *Decider) cancelAdmission(s *state.Session) {
 	share.Cancel(d.Tables.Shares, waiterID(s), s.Customer)
 }
 
@@ -206,6 +213,8 @@
 	return group.Name
 }
 
+// lookup returns the configuration in force with the session's route and its group;
+// each is nil if it does not exist.
 func (d *Decider) lookup(s *state.Session) (*state.Config, *state.Route, *state.Group) {
 	cfg := d.Tables.Config.Current()
 	if cfg == nil {
@@ -227,12 +236,12 @@
 	case group == nil:
 		return d.refuse(s, Refused(RouteUnknown))
 	}
-	q := d.query(s, cfg, route, group, now)
+	q := d.routingQuery(s, cfg, route, group, now)
 	var choice routing.Choice
 	d.Tables.Groups.With(group.Name, func(g *state.GroupState) { choice = routing.Choose(g, q) })
 	switch choice.Kind {
 	case routing.AskPosition:
-		return d.awaitCover(s, q, choice.Server, now)
+		return d.awaitReplicaPosition(s, q, choice.Server, now)
 	case routing.AwaitPrimary:
 		return d.awaitPrimary(s, group.Name, now)
 	}
@@ -241,7 +250,7 @@
 	return []Effect{Acquire{Server: choice.Server, Waiter: d.connWaiter(s, cfg, now)}}
 }
 
-func (d *Decider) query(s *state.Session, cfg *state.Config, route *state.Route, group *state.Group, now time.Time) routing.Query {
+func (d *Decider) routingQuery(s *state.Session, cfg *state.Config, route *state.Route, group *state.Group, now time.Time) routing.Query {
 	point, known := s.Token[group.Name]
 	maxAge := s.Request.MaxStaleness
 	if maxAge == 0 {
@@ -281,14 +290,16 @@
 	}
 }
 
-func (d *Decider) awaitCover(s *state.Session, q routing.Query, server string, now time.Time) []Effect {
+// awaitReplicaPosition waits until the replica reaches the position that the read
+// requires.
+func (d *Decider) awaitReplicaPosition(s *state.Session, q routing.Query, server string, now time.Time) []Effect {
 	s.Phase = state.PhasePosition
 	s.CoverAsked = server
 	return []Effect{Await{Group: q.Group.Name, Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
 		Kind:     state.WaitCover,
 		Joined:   now,
-		Deadline: earlier(now.Add(coverWait), s.Request.Deadline),
+		Deadline: earlier(now.Add(replicaPositionTimeout), s.Request.Deadline),
 		Server:   server,
 		Point:    q.Point,
 		MaxAge:   q.MaxAge,
@@ -305,8 +316,9 @@
 	}}}
 }
 
-// Granted gives the session's request a backend connection. A connection that
-// comes too late is returned unused.
+// Granted gives the session's request a backend connection. The connection is
+// released unused if the request no longer waits for it, if the server is no
+// longer the primary, or if no token is left.
 func (d *Decider) Granted(s *state.Session, request uint64, server string, conn state.ConnID, now time.Time) []Effect {
 	if s.Phase != state.PhaseConnection || s.Request.Number != request {
 		return []Effect{Release{Server: server, Conn: conn}}
@@ -317,7 +329,7 @@
 	a := share.Spend(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
 	if a.Verdict != share.Granted {
 		release := Release{Server: server, Conn: conn}
-		return append([]Effect{release}, d.afterAdmission(s, a, now)...)
+		return append([]Effect{release}, d.startAdmission(s, a, now)...)
 	}
 	s.Conn = conn
 	effects := d.send(s, now)
@@ -327,17 +339,17 @@
 	return effects
 }
 
-// isPrimary reports whether the chosen server is still the primary of the term
-// under which it was chosen.
+// isPrimary reports whether the chosen server is still the primary in the term in
+// which it was chosen.
 func (d *Decider) isPrimary(s *state.Session) bool {
-	ok := false
+	primary := false
 	d.Tables.Groups.With(d.groupOf(s), func(g *state.GroupState) {
-		ok = g.Primary == s.Server && g.Term == s.Term
+		primary = g.Primary == s.Server && g.Term == s.Term
 	})
-	return ok
+	return primary
 }
 
-// NotGranted tells that the request gets no connection.
+// NotGranted handles the refusal of a backend connection.
 func (d *Decider) NotGranted(s *state.Session, request uint64, reason queueing.Reason, now time.Time) []Effect {
 	if s.Phase != state.PhaseConnection || s.Request.Number != request {
 		return nil
@@ -350,6 +362,8 @@
 	return append(effects, d.backoff(s, now)...)
 }
 
+// send sends the request on the session's backend connection and schedules the
+// first check on the server.
 func (d *Decider) send(s *state.Session, now time.Time) []Effect {
 	s.Phase = state.PhaseExecuting
 	s.Sent = true
@@ -365,13 +379,13 @@
 	if s.Reopening {
 		send.Opening = s.Opening
 	}
-	return []Effect{send, Wake{Request: s.Request.Number, At: now.Add(firstCheck)}}
+	return []Effect{send, Wake{Request: s.Request.Number, At: now.Add(firstCheckDelay)}}
 }
 
-// Unsent tells that the connection had failed before a byte of the request was
-// sent on it.
+// Unsent handles a connection that failed before any byte of the request was sent
+// on it.
 func (d *Decider) Unsent(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
-	if !d.current(s, conn, request) {
+	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
 	s.Conn, s.Cancelled, s.Sent = 0, false, false
@@ -381,7 +395,7 @@
 	return d.backoff(s, now)
 }
 
-// backoff waits before the request is routed again.
+// backoff schedules the next attempt to route the request.
 func (d *Decider) backoff(s *state.Session, now time.Time) []Effect {
 	s.Phase = state.PhaseBackoff
 	at := now.Add(queueing.Backoff(max(s.Attempts, 1)))
--- a/coordination/session/effects.go
+++ b/coordination/session/effects.go
@@ -6,55 +6,55 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Effect is what the transport layer does for a decision. Effects are carried
-// out in order.
+// Effect is an action that the transport layer carries out. The effects of one
+// call are carried out in order.
 type Effect interface{ effect() }
 
-// Acquire asks for a connection to a backend server. The answer is a call of
-// Granted or NotGranted.
+// Acquire asks for a connection to a backend server. The transport layer responds
+// with a call of Granted or NotGranted.
 type Acquire struct {
 	Server string
 	Waiter state.ConnWaiter
 }
 
-// WithdrawAcquire takes back an Acquire that has not been answered.
+// WithdrawAcquire cancels an Acquire that has no response yet.
 type WithdrawAcquire struct {
 	Server string
 	ID     state.WaiterID
 }
 
-// Send sends the request to the backend connection. In read-only mode the
-// backend server must refuse a write before it runs.
+// Send sends the request on the backend connection. In read-only mode the backend
+// server must refuse a write without running it.
 type Send struct {
 	Conn     state.ConnID
 	Request  uint64
 	Payload  any
 	ReadOnly bool
-	// Opening is the payload of a request that begins the transaction first; its
-	// answer is dropped. It may be nil.
+	// Opening is the payload of a request that begins the transaction and is sent
+	// first; its answer is discarded. It may be nil.
 	Opening any
 }
 
-// Forward passes a part of the answer to the client.
+// Forward sends a part of the answer to the client.
 type Forward struct{ Part any }
 
-// Hold keeps a part of the answer back until FlushHeld or DropHeld.
+// Hold buffers a part of the answer until FlushHeld or DropHeld.
 type Hold struct{ Part any }
 
-// FlushHeld passes the held parts to the client.
+// FlushHeld sends the held parts to the client.
 type FlushHeld struct{}
 
-// DropHeld forgets the held parts.
+// DropHeld discards the held parts.
 type DropHeld struct{}
 
-// Finish ends the request. Unless the outcome is Answered, the client is told
-// of it by an error.
+// Finish ends the request. Unless the outcome is Answered, the client receives an
+// error.
 type Finish struct {
 	Outcome       Outcome
 	InTransaction bool
 }
 
-// Release returns a connection that is ready for another request.
+// Release returns a connection that can serve another request.
 type Release struct {
 	Server string
 	Conn   state.ConnID
@@ -66,41 +66,43 @@
 	Conn   state.ConnID
 }
 
-// CancelBackend asks the backend server to cancel what runs on the connection.
+// CancelBackend asks the backend server to cancel the request that runs on the
+// connection.
 type CancelBackend struct{ Conn state.ConnID }
 
-// Await waits for positions of a group. The answer is a call of Resolved.
+// Await waits for positions of a group's servers. The transport layer responds
+// with a call of Resolved.
 type Await struct {
 	Group  string
 	Waiter state.PositionWaiter
 }
 
-// WithdrawAwait takes back an Await that has not been answered.
+// WithdrawAwait cancels an Await that has no response yet.
 type WithdrawAwait struct {
 	Group string
 	ID    state.WaiterID
 }
 
-// Wake calls Woken at the given time.
+// Wake requests a call of Woken at the given time.
 type Wake struct {
 	Request uint64
 	At      time.Time
 }
 
-// ReportToken tells the client its session token.
+// ReportToken sends the session token to the client.
 type ReportToken struct{}
 
-// Suspect reports that a contact with a backend server failed.
+// Suspect reports that communication with a backend server failed.
 type Suspect struct {
 	Group  string
 	Server string
 }
 
-// AdvanceLimits asks for a look at requests that wait for tokens, and at loans,
-// at the given time at the latest.
+// AdvanceLimits asks to process loans and the requests that wait for tokens at the
+// given time at the latest.
 type AdvanceLimits struct{ At time.Time }
 
-// CloseClient ends the session after the client was told the reason.
+// CloseClient tells the client the reason and ends the session.
 type CloseClient struct{ Outcome Outcome }
 
 func (Acquire) effect()         {}
--- a/coordination/session/end.go
+++ b/coordination/session/end.go
@@ -6,11 +6,11 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// maxIdleInTransaction is how long a transaction may wait for its next request,
-// counted from the deadline of the previous one.
+// maxIdleInTransaction is the longest time that a transaction may wait for its next
+// request, counted from the deadline of the previous one.
 const maxIdleInTransaction = 30 * time.Second
 
-// Woken is called at the time of a Wake.
+// Woken handles the time of a Wake.
 func (d *Decider) Woken(s *state.Session, request uint64, now time.Time) []Effect {
 	if s.Request.Number != request || s.Phase == state.PhaseClosed {
 		return nil
@@ -25,13 +25,13 @@
 	case state.PhaseBackoff:
 		return d.route(s, now)
 	case state.PhaseExecuting:
-		return d.check(s, now)
+		return d.checkServer(s, now)
 	}
 	return nil
 }
 
-// endIdleTransaction closes a session that holds a scarce backend connection in
-// a transaction without using it.
+// endIdleTransaction closes a session whose transaction has been idle for too long,
+// because it occupies a backend connection.
 func (d *Decider) endIdleTransaction(s *state.Session, now time.Time) []Effect {
 	if !s.InTransaction || now.Before(s.Request.Deadline.Add(maxIdleInTransaction)) {
 		return nil
@@ -43,7 +43,7 @@
 func (d *Decider) expire(s *state.Session, now time.Time) []Effect {
 	switch s.Phase {
 	case state.PhaseAdmission:
-		d.leaveAdmission(s)
+		d.cancelAdmission(s)
 		return d.refuse(s, Refused(RateExceeded))
 	case state.PhasePosition:
 		effects := []Effect{WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)}}
@@ -54,21 +54,22 @@
 	case state.PhaseBackoff:
 		return d.refuse(s, Refused(NoConnection))
 	case state.PhaseExecuting:
-		effects := d.dropConn(s)
-		return append(effects, d.afterLoss(s, DeadlinePassed, now)...)
+		effects := d.discardConn(s)
+		return append(effects, d.retryOrFail(s, DeadlinePassed, now)...)
 	}
-	// The position waiter of an acknowledgement has the same deadline.
+	// In PhaseAcknowledging the position waiter has the same deadline and ends the
+	// request.
 	return nil
 }
 
-// Cancel ends the current request on the client's wish. A request that runs is
-// cancelled at the backend server, and its connection is not used again: a
-// cancel that comes late would hit the next request.
+// Cancel handles a cancel request of the client. A request that is executing is
+// cancelled at the backend server, and its connection is not reused: a late cancel
+// would hit the next request on it.
 func (d *Decider) Cancel(s *state.Session) []Effect {
 	cancelled := Refused(CancelRequested)
 	switch s.Phase {
 	case state.PhaseAdmission:
-		d.leaveAdmission(s)
+		d.cancelAdmission(s)
 		return d.refuse(s, cancelled)
 	case state.PhaseBackoff:
 		return d.refuse(s, cancelled)
@@ -85,18 +86,18 @@
 	return nil
 }
 
-// Gone ends the session because the client left.
+// Gone ends the session after the client has disconnected.
 func (d *Decider) Gone(s *state.Session) []Effect {
 	var effects []Effect
 	switch s.Phase {
 	case state.PhaseAdmission:
-		d.leaveAdmission(s)
+		d.cancelAdmission(s)
 	case state.PhasePosition, state.PhaseExecuting, state.PhaseAcknowledging:
 		effects = append(effects, WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)})
 	case state.PhaseConnection:
 		effects = append(effects, WithdrawAcquire{Server: s.Server, ID: waiterID(s)})
 	}
-	effects = append(effects, d.dropConn(s)...)
+	effects = append(effects, d.discardConn(s)...)
 	s.Phase = state.PhaseClosed
 	s.InTransaction = false
 	return append(effects, DropHeld{})
@@ -112,9 +113,10 @@
 	return d.close(s, Refused(ShuttingDown))
 }
 
-// refuse ends a request without an answer of a backend server. It says "not
-// run" only if no earlier attempt was sent. If the request's transaction is not
-// open any more, the session ends: later requests would run outside of it.
+// refuse ends a request that has no answer from a backend server. The outcome is
+// NotRun only if no earlier attempt was sent. If the request's transaction is no
+// longer open, the session is closed, because later requests would run outside
+// the transaction.
 func (d *Decider) refuse(s *state.Session, out Outcome) []Effect {
 	if s.Reopening {
 		return d.close(s, Outcome{Kind: Unknown, Reason: TransactionLost})
@@ -125,14 +127,15 @@
 	return d.finish(s, out)
 }
 
-// finish ends the request. The session goes on unless it is draining.
+// finish ends the request. A draining session is closed unless it has an open
+// transaction.
 func (d *Decider) finish(s *state.Session, out Outcome) []Effect {
 	s.Phase = state.PhaseIdle
 	s.Request.Payload = nil
 	effects := []Effect{Finish{Outcome: out, InTransaction: s.InTransaction}}
 	if s.InTransaction {
-		idleEnd := s.Request.Deadline.Add(maxIdleInTransaction)
-		return append(effects, Wake{Request: s.Request.Number, At: idleEnd})
+		idleDeadline := s.Request.Deadline.Add(maxIdleInTransaction)
+		return append(effects, Wake{Request: s.Request.Number, At: idleDeadline})
 	}
 	if s.Draining {
 		effects = append(effects, d.close(s, Refused(ShuttingDown))...)
@@ -142,15 +145,15 @@
 
 // close ends the session.
 func (d *Decider) close(s *state.Session, out Outcome) []Effect {
-	effects := append(d.dropConn(s), CloseClient{Outcome: out})
+	effects := append(d.discardConn(s), CloseClient{Outcome: out})
 	s.Phase = state.PhaseClosed
 	s.InTransaction = false
 	return effects
 }
 
-// dropConn closes the session's backend connection, which rolls back what is
-// open on it.
-func (d *Decider) dropConn(s *state.Session) []Effect {
+// discardConn closes the session's backend connection, which rolls back a
+// transaction that is open on it.
+func (d *Decider) discardConn(s *state.Session) []Effect {
 	if s.Conn == 0 {
 		return nil
 	}
@@ -159,11 +162,11 @@
 	return []Effect{Discard{Server: s.Server, Conn: conn}}
 }
 
-// releaseConn returns the session's backend connection to the pool, or closes
-// it if a cancel request may still be on its way.
+// releaseConn returns the session's backend connection to the pool, or closes it
+// if a cancel request may still be on its way.
 func (d *Decider) releaseConn(s *state.Session) []Effect {
 	if s.Cancelled {
-		return d.dropConn(s)
+		return d.discardConn(s)
 	}
 	conn := s.Conn
 	s.Conn = 0
