--- a/coordination/sqlsession/route.go
+++ b/coordination/sqlsession/route.go
@@ -10,47 +10,49 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// maxReadFailures is how often a read may fail on servers before the client is
-// told; one server may fail what another one answers.
+// maxReadFailures is the number of failed runs of a read after which the error goes
+// to the client. A read that fails on one server may succeed on another.
 const maxReadFailures = 2
 
 const (
-	// hedgePart of a route's latency objective is how long a read waits for its
-	// server before it runs on another one too. The rest is enough for that.
-	hedgePart = 1.0 / 3
-	// minHedgeDelay is longer than nearly all reads take on a server with load.
+	// hedgeFraction is the fraction of the route's latency objective after which a
+	// read without an answer is also sent to another server. The rest of the
+	// objective is enough for that server to answer.
+	hedgeFraction = 1.0 / 3
+	// minHedgeDelay is longer than nearly all reads take on a server under load.
 	minHedgeDelay = 50 * time.Millisecond
 )
 
-// HedgeAfter returns how long the operation may stay without an answer before it
-// runs on a second server too. It reports false for what must not run twice or
-// runs on one server only.
+// HedgeAfter returns the time after which an operation without an answer is also
+// sent to a second server. It reports false if the operation must not run twice or
+// can run on one server only.
 func (o *Operation) HedgeAfter() (time.Duration, bool) {
 	if o.NeedsLead || o.Opens || o.Tx.ID != 0 || o.writes() {
 		return 0, false
 	}
-	return max(time.Duration(hedgePart*float64(o.Route.TargetLatency)), minHedgeDelay), true
+	return max(time.Duration(hedgeFraction*float64(o.Route.TargetLatency)), minHedgeDelay), true
 }
 
-// Target is where an attempt of an operation runs.
+// Target is the VM and backend server that run an attempt of an operation, and the
+// work to send.
 type Target struct {
 	VM     string
 	Server string
 	Work   statement.Work
 }
 
-// Env is what a choice depends on.
+// Env holds the state of the fleet that a choice depends on.
 type Env struct {
 	Deployment *catalog.Deployment
 	Leads      *leadership.Table
 	View       *placement.View
 	DataCentre string
-	Now        time.Duration   // reading of the clock that counts suspensions
-	Tried      map[string]bool // servers that refused this operation
+	Now        time.Duration   // reading of the clock that keeps running while the host is suspended
+	Tried      map[string]bool // servers that have refused this operation
 }
 
-// Choose returns where to run the operation now. It reports false if nothing
-// can run it at the moment.
+// Choose returns the target for the next attempt of the operation. It reports false
+// if no server can run it at the moment.
 func Choose(o *Operation, env Env) (Target, bool) {
 	work := statement.Work{
 		Customer: o.Customer, Group: o.Route.Group, Values: o.Values, Prepared: o.Prepared,
@@ -77,19 +79,22 @@
 	return Target{VM: vm, Server: server.ID, Work: work}, ok
 }
 
+// chooseServer returns a replica that is recent enough for the read, or else the
+// primary, or nil. It completes the work for the server that it returns.
 func chooseServer(o *Operation, env Env, g *leadership.Group, work *statement.Work) *catalog.Server {
 	servers := env.Deployment.GroupServers(o.Route.Group)
 	if !o.NeedsLead {
 		if floor, ok := g.Floor(env.Now, o.Route.MaxStaleness); ok {
-			need := leadership.Cover(floor, ownNeed(o))
+			need := leadership.Cover(floor, ownPosition(o))
 			if s := g.Reader(env.Deployment, servers, env.DataCentre, need, env.Tried, env.Now); s != nil {
 				work.Command.After = need
 				return s
 			}
 		}
 	}
-	// The primary runs reads that no replica is known to be fit for. A reading
-	// transaction becomes one that may write, which proves the lead.
+	// The primary runs reads for which no suitable replica is known. A read-only
+	// transaction becomes a read-write one, which proves that the server still leads
+	// the group.
 	if !o.writes() {
 		work.Proof = true
 		work.ReadOnlyTx = false
@@ -103,31 +108,33 @@
 	return g.Primary(candidates, env.Now)
 }
 
-func ownNeed(o *Operation) state.Point {
+// ownPosition returns the position of the session's own writes that a read must
+// see. It is zero unless the route has consistency ReadYourWrites.
+func ownPosition(o *Operation) state.Point {
 	if o.Route.Consistency == catalog.ReadYourWrites {
 		return o.Own
 	}
 	return state.Point{}
 }
 
-// Verdict says what follows an attempt.
+// Verdict says how to continue after an attempt.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Tell  Verdict = iota // tell the client
-	Retry                // try another server, or this one again
+	Tell  Verdict = iota // send the answer to the client
+	Retry                // run the operation again, on the same or another server
 )
 
-// Judge decides what follows the result of an attempt, and turns codes that
-// only the fleet knows into the client's.
+// Judge decides how to continue after the result of an attempt. If the answer goes
+// to the client, it replaces codes that are internal to the fleet.
 func (o *Operation) Judge(r *statement.Result) Verdict {
 	a := &r.Answer
 	if a.Code == statement.OK {
 		return Tell
 	}
 	if o.Tx.ID != 0 {
-		o.judgeInTx(a)
+		o.replaceCodeInTx(a)
 		return Tell
 	}
 	if a.Code.NotRun() {
@@ -135,7 +142,7 @@
 	}
 	switch a.Code {
 	case statement.Lost:
-		// Nothing of a transaction that was not committed is kept.
+		// A transaction that was not committed has no lasting effect.
 		if !o.writes() || o.Opens {
 			return Retry
 		}
@@ -153,9 +160,10 @@
 	return Tell
 }
 
-// judgeInTx turns the code of a statement in an open transaction, which any
-// error ends. Only a commit that was sent can have taken effect.
-func (o *Operation) judgeInTx(a *statement.Answer) {
+// replaceCodeInTx replaces the code of a statement in an open transaction by the
+// client's. Any error ends the transaction, and only a commit that was sent can
+// have taken effect.
+func (o *Operation) replaceCodeInTx(a *statement.Answer) {
 	switch a.Code {
 	case statement.Busy, statement.Failed, statement.Aborted:
 	case statement.Unreachable, statement.Down, statement.UnknownStatement, statement.ReadOnly, statement.Lagging,
--- a/coordination/sqlsession/session.go
+++ b/coordination/sqlsession/session.go
@@ -1,8 +1,9 @@
-// Package sqlsession decides what happens to the requests of an SQL session:
-// which are answered by the proxy, which run on which server, and what the
-// client is told when a statement fails.
+// Package sqlsession is the state machine of an SQL session. It decides which
+// requests the proxy answers itself, which server runs the others, and which error
+// the client receives when a statement fails.
 //
-// It knows no wire protocol. A Session is used by one event at a time.
+// It is independent of the wire protocol. A Session is not safe for concurrent
+// use; the caller handles one event at a time.
 package sqlsession
 
 import (
@@ -20,15 +21,15 @@
 
 const (
 	txNone   txPhase = iota
-	txBegun          // BEGIN was answered, no server was chosen yet
+	txBegun          // BEGIN was answered; no server has been chosen yet
 	txOpen           // open on a server
-	txFailed         // failed; nothing of it is kept
+	txFailed         // failed without a lasting effect; the client has not ended it yet
 )
 
 // Tx is a transaction that is open on a server.
 type Tx struct {
-	VM     string // holds the connection
-	ID     uint64 // there
+	VM     string // VM that holds the connection
+	ID     uint64 // transaction ID on that VM
 	Server string
 }
 
@@ -37,19 +38,20 @@
 	database string
 	key      state.KeyHash
 
-	values   []statement.Value
-	prepared map[string]*statement.Prepared
-	own      state.Point // of the latest own commit
+	values     []statement.Value
+	prepared   map[string]*statement.Prepared
+	lastCommit state.Point // position of the session's latest commit of a write
 
 	phase    txPhase
 	readOnly bool
 	tx       Tx
-	route    *catalog.Route // of the transaction
-	customer string
+	route    *catalog.Route // route of the transaction
+	customer string         // customer of the transaction
 }
 
-// Open begins a session for a database name with the hash of the client's key.
-// It reports the refusal if the configuration does not allow it.
+// Open returns a session for a database name and the hash of the client's key. If
+// the configuration does not allow it, the session is nil and the answer holds the
+// refusal.
 func Open(config *catalog.Config, database string, key state.KeyHash) (*Session, statement.Answer) {
 	s := &Session{database: database, key: key, prepared: make(map[string]*statement.Prepared)}
 	_, _, code := s.access(config)
@@ -59,10 +61,11 @@
 	return s, statement.Answer{}
 }
 
-// publicCustomer is named to servers for clients without a known key.
+// publicCustomer is the customer name that servers receive for clients without a
+// known key.
 const publicCustomer = "public"
 
-// access returns the session's route and customer under the configuration.
+// access returns the session's route and customer according to the configuration.
 func (s *Session) access(config *catalog.Config) (*catalog.Route, string, statement.Code) {
 	route := config.Route(s.database)
 	if route == nil {
@@ -77,20 +80,20 @@
 	return nil, "", statement.AccessDenied
 }
 
-// Operation is a statement that runs on a server.
+// Operation is a statement that has to run on a server.
 type Operation struct {
 	Request   statement.Request
 	Route     *catalog.Route
 	Customer  string
-	Charge    bool // it is the first of an operation that counts against the limit
+	Charge    bool // counts against the customer's rate limit; false inside a transaction
 	NeedsLead bool // only the primary may run it
-	Opens     bool
-	ReadOnly  bool // its transaction only reads
+	Opens     bool // begins the transaction on the server
+	ReadOnly  bool // its transaction is read-only
 	Tx        Tx   // ID is zero unless a transaction is open
 	Values    []statement.Value
 	Prepared  *statement.Prepared
-	Own       state.Point
-	Failures  int // answers that the statement ran and failed
+	Own       state.Point // position of the session's latest commit of a write
+	Failures  int         // number of runs that failed
 }
 
 // writes reports whether the statement changes data.
@@ -98,21 +101,22 @@
 	return o.Request.Verb == statement.Write || o.Prepared != nil && o.Prepared.Writes
 }
 
-// Step is what happens to a request. Exactly one of Answer and Run is set.
+// Step says how to handle a request. Exactly one of Answer and Run is set.
 type Step struct {
 	Answer *statement.Answer
 	Run    *Operation
-	// Charge asks that the operation is admitted before the answer is sent.
+	// Charge says that the rate limit must admit the request before the answer is
+	// sent.
 	Charge   bool
-	Customer string // to charge
+	Customer string // with Charge: whose limit the request counts against
 	End      *Tx    // transaction to end on its server
 	Close    bool   // close the session after the answer
 }
 
-// Handle decides a request under the configuration in force.
+// Handle decides on a request under the configuration in force.
 func (s *Session) Handle(r statement.Request, config *catalog.Config) Step {
 	if s.phase == txFailed {
-		return s.handleFailed(r)
+		return s.handleInFailedTx(r)
 	}
 	switch r.Verb {
 	case statement.Begin, statement.BeginReadOnly:
@@ -122,28 +126,29 @@
 			return s.malformed("no transaction is open")
 		}
 		end := s.endTx()
-		return Step{Answer: s.done(), End: end}
+		return Step{Answer: s.success(), End: end}
 	case statement.Set:
 		s.set(r.Name, r.Payload)
-		return Step{Answer: s.done()}
+		return Step{Answer: s.success()}
 	case statement.Prepare:
 		s.prepared[r.Name] = prepare(r)
-		return Step{Answer: s.done()}
+		return Step{Answer: s.success()}
 	case statement.Close:
 		delete(s.prepared, r.Name)
-		return Step{Answer: s.done()}
+		return Step{Answer: s.success()}
 	case statement.Read, statement.Write, statement.Execute, statement.Commit:
 		return s.run(r, config)
 	}
 	return s.malformed("unknown statement")
 }
 
-// handleFailed answers in a failed transaction, which only its end leaves.
-func (s *Session) handleFailed(r statement.Request) Step {
+// handleInFailedTx answers a request in a failed transaction, in which only
+// ROLLBACK and COMMIT are accepted.
+func (s *Session) handleInFailedTx(r statement.Request) Step {
 	switch r.Verb {
 	case statement.Rollback:
 		s.phase = txNone
-		return Step{Answer: s.done()}
+		return Step{Answer: s.success()}
 	case statement.Commit:
 		s.phase = txNone
 		return Step{Answer: s.refusal(statement.Aborted, "the transaction had failed")}
@@ -151,6 +156,7 @@
 	return Step{Answer: s.refusal(statement.Malformed, "the transaction has failed")}
 }
 
+// begin starts a transaction. A server is chosen only for its first statement.
 func (s *Session) begin(r statement.Request, config *catalog.Config) Step {
 	if s.phase != txNone {
 		return s.malformed("a transaction is open")
@@ -161,15 +167,15 @@
 	}
 	s.phase, s.route, s.customer = txBegun, route, customer
 	s.readOnly = r.Verb == statement.BeginReadOnly
-	return Step{Answer: s.done(), Charge: true, Customer: customer}
+	return Step{Answer: s.success(), Charge: true, Customer: customer}
 }
 
-// Unbegin takes back a transaction whose operation was not admitted.
+// Unbegin undoes a BEGIN that the rate limit did not admit.
 func (s *Session) Unbegin() { s.phase = txNone }
 
-// run plans a statement that a server has to run.
+// run returns the operation for a statement that has to run on a server.
 func (s *Session) run(r statement.Request, config *catalog.Config) Step {
-	o := &Operation{Request: r, Values: s.values, Own: s.own}
+	o := &Operation{Request: r, Values: s.values, Own: s.lastCommit}
 	if r.Verb == statement.Execute {
 		o.Prepared = s.prepared[r.Name]
 		if o.Prepared == nil {
@@ -191,16 +197,17 @@
 	}
 	o.Route, o.Customer, o.Tx = s.route, s.customer, s.tx
 	o.Opens = s.phase == txBegun
-	// A reading transaction may run on a former primary and see old data.
+	// On a route with consistency latest, a read-only transaction has to run as a
+	// read-write one: otherwise it could run on a former primary and see old data.
 	o.ReadOnly = s.readOnly && s.route.Consistency != catalog.Latest
 	o.NeedsLead = !o.ReadOnly || o.writes()
 	return Step{Run: o}
 }
 
-// set changes a session value. Values are kept in the order of their names, so
-// that equal sets compare equal.
+// set changes a session value. Values are sorted by name, so that equal sets
+// compare equal.
 func (s *Session) set(name, data string) {
-	// Operations that run hold the old slice.
+	// Running operations still use the old slice.
 	values := slices.Clone(s.values)
 	i, found := slices.BinarySearchFunc(values, name, func(v statement.Value, name string) int {
 		switch {
@@ -219,8 +226,8 @@
 	s.values = values
 }
 
-// prepare names a statement after its contents: clients' own names collide on
-// the connections that they share.
+// prepare names a prepared statement by a hash of its contents. The names that
+// clients choose would collide on shared connections.
 func prepare(r statement.Request) *statement.Prepared {
 	h := fnv.New64a()
 	mode := byte('r')
@@ -242,21 +249,24 @@
 	return statement.InTx
 }
 
-// Customer returns the customer that the session's key belongs to, or "".
+// Customer returns the session's customer under the configuration, or "" if the
+// session has no access any more.
 func (s *Session) Customer(config *catalog.Config) string {
 	_, customer, _ := s.access(config)
 	return customer
 }
 
-// Abandon ends the session's transaction and returns what is open on a server.
-// The session stays usable; its client learns of it with the next request.
+// Abandon marks the session's transaction as failed, and returns the transaction to
+// end on its server, or nil. The session stays usable; the client receives the
+// error with its next request.
 func (s *Session) Abandon() *Tx {
 	end := s.endTx()
 	s.phase = txFailed
 	return end
 }
 
-// endTx leaves the transaction and returns what is open on a server, or nil.
+// endTx resets the transaction state and returns the transaction that is open on a
+// server, or nil.
 func (s *Session) endTx() *Tx {
 	var end *Tx
 	if s.phase == txOpen {
@@ -267,8 +277,8 @@
 	return end
 }
 
-// Finish takes the result of an operation, as judged, and returns the answer
-// for the client. vm and server are where it ran.
+// Finish updates the session with the result of an operation, after Judge, and
+// returns the answer for the client. vm and server ran the operation.
 func (s *Session) Finish(o *Operation, r statement.Result, vm, server string) statement.Answer {
 	a := r.Answer
 	inTx := s.phase != txNone
@@ -276,40 +286,43 @@
 		switch {
 		case o.Request.Verb == statement.Commit:
 			s.endTx()
-			s.committed(a.At, !o.ReadOnly)
+			s.recordCommit(a.At, !o.ReadOnly)
 		case !inTx:
-			s.committed(a.At, o.writes())
+			s.recordCommit(a.At, o.writes())
 		default:
 			s.phase, s.tx = txOpen, Tx{VM: vm, ID: r.Tx, Server: server}
 		}
 	} else if inTx {
-		// The server ended the transaction, or its connection is gone.
+		// The server has ended the transaction, or the connection to it was lost.
 		s.endTx()
 		if o.Request.Verb != statement.Commit {
 			s.phase = txFailed
 		}
 	}
-	a.State, a.At = s.State(), s.own
+	a.State, a.At = s.State(), s.lastCommit
 	return a
 }
 
-func (s *Session) committed(at state.Point, wrote bool) {
-	if wrote && (at.Term > s.own.Term || at.Term == s.own.Term && at.Position > s.own.Position) {
-		s.own = at
+// recordCommit advances the position of the session's latest commit of a write.
+func (s *Session) recordCommit(at state.Point, wrote bool) {
+	if wrote && (at.Term > s.lastCommit.Term || at.Term == s.lastCommit.Term && at.Position > s.lastCommit.Position) {
+		s.lastCommit = at
 	}
 }
 
-func (s *Session) done() *statement.Answer {
-	return &statement.Answer{State: s.State(), At: s.own}
+// success returns the answer to a request that the proxy handled itself.
+func (s *Session) success() *statement.Answer {
+	return &statement.Answer{State: s.State(), At: s.lastCommit}
 }
 
 func (s *Session) refusal(code statement.Code, text string) *statement.Answer {
-	return &statement.Answer{Code: code, Text: text, State: s.State(), At: s.own}
+	return &statement.Answer{Code: code, Text: text, State: s.State(), At: s.lastCommit}
 }
 
 func (s *Session) malformed(text string) Step { return s.fail(statement.Malformed, text) }
 
-// fail refuses a request without running it; a transaction fails with it.
+// fail refuses a request without running it, and marks an open transaction as
+// failed.
 func (s *Session) fail(code statement.Code, text string) Step {
 	var end *Tx
 	if s.phase != txNone {
--- a/coordination/sqlsession/session_test.go
+++ b/coordination/sqlsession/session_test.go
@@ -14,7 +14,7 @@
 
 var key = state.KeyHash(sha256.Sum256([]byte("key")))
 
-func config() *catalog.Config {
+func testConfig() *catalog.Config {
 	c := &catalog.Config{
 		Version: 1,
 		Routes: []catalog.Route{
@@ -28,88 +28,88 @@
 	return c
 }
 
-func open(t *testing.T, database string) *Session {
+func openSession(t *testing.T, database string) *Session {
 	t.Helper()
-	s, refusal := Open(config(), database, key)
+	s, refusal := Open(testConfig(), database, key)
 	if s == nil {
 		t.Fatalf("refused: %s", refusal.Code)
 	}
 	return s
 }
 
-func request(verb statement.Verb, payload string) statement.Request {
+func newRequest(verb statement.Verb, payload string) statement.Request {
 	return statement.Request{ID: "1", Verb: verb, Payload: payload}
 }
 
-// Guards against sessions without a route or with a key that is not known.
+// Guards against opening a session for an unknown database or with an unknown key.
 func TestOpen(t *testing.T) {
-	if s, a := Open(config(), "other", key); s != nil || a.Code != statement.UnknownDatabase {
+	if s, a := Open(testConfig(), "other", key); s != nil || a.Code != statement.UnknownDatabase {
 		t.Errorf("unknown database: %s", a.Code)
 	}
-	if s, a := Open(config(), "own", state.KeyHash{}); s != nil || a.Code != statement.AccessDenied {
+	if s, a := Open(testConfig(), "own", state.KeyHash{}); s != nil || a.Code != statement.AccessDenied {
 		t.Errorf("unknown key: %s", a.Code)
 	}
 }
 
-// Guards against a key or route that is gone and still used by an open session,
-// and against a transaction that changes its route midway.
+// Guards against an open session that keeps using a revoked key, and against a
+// change of the configuration that interrupts an open transaction.
 func TestConfigurationChanges(t *testing.T) {
-	s := open(t, "own")
-	revoked := config()
+	s := openSession(t, "own")
+	revoked := testConfig()
 	revoked.Customers[0].Keys = nil
 	revoked.Index()
-	if step := s.Handle(request(statement.Read, "x"), revoked); step.Answer == nil || step.Answer.Code != statement.AccessDenied || !step.Close {
+	if step := s.Handle(newRequest(statement.Read, "x"), revoked); step.Answer == nil || step.Answer.Code != statement.AccessDenied || !step.Close {
 		t.Errorf("read with a revoked key: %+v", step)
 	}
-	s.Handle(request(statement.Begin, ""), config())
-	if step := s.Handle(request(statement.Read, "x"), revoked); step.Run == nil {
-		t.Errorf("a transaction was cut by a change: %+v", step.Answer)
+	s.Handle(newRequest(statement.Begin, ""), testConfig())
+	if step := s.Handle(newRequest(statement.Read, "x"), revoked); step.Run == nil {
+		t.Errorf("a change of the configuration interrupted a transaction: %+v", step.Answer)
 	}
 }
 
-// Guards against statements outside of their transaction's connection, and
-// against answers after a failure that a client cannot act on.
+// Guards against running a statement outside the connection of its transaction, and
+// against wrong answers after a transaction has failed.
 func TestTransactionPhases(t *testing.T) {
-	s := open(t, "latest")
-	step := s.Handle(request(statement.Begin, ""), config())
+	s := openSession(t, "latest")
+	step := s.Handle(newRequest(statement.Begin, ""), testConfig())
 	if !step.Charge || step.Answer.State != statement.InTx {
 		t.Fatalf("BEGIN: %+v", step)
 	}
-	o := s.Handle(request(statement.Write, "a 1"), config()).Run
+	o := s.Handle(newRequest(statement.Write, "a 1"), testConfig()).Run
 	if !o.Opens || o.Charge || !o.NeedsLead {
 		t.Errorf("first statement: %+v", o)
 	}
 	s.Finish(o, statement.Result{Tx: 7}, "vm", "s")
-	o = s.Handle(request(statement.Write, "b 1"), config()).Run
+	o = s.Handle(newRequest(statement.Write, "b 1"), testConfig()).Run
 	if o.Opens || o.Tx != (Tx{VM: "vm", ID: 7, Server: "s"}) {
 		t.Errorf("second statement: %+v", o)
 	}
 	r := statement.Result{Answer: statement.Refusal(statement.Lost, "")}
 	o.Judge(&r)
 	if a := s.Finish(o, r, "vm", "s"); a.Code != statement.Aborted || a.State != statement.FailedTx {
-		t.Errorf("a lost write in a transaction is told as %+v", a)
+		t.Errorf("a lost write in a transaction is answered with %+v", a)
 	}
-	if a := s.Handle(request(statement.Read, "a"), config()).Answer; a.Code != statement.Malformed {
+	if a := s.Handle(newRequest(statement.Read, "a"), testConfig()).Answer; a.Code != statement.Malformed {
 		t.Errorf("a read after the failure: %+v", a)
 	}
-	if a := s.Handle(request(statement.Commit, ""), config()).Answer; a.Code != statement.Aborted || a.State != statement.Idle {
+	if a := s.Handle(newRequest(statement.Commit, ""), testConfig()).Answer; a.Code != statement.Aborted || a.State != statement.Idle {
 		t.Errorf("COMMIT after the failure: %+v", a)
 	}
 }
 
-// Guards against outcomes that promise what is not known, and against writes
-// that are repeated.
+// Guards against reporting a definite outcome for a statement that may have taken
+// effect, and against running a write twice.
 func TestJudge(t *testing.T) {
-	read := &Operation{Request: request(statement.Read, "")}
-	write := &Operation{Request: request(statement.Write, "")}
-	inTx := &Operation{Request: request(statement.Write, ""), Tx: Tx{ID: 1}}
-	commit := &Operation{Request: request(statement.Commit, ""), Tx: Tx{ID: 1}}
+	read := &Operation{Request: newRequest(statement.Read, "")}
+	write := &Operation{Request: newRequest(statement.Write, "")}
+	inTx := &Operation{Request: newRequest(statement.Write, ""), Tx: Tx{ID: 1}}
+	commit := &Operation{Request: newRequest(statement.Commit, ""), Tx: Tx{ID: 1}}
 	for _, tt := range []struct {
 		name    string
 		o       *Operation
 		code    statement.Code
 		verdict Verdict
-		told    statement.Code
+		want    statement.Code
 	}{
 		{"read not run", read, statement.Lagging, Retry, statement.Lagging},
 		{"read lost", read, statement.Lost, Retry, statement.Lost},
@@ -125,41 +125,43 @@
 		{"commit not sent", commit, statement.Unreachable, Tell, statement.Aborted},
 	} {
 		r := statement.Result{Answer: statement.Refusal(tt.code, "")}
-		if got := tt.o.Judge(&r); got != tt.verdict || r.Answer.Code != tt.told {
-			t.Errorf("%s: verdict %d, told %s", tt.name, got, r.Answer.Code)
+		if got := tt.o.Judge(&r); got != tt.verdict || r.Answer.Code != tt.want {
+			t.Errorf("%s: verdict %d, code for the client %s", tt.name, got, r.Answer.Code)
 		}
 	}
 }
 
-// Guards against prepared names and values that leak between sessions.
+// Guards against prepared statements of different sessions that share a name, and
+// against a change of session values that affects a running operation.
 func TestValuesAndPreparedNames(t *testing.T) {
-	a, b := open(t, "own"), open(t, "own")
-	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "z", Payload: "1"}, config())
-	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "a", Payload: "2"}, config())
-	before := a.Handle(request(statement.Read, "x"), config()).Run.Values
-	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "z", Payload: "3"}, config())
+	a, b := openSession(t, "own"), openSession(t, "own")
+	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "z", Payload: "1"}, testConfig())
+	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "a", Payload: "2"}, testConfig())
+	before := a.Handle(newRequest(statement.Read, "x"), testConfig()).Run.Values
+	a.Handle(statement.Request{ID: "1", Verb: statement.Set, Name: "z", Payload: "3"}, testConfig())
 	if before[0].Name != "a" || before[1] != (statement.Value{Name: "z", Data: "1"}) {
-		t.Errorf("values of an operation under way changed: %v", before)
+		t.Errorf("values of a running operation changed: %v", before)
 	}
 	for s, shape := range map[*Session]string{a: "q1", b: "q2"} {
-		s.Handle(statement.Request{ID: "1", Verb: statement.Prepare, Name: "s1", Payload: shape}, config())
+		s.Handle(statement.Request{ID: "1", Verb: statement.Prepare, Name: "s1", Payload: shape}, testConfig())
 	}
 	run := func(s *Session) *statement.Prepared {
-		return s.Handle(statement.Request{ID: "1", Verb: statement.Execute, Name: "s1", Payload: "x"}, config()).Run.Prepared
+		return s.Handle(statement.Request{ID: "1", Verb: statement.Execute, Name: "s1", Payload: "x"}, testConfig()).Run.Prepared
 	}
 	if x, y := run(a), run(b); x.Name == y.Name || x.Shape != "q1" || y.Shape != "q2" {
 		t.Errorf("prepared names collide: %+v %+v", x, y)
 	}
-	a.Handle(statement.Request{ID: "1", Verb: statement.Close, Name: "s1"}, config())
-	if step := a.Handle(statement.Request{ID: "1", Verb: statement.Execute, Name: "s1"}, config()); step.Answer == nil || step.Answer.Code != statement.UnknownStatement {
-		t.Errorf("a closed name runs: %+v", step)
+	a.Handle(statement.Request{ID: "1", Verb: statement.Close, Name: "s1"}, testConfig())
+	if step := a.Handle(statement.Request{ID: "1", Verb: statement.Execute, Name: "s1"}, testConfig()); step.Answer == nil || step.Answer.Code != statement.UnknownStatement {
+		t.Errorf("a closed prepared statement runs: %+v", step)
 	}
 }
 
-// Guards against a reading transaction of a latest route on a replica, and
-// against reads without a floor anywhere but on a proven primary.
+// Guards against running a read-only transaction of a route with consistency latest
+// on a replica, and against running a read without a known minimum position
+// anywhere but on a server that proves to be the primary.
 func TestChoose(t *testing.T) {
-	c := config()
+	c := testConfig()
 	d := &catalog.Deployment{Config: c, Servers: map[string]*catalog.Server{
 		"p": {ID: "p", Group: "g", DataCentre: "x", Primary: true}, "r": {ID: "r", Group: "g", DataCentre: "y"},
 	}}
@@ -172,40 +174,41 @@
 		}
 		return target
 	}
-	own := open(t, "own")
-	if got := choose(own.Handle(request(statement.Read, "x"), c).Run); got.Server != "p" || !got.Work.Proof {
-		t.Errorf("a read without a floor runs on %s, proof %v", got.Server, got.Work.Proof)
+	own := openSession(t, "own")
+	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || !got.Work.Proof {
+		t.Errorf("a read without a known minimum position runs on %s, proof %v", got.Server, got.Work.Proof)
 	}
 	leads.With("g", func(g *leadership.Group) { g.Prove("p", state.Point{Term: 1, Position: 8}, time.Minute-time.Second/2) })
-	got := choose(own.Handle(request(statement.Read, "x"), c).Run)
+	got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run)
 	if got.Server != "r" || got.Work.Proof || got.Work.Command.After != (state.Point{Term: 1, Position: 8}) {
-		t.Errorf("a read with a floor runs on %s as %+v", got.Server, got.Work)
+		t.Errorf("a read with a known minimum position runs on %s as %+v", got.Server, got.Work)
 	}
-	latest := open(t, "latest")
-	latest.Handle(request(statement.BeginReadOnly, ""), c)
-	if got := choose(latest.Handle(request(statement.Read, "x"), c).Run); got.Server != "p" || got.Work.ReadOnlyTx || !got.Work.Proves() {
-		t.Errorf("a reading transaction on a latest route runs on %s as %+v", got.Server, got.Work)
+	latest := openSession(t, "latest")
+	latest.Handle(newRequest(statement.BeginReadOnly, ""), c)
+	if got := choose(latest.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || got.Work.ReadOnlyTx || !got.Work.Proves() {
+		t.Errorf("a read-only transaction on a route with consistency latest runs on %s as %+v", got.Server, got.Work)
 	}
-	own.Handle(request(statement.BeginReadOnly, ""), c)
-	if got := choose(own.Handle(request(statement.Read, "x"), c).Run); got.Server != "r" || !got.Work.ReadOnlyTx || !got.Work.Opens {
-		t.Errorf("a reading transaction runs on %s as %+v", got.Server, got.Work)
+	own.Handle(newRequest(statement.BeginReadOnly, ""), c)
+	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "r" || !got.Work.ReadOnlyTx || !got.Work.Opens {
+		t.Errorf("a read-only transaction runs on %s as %+v", got.Server, got.Work)
 	}
 }
 
-// Guards against a second run of what must run once, or on one server only.
+// Guards against hedging an operation that must run only once or on one server
+// only.
 func TestHedgeAfter(t *testing.T) {
 	route := &catalog.Route{TargetLatency: 600 * time.Millisecond}
-	read := Operation{Request: request(statement.Read, ""), Route: route}
+	read := Operation{Request: newRequest(statement.Read, ""), Route: route}
 	if delay, may := read.HedgeAfter(); !may || delay != 200*time.Millisecond {
 		t.Errorf("a read: %v %v", delay, may)
 	}
 	for name, change := range map[string]func(*Operation){
-		"a write":                      func(o *Operation) { o.Request.Verb = statement.Write },
-		"a prepared write":             func(o *Operation) { o.Prepared = &statement.Prepared{Writes: true} },
-		"a read of the primary":        func(o *Operation) { o.NeedsLead = true },
-		"a read in a transaction":      func(o *Operation) { o.Tx.ID = 1 },
-		"a read that begins one":       func(o *Operation) { o.Opens = true },
-		"a read without time to hedge": func(o *Operation) { o.Route = &catalog.Route{} },
+		"a write":                          func(o *Operation) { o.Request.Verb = statement.Write },
+		"a prepared write":                 func(o *Operation) { o.Prepared = &statement.Prepared{Writes: true} },
+		"a read on the primary":            func(o *Operation) { o.NeedsLead = true },
+		"a read in a transaction":          func(o *Operation) { o.Tx.ID = 1 },
+		"a read that begins a transaction": func(o *Operation) { o.Opens = true },
+		"a read without time to hedge":     func(o *Operation) { o.Route = &catalog.Route{} },
 	} {
 		o := read
 		change(&o)
