--- a/transport/sqlback/conn.go
+++ b/transport/sqlback/conn.go
@@ -15,68 +15,70 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/outbox"
 )
 
-// connState is the state of a connection.
+// connState is the lifecycle state of a connection.
 type connState uint8
 
 const (
 	connStarting connState = iota
-	connIdle               // takes a job
-	connBusy               // runs a job
-	connResting            // its transaction is open and no statement runs
+	connIdle               // ready for a job
+	connBusy               // runs a job or an internal command
+	connIdleInTx           // a transaction is open and no statement runs
 	connClosed
 )
 
-// conn is a connection to a backend server for one customer. Its fields are
-// guarded by Executor.mu, but for those that are set once.
+// conn is a connection to a backend server for one customer. Executor.mu guards
+// its fields, except those that are set only once.
 type conn struct {
 	pool  *serverPool
 	state connState
 	out   *outbox.Outbox // nil until connected
 
-	values    []statement.Value
-	prepared  map[string]bool
+	values    []statement.Value // session variables set on the server
+	prepared  map[string]bool   // names of prepared statements on the server
 	idleSince time.Time
 
-	// The transaction that is open, if state is connResting, or is being opened
-	// or used by the job.
-	tx   uint64
-	from string // VM for which the transaction was opened
+	// The transaction that is open (state connIdleInTx), or that the job opens or
+	// uses. Both fields are zero without a transaction.
+	tx     uint64
+	origin string // link over which the transaction was opened
 
-	job      *job
-	expects  []step    // answers to come, oldest first
-	ownSince time.Time // since when commands are under way without a job
+	job           *job
+	unanswered    []commandKind // commands sent without an answer yet, oldest first
+	internalSince time.Time     // when commands without a job were sent
 }
 
-// step is a command whose answer has not come.
-type step uint8
+// commandKind says why a command was sent, and so how its answer is handled.
+type commandKind uint8
 
 const (
-	stepSetup    step = iota // values and prepared names
-	stepBegin                // begins the job's transaction
-	stepMain                 // the job's statement
-	stepRollback             // ends the proof of lead, or a failed transaction
+	commandSetup     commandKind = iota // sets session variables or prepares a statement
+	commandBegin                        // begins the job's transaction
+	commandStatement                    // the job's statement
+	commandRollback                     // ends a proof that the server is the primary, or a failed transaction
 )
 
-// outboxHigh is not reached: a connection has one statement under way.
-const outboxHigh = 2 << 20
+// outboxLimit, in bytes, is never reached: a connection runs one statement at a
+// time.
+const outboxLimit = 2 << 20
 
-// keepAlive finds connections that went silent without a reset while they rest,
-// within about the time after which servers drop such ones themselves (3 s). They
-// stay in the data centre, so that the probes cost little.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
+// keepAliveConfig detects idle connections that failed without a reset, within
+// about the time (3 s) after which servers drop them too. The probes stay inside
+// the data centre, so they cost little.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// watchSilence makes the operating system probe the connection, if it can.
-func watchSilence(nc net.Conn) error {
+// enableKeepAlive turns on TCP keep-alive if the connection supports it.
+func enableKeepAlive(nc net.Conn) error {
 	if c, ok := nc.(interface {
 		SetKeepAliveConfig(net.KeepAliveConfig) error
 	}); ok {
-		return eris.Wrap(c.SetKeepAliveConfig(keepAlive), "keep-alive of a new connection")
+		return eris.Wrap(c.SetKeepAliveConfig(keepAliveConfig), "keep-alive of a new connection")
 	}
 	return nil
 }
 
-// connect opens the connection and reads its answers until it closes. It runs
-// on a goroutine of its own, which only frames messages.
+// connect opens the connection and reads answers until it closes. It runs on a
+// goroutine of its own, which only splits the stream into messages; pool workers
+// handle them.
 func (e *Executor) connect(c *conn, address, group string) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -86,38 +88,40 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			code = statement.Down
 		}
-		e.post(func() { e.startFailed(c, statement.Refusal(code, err.Error())) })
+		e.post(func() { e.connectFailed(c, statement.Refusal(code, err.Error())) })
 		return
 	}
-	if err := watchSilence(nc); err != nil {
-		e.logger.WithError(err).WithField("server", c.pool.key.server).Warn("backend: a silent connection will be noticed late.")
+	if err := enableKeepAlive(nc); err != nil {
+		e.logger.WithError(err).WithField("server", c.pool.key.server).Warn("backend: keep-alive not enabled, a dead idle connection will be detected late.")
 	}
 	r := bufio.NewReader(nc)
-	answer, err := e.start(c, nc, r, group)
+	answer, err := e.handshake(c, nc, r, group)
 	if err == nil && answer.Code != statement.OK {
 		nc.Close()
-		e.post(func() { e.startFailed(c, answer) })
+		e.post(func() { e.connectFailed(c, answer) })
 		return
 	}
 	if err != nil {
 		nc.Close()
-		e.post(func() { e.startFailed(c, statement.Answer{Code: statement.Unreachable, Text: err.Error()}) })
+		e.post(func() { e.connectFailed(c, statement.Answer{Code: statement.Unreachable, Text: err.Error()}) })
 		return
 	}
-	out := outbox.New(nc, outboxHigh)
-	e.post(func() { e.started(c, out) })
+	out := outbox.New(nc, outboxLimit)
+	e.post(func() { e.connected(c, out) })
 	for {
 		answer, err := e.dialect.ReadAnswer(r)
 		if err != nil {
 			out.Abort()
-			e.post(func() { e.broken(c, err) })
+			e.post(func() { e.connectionBroken(c, err) })
 			return
 		}
-		e.post(func() { e.answered(c, answer) })
+		e.post(func() { e.handleAnswer(c, answer) })
 	}
 }
 
-func (e *Executor) start(c *conn, nc net.Conn, r *bufio.Reader, group string) (statement.Answer, error) {
+// handshake starts the session on a new connection. The answer may be a refusal.
+// Errors reach clients as the text of an answer.
+func (e *Executor) handshake(c *conn, nc net.Conn, r *bufio.Reader, group string) (statement.Answer, error) {
 	if err := nc.SetDeadline(time.Now().Add(startTimeout)); err != nil {
 		return statement.Answer{}, eris.Wrap(err, "deadline of a new connection")
 	}
@@ -131,9 +135,9 @@
 	return answer, eris.Wrap(nc.SetDeadline(time.Time{}), "deadline of a new connection")
 }
 
-// prepare returns the commands that bring the connection's values and prepared
-// names in line with the job, and records them as done.
-func (c *conn) prepare(j *job) []statement.Command {
+// setupCommands returns the commands that give the connection the session
+// variables and the prepared statement of the job, and records them as applied.
+func (c *conn) setupCommands(j *job) []statement.Command {
 	var commands []statement.Command
 	w := j.work
 	if !slices.Equal(c.values, w.Values) {
--- a/transport/sqlback/dialect.go
+++ b/transport/sqlback/dialect.go
@@ -9,22 +9,23 @@
 
 // Dialect is the wire protocol of the backend servers.
 type Dialect interface {
-	// AppendStart appends the opening of a connection for a customer.
+	// AppendStart appends the first message on a new connection for a customer.
 	AppendStart(dst []byte, group, customer, server string) []byte
-	// ReadStarted reads the answer to the opening.
+	// ReadStarted reads the answer to the message of AppendStart, which may be a
+	// refusal.
 	ReadStarted(r *bufio.Reader) (statement.Answer, error)
-	// AppendCommand appends a command.
+	// AppendCommand appends an encoded command.
 	AppendCommand(dst []byte, c *statement.Command) []byte
-	// ReadAnswer reads the complete answer to a command. It fails if the
-	// connection ends or the bytes are not an answer.
+	// ReadAnswer reads the complete answer to a command. It returns an
+	// error if the connection ends or the bytes are not a valid answer.
 	ReadAnswer(r *bufio.Reader) (statement.Answer, error)
-	// DecodeReport decodes the row that answers Status and StepDown.
+	// DecodeReport decodes the row that answers the Status and StepDown commands.
 	DecodeReport(row string) (Report, error)
 }
 
-// Report is what a backend server says of itself.
+// Report is the status that a backend server reports.
 type Report struct {
 	Primary     bool
-	Received    state.Point // end of the log that it has received
-	Connections int
+	Received    state.Point // end of the received replication log
+	Connections int         // open client connections
 }
--- a/transport/sqlback/executor.go
+++ b/transport/sqlback/executor.go
@@ -1,9 +1,9 @@
 // Package sqlback runs statements on backend servers.
 //
-// An Executor holds the connections of the customers for which its VM was
-// chosen, and runs the statements that VMs pass on to it. A connection serves
-// one customer only, and brings session values and prepared names in line
-// before each statement.
+// An Executor pools connections for the customers assigned to its VM and runs the
+// statements that other VMs forward to it. A connection serves one customer only.
+// Before each statement it is given the session variables and the prepared
+// statement that the statement needs.
 package sqlback
 
 import (
@@ -25,96 +25,100 @@
 )
 
 const (
-	// startTimeout bounds dialling a server and its answer to the opening, which
-	// waits for a slot.
+	// startTimeout bounds dialling a server, and the handshake, which waits for a
+	// slot on the server.
 	startTimeout = 700 * time.Millisecond
-	// ownTimeout bounds the answer to a command of the VM's own that no statement
-	// waits for, such as the end of a transaction, which takes no slot.
-	ownTimeout = 700 * time.Millisecond
-	// jobsPerOpening is how many jobs wait for each opening that is under way. An
-	// opening takes a slot for about as long as a statement, so more at once delay
-	// the statements, and take the places of other customers after a restart.
-	jobsPerOpening = 4
-	// redialDelay is the least time between a failed opening and the next one.
+	// internalTimeout bounds the answer to a command that no job waits for, such as
+	// a rollback. Such commands take no slot on the server.
+	internalTimeout = 700 * time.Millisecond
+	// jobsPerDial is the number of waiting jobs for each further connection that is
+	// opened at the same time. A handshake takes a slot on the server for about as
+	// long as a statement, so more at once delay statements, and after a restart
+	// take the connections of other customers.
+	jobsPerDial = 4
+	// redialDelay is the minimum time between a failed connection attempt and the
+	// next one.
 	redialDelay = 200 * time.Millisecond
-	// sweepInterval is how often idle connections are looked over.
+	// sweepInterval is how often connections are checked for removal.
 	sweepInterval = 200 * time.Millisecond
-	// movedIdle is how long a connection is kept when another VM was chosen.
-	movedIdle = time.Second
-	// spareIdle is how long a connection is kept that was not needed.
-	spareIdle = 20 * time.Second
-	// maxWaiting bounds the statements that wait for connections of one
-	// customer to one server.
-	maxWaiting = 64
-	queueLimit = 1 << 14
-	// abandonedSlack is added to the time for which clients may rest inside a
-	// transaction.
-	abandonedSlack = time.Second
-	// transientIdle is how long customers without a connection of their own keep
-	// one, see placement.PlanConnections.
-	transientIdle = 150 * time.Millisecond
-	// unreachableAfter is how long openings fail before the other VMs are told.
+	// reassignedIdleTimeout closes idle connections of customers that were assigned
+	// to another VM.
+	reassignedIdleTimeout = time.Second
+	// idleTimeout closes idle connections.
+	idleTimeout = 20 * time.Second
+	// maxWaitingJobs bounds the statements of one customer that wait for a
+	// connection to one server.
+	maxWaitingJobs = 64
+	queueLimit     = 1 << 14 // events
+	// abandonedTxMargin is added to the configured idle time of transactions, so
+	// that the VM of the client ends them first.
+	abandonedTxMargin = time.Second
+	// transientIdleTimeout closes idle connections of customers that have no
+	// permanent connection, see placement.PlanConnections.
+	transientIdleTimeout = 150 * time.Millisecond
+	// unreachableAfter is how long connection attempts must fail before the server
+	// is reported as unreachable to the other VMs.
 	unreachableAfter = 250 * time.Millisecond
-	probeInterval    = 500 * time.Millisecond
+	probeInterval    = 500 * time.Millisecond // between probes of unreachable servers
 )
 
-// waitBuckets reach from a connection that is free to the longest wait for one.
-var waitBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 11)
+// connectionWaitBuckets range from an idle connection to the longest wait for one.
+var connectionWaitBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 11)
 
 type poolKey struct{ customer, server string }
 
-// serverPool is a customer's connections to one server.
+// serverPool holds one customer's connections to one server.
 type serverPool struct {
 	key      poolKey
 	conns    []*conn
 	waiting  []*job
-	failedAt time.Time // latest failed opening; zero after a good one
+	failedAt time.Time // latest failed connection attempt; zero after a success
 }
 
-// job is a statement that this VM runs.
+// job is a statement that this VM runs on a backend server.
 type job struct {
-	work     *statement.Work
-	from     string
-	done     func(statement.Result)
-	span     trace.Span
-	begin    time.Time
-	timer    *time.Timer
-	conn     *conn
-	begun    state.Point // position at the beginning of its transaction
-	offered  bool        // some bytes of the statement were sent
-	finished bool
-	aborted  bool // its client is gone: end the transaction
+	work        *statement.Work
+	origin      string
+	done        func(statement.Result)
+	span        trace.Span
+	submittedAt time.Time
+	timer       *time.Timer
+	conn        *conn
+	beginPoint  state.Point // log position that BEGIN returned
+	sent        bool        // the statement was sent, at least in part, and may have run
+	finished    bool
+	aborted     bool // the client has disconnected: end the transaction
 }
 
-// Executor runs statements. Create it with New.
+// Executor runs statements on backend servers. Create it with New.
 type Executor struct {
-	net     network.Network
-	dialect Dialect
-	queue   *pool.Queue
-	table   *catalog.Table
-	logger  log.Interface
-	opened  tally.Counter
-	waited  tally.Histogram
-	tracer  trace.Tracer
-	// chosen reports whether this VM holds the customer's connections to the
-	// server.
-	chosen func(customer string, s *catalog.Server) bool
-	// reached tells the other VMs which servers this VM cannot reach.
-	reached func(unreachable []string)
+	net               network.Network
+	dialect           Dialect
+	queue             *pool.Queue
+	table             *catalog.Table
+	logger            log.Interface
+	connectionsOpened tally.Counter
+	connectionWait    tally.Histogram
+	tracer            trace.Tracer
+	// holdsConnections reports whether this VM is assigned the customer's
+	// connections to the server.
+	holdsConnections func(customer string, s *catalog.Server) bool
+	// reportUnreachable tells the other VMs which servers this VM cannot reach.
+	reportUnreachable func(unreachable []string)
 
-	probedAt time.Time // used by Run only
+	lastProbe time.Time // used by Run only
 
-	mu          lockrank.Mutex // guards the fields below
-	pools       map[poolKey]*serverPool
-	txs         map[uint64]*conn
-	running     int // jobs without a result
-	effects     []func()
-	lastTx      uint64
-	failing     map[string]time.Time // server to its first failed opening since a good one
-	unreachable map[string]bool
+	mu           lockrank.Mutex // guards the fields below
+	pools        map[poolKey]*serverPool
+	txs          map[uint64]*conn
+	runningJobs  int      // jobs without a result
+	callbacks    []func() // run after the current event, without mu
+	lastTx       uint64
+	failingSince map[string]time.Time // server to its first failed connection attempt since a success
+	unreachable  map[string]bool
 }
 
-// Options are the parts that an Executor uses.
+// Options are the dependencies of an Executor.
 type Options struct {
 	Network network.Network
 	Dialect Dialect
@@ -123,61 +127,64 @@
 	Logger  log.Interface
 	Scope   tally.Scope
 	Tracer  trace.Tracer
-	Chosen  func(customer string, s *catalog.Server) bool
-	Reached func(unreachable []string)
+	Chosen  func(customer string, s *catalog.Server) bool // this VM holds the customer's connections to the server
+	Reached func(unreachable []string)                    // called after each change, with all unreachable servers in order
 }
 
-// New returns an executor. Run looks after its connections.
+// New returns an executor. Run must be called to maintain its connections.
 func New(o Options) *Executor {
 	return &Executor{
 		net: o.Network, dialect: o.Dialect, queue: o.Pool.NewQueue(queueLimit), table: o.Table, logger: o.Logger,
-		opened: o.Scope.Counter("server_connections_opened"), waited: o.Scope.Histogram("connection_wait", waitBuckets),
-		tracer: o.Tracer, chosen: o.Chosen, reached: o.Reached,
+		connectionsOpened: o.Scope.Counter("server_connections_opened"), connectionWait: o.Scope.Histogram("connection_wait", connectionWaitBuckets),
+		tracer: o.Tracer, holdsConnections: o.Chosen, reportUnreachable: o.Reached,
 		mu: lockrank.New(lockrank.Backends), pools: make(map[poolKey]*serverPool), txs: make(map[uint64]*conn),
-		failing: make(map[string]time.Time), unreachable: make(map[string]bool),
+		failingSince: make(map[string]time.Time), unreachable: make(map[string]bool),
 	}
 }
 
 // post runs an event in order with the executor's other events, and then the
-// effects that it left, without the lock.
+// callbacks that the event queued, without holding mu.
 func (e *Executor) post(event func()) {
 	e.queue.PostAlways(func() {
 		event()
 		e.mu.Lock()
-		effects := e.effects
-		e.effects = nil
+		callbacks := e.callbacks
+		e.callbacks = nil
 		e.mu.Unlock()
-		for _, effect := range effects {
-			effect()
+		for _, callback := range callbacks {
+			callback()
 		}
 	})
 }
 
-// Execute runs a statement for a VM and calls done once.
-func (e *Executor) Execute(from string, w *statement.Work, done func(statement.Result)) {
-	j := &job{work: w, from: from, done: done, begin: time.Now(), span: e.startSpan(w)}
+// Execute runs a statement that came over the link named origin and calls done
+// once, on a pool worker.
+func (e *Executor) Execute(origin string, w *statement.Work, done func(statement.Result)) {
+	j := &job{work: w, origin: origin, done: done, submittedAt: time.Now(), span: e.startSpan(w)}
 	e.post(func() { e.submit(j) })
 }
 
-// Abort ends a transaction whose client is gone.
-func (e *Executor) Abort(from string, tx uint64) {
+// Abort rolls back a transaction of origin whose client has disconnected. It
+// does nothing if the transaction has ended.
+func (e *Executor) Abort(origin string, tx uint64) {
 	e.post(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if c := e.txs[tx]; c != nil && c.from == from {
-			e.abandon(c)
+		if c := e.txs[tx]; c != nil && c.origin == origin {
+			e.abortTx(c)
 		}
 	})
 }
 
-// AbortAll ends the transactions of a VM whose link broke.
-func (e *Executor) AbortAll(from string) {
+// AbortAll rolls back all transactions that were opened over a link that has
+// closed.
+func (e *Executor) AbortAll(origin string) {
 	e.post(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		for _, c := range e.txs {
-			if c.from == from {
-				e.abandon(c)
+			if c.origin == origin {
+				e.abortTx(c)
 			}
 		}
 	})
@@ -192,8 +199,9 @@
 	return p
 }
 
-// idle returns an idle connection, one with the same values if there is one.
-func (p *serverPool) idle(values []statement.Value) *conn {
+// findIdle returns an idle connection or nil. It prefers one with the same session
+// variables, then one without any.
+func (p *serverPool) findIdle(values []statement.Value) *conn {
 	var best *conn
 	for _, c := range p.conns {
 		if c.state != connIdle {
@@ -209,8 +217,9 @@
 	return best
 }
 
-// grow opens a connection if more are allowed and needed. It reports false if
-// none may be opened now.
+// grow opens a connection if waiting jobs need one and the limit allows it. It
+// reports whether the pool has a connection to wait for; after a failed attempt it
+// reports false until redialDelay has passed. The caller holds mu.
 func (e *Executor) grow(p *serverPool, server *catalog.Server) bool {
 	if time.Since(p.failedAt) < redialDelay {
 		return false
@@ -221,18 +230,18 @@
 			starting++
 		}
 	}
-	if starting > len(p.waiting)/jobsPerOpening || len(p.conns) >= e.plan(p.key.customer, server).Limit {
+	if starting > len(p.waiting)/jobsPerDial || len(p.conns) >= e.connectionPlan(p.key.customer, server).Limit {
 		return len(p.conns) > 0
 	}
 	c := &conn{pool: p, prepared: make(map[string]bool)}
 	p.conns = append(p.conns, c)
-	e.opened.Inc(1)
+	e.connectionsOpened.Inc(1)
 	go e.connect(c, server.Address, server.Group)
 	return true
 }
 
-// plan returns what connections the customer may have to the server.
-func (e *Executor) plan(customer string, server *catalog.Server) placement.Connections {
+// connectionPlan returns the connections that the customer may have to the server.
+func (e *Executor) connectionPlan(customer string, server *catalog.Server) placement.Connections {
 	config := e.table.Current().Config
 	if config == nil {
 		return placement.Connections{Limit: 1}
@@ -240,8 +249,8 @@
 	return placement.PlanConnections(config, customer, server.Group)
 }
 
-// started takes a new connection into use.
-func (e *Executor) started(c *conn, out *outbox.Outbox) {
+// connected makes a newly opened connection available to jobs.
+func (e *Executor) connected(c *conn, out *outbox.Outbox) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.state == connClosed {
@@ -250,27 +259,27 @@
 	}
 	c.out = out
 	c.pool.failedAt = time.Time{}
-	delete(e.failing, c.pool.key.server)
+	delete(e.failingSince, c.pool.key.server)
 	e.setReachable(c.pool.key.server, true)
-	e.free(c)
+	e.release(c)
 }
 
-// startFailed drops a connection that could not be opened and refuses the jobs
-// that nothing else can run.
-func (e *Executor) startFailed(c *conn, answer statement.Answer) {
+// connectFailed removes a connection that could not be opened, and refuses the
+// waiting jobs if the pool has no other connection.
+func (e *Executor) connectFailed(c *conn, answer statement.Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := c.pool
 	server := p.key.server
-	e.drop(c)
+	e.removeConn(c)
 	p.failedAt = time.Now()
 	e.logger.WithFields(log.Fields{"server": server, "customer": p.key.customer, "code": answer.Code.String(), "why": answer.Text}).
 		Warn("backend: connection not opened.")
 	if answer.Code == statement.Unreachable || answer.Code == statement.Down {
-		if e.failing[server].IsZero() {
-			e.failing[server] = time.Now()
+		if e.failingSince[server].IsZero() {
+			e.failingSince[server] = time.Now()
 		}
-		if time.Since(e.failing[server]) >= unreachableAfter {
+		if time.Since(e.failingSince[server]) >= unreachableAfter {
 			e.setReachable(server, false)
 		}
 	}
@@ -283,8 +292,9 @@
 	p.waiting = nil
 }
 
-// free gives an idle connection the oldest waiting job.
-func (e *Executor) free(c *conn) {
+// release assigns the oldest waiting job to the connection or marks it idle. The
+// caller holds mu.
+func (e *Executor) release(c *conn) {
 	c.state, c.idleSince = connIdle, time.Now()
 	p := c.pool
 	for len(p.waiting) > 0 {
@@ -297,8 +307,9 @@
 	}
 }
 
-// broken ends a connection that failed.
-func (e *Executor) broken(c *conn, err error) {
+// connectionBroken handles a read error. A job whose statement was sent ends with
+// Lost, because the statement may have run.
+func (e *Executor) connectionBroken(c *conn, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.state == connClosed {
@@ -308,27 +319,29 @@
 		e.logger.WithError(err).WithField("server", c.pool.key.server).Warn("backend: connection broke.")
 	}
 	code := statement.Unreachable
-	if c.job != nil && c.job.offered {
+	if c.job != nil && c.job.sent {
 		code = statement.Lost
 	}
-	e.close(c, code, "the connection broke")
+	e.closeConn(c, code, "the connection broke")
 }
 
-// close closes the connection and ends its job with the code.
-func (e *Executor) close(c *conn, code statement.Code, why string) {
+// closeConn closes the connection and ends its job with the code. The caller
+// holds mu.
+func (e *Executor) closeConn(c *conn, code statement.Code, reason string) {
 	j := c.job
 	c.job = nil
 	if c.tx != 0 {
-		e.forgetTx(c)
+		e.clearTx(c)
 	}
-	e.drop(c)
+	e.removeConn(c)
 	if j != nil {
-		e.finish(j, statement.Refusal(code, why))
+		e.finish(j, statement.Refusal(code, reason))
 	}
 }
 
-// drop removes the connection from its pool and lets a waiting job open another.
-func (e *Executor) drop(c *conn) {
+// removeConn closes the connection and removes it from its pool. If it had been
+// connected and jobs wait, it opens another one. The caller holds mu.
+func (e *Executor) removeConn(c *conn) {
 	c.state = connClosed
 	if c.out != nil {
 		c.out.Abort()
--- a/transport/sqlback/executor_test.go
+++ b/transport/sqlback/executor_test.go
@@ -32,44 +32,44 @@
 	txIdle   = 200 * time.Millisecond
 )
 
-// scripted is a backend server that answers commands as the test says. It is
-// also the network that leads to it.
-type scripted struct {
-	answer  func(statement.Command) statement.Answer
-	down    atomic.Bool    // connections are not accepted
-	reached func([]string) // told which servers cannot be reached
-	probes  atomic.Pointer[net.KeepAliveConfig]
+// scriptedServer is a backend server whose answers the test provides. It is also
+// the network through which it is dialled.
+type scriptedServer struct {
+	answer    func(statement.Command) statement.Answer
+	down      atomic.Bool    // connections are not accepted
+	reached   func([]string) // receives the unreachable servers
+	keepAlive atomic.Pointer[net.KeepAliveConfig]
 
 	mu       sync.Mutex // guards commands
 	commands []statement.Verb
 }
 
 // Listen implements network.Network.
-func (s *scripted) Listen(string) (net.Listener, error) { panic("nobody listens in this test") }
+func (s *scriptedServer) Listen(string) (net.Listener, error) { panic("Listen is not used") }
 
 // Dial implements network.Network.
-func (s *scripted) Dial(context.Context, string) (net.Conn, error) {
+func (s *scriptedServer) Dial(context.Context, string) (net.Conn, error) {
 	if s.down.Load() {
 		return nil, errors.New("no route")
 	}
 	near, far := net.Pipe()
 	go s.serve(far)
-	return &probed{Conn: near, probes: &s.probes}, nil
+	return &keepAliveConn{Conn: near, keepAlive: &s.keepAlive}, nil
 }
 
-// probed is a connection that the operating system can probe.
-type probed struct {
+// keepAliveConn records the keep-alive settings of a connection.
+type keepAliveConn struct {
 	net.Conn
-	probes *atomic.Pointer[net.KeepAliveConfig]
+	keepAlive *atomic.Pointer[net.KeepAliveConfig]
 }
 
-// SetKeepAliveConfig records the probes that are asked for.
-func (p *probed) SetKeepAliveConfig(c net.KeepAliveConfig) error {
-	p.probes.Store(&c)
+// SetKeepAliveConfig stores the settings for the test.
+func (p *keepAliveConn) SetKeepAliveConfig(c net.KeepAliveConfig) error {
+	p.keepAlive.Store(&c)
 	return nil
 }
 
-func (s *scripted) serve(c net.Conn) {
+func (s *scriptedServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	var wire managed.Backend
@@ -97,23 +97,24 @@
 	}
 }
 
-// sent returns the commands that the server got.
-func (s *scripted) sent() []statement.Verb {
+// received returns the verbs of the commands that the server has received.
+func (s *scriptedServer) received() []statement.Verb {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.commands)
 }
 
-// open answers every command as a server does in an open transaction.
-func open(c statement.Command) statement.Answer {
+// answerInTx answers commands like a server whose transaction is open until COMMIT
+// or ROLLBACK.
+func answerInTx(c statement.Command) statement.Answer {
 	if c.Verb == statement.Rollback || c.Verb == statement.Commit {
 		return statement.Answer{State: statement.Idle}
 	}
 	return statement.Answer{State: statement.InTx}
 }
 
-// inExecutor runs a test on an executor for the server in virtual time.
-func inExecutor(t *testing.T, s *scripted, test func(run func(statement.Work) statement.Result)) {
+// withExecutor runs a test in virtual time with an executor for the server.
+func withExecutor(t *testing.T, s *scriptedServer, test func(run func(statement.Work) statement.Result)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -154,125 +155,125 @@
 	})
 }
 
-// Guards against a transaction that rests for ever on a connection because the
-// VM that opened it has gone.
-func TestAbandonedTransactionEnds(t *testing.T) {
-	s := &scripted{answer: open}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+// Guards against transactions that stay open for ever because the VM that opened
+// them has stopped.
+func TestAbandonedTransactionIsRolledBack(t *testing.T) {
+	s := &scriptedServer{answer: answerInTx}
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		r := run(statement.Work{Opens: true, Command: statement.Command{Verb: statement.Write}})
 		if r.Tx == 0 {
 			t.Fatalf("no transaction is open: %+v", r)
 		}
 		time.Sleep(txIdle)
-		if sent := s.sent(); slices.Contains(sent, statement.Rollback) {
-			t.Errorf("ended within the time in which its client may rest: %v", sent)
+		if verbs := s.received(); slices.Contains(verbs, statement.Rollback) {
+			t.Errorf("rolled back within the idle time that the client is allowed: %v", verbs)
 		}
 		time.Sleep(2 * time.Second)
-		if sent := s.sent(); !slices.Contains(sent, statement.Rollback) {
-			t.Errorf("the transaction is still open: %v", sent)
+		if verbs := s.received(); !slices.Contains(verbs, statement.Rollback) {
+			t.Errorf("the abandoned transaction is still open: %v", verbs)
 		}
 		if r := run(statement.Work{Tx: r.Tx, Command: statement.Command{Verb: statement.Commit}}); r.Answer.Code != statement.Aborted {
-			t.Errorf("a commit of the ended transaction is answered with %s", r.Answer.Code)
+			t.Errorf("COMMIT of the rolled back transaction: code %s, want aborted", r.Answer.Code)
 		}
 	})
 }
 
-// Guards against a position that is taken for the primary's although the server
-// told it after it may have lost the lead: BEGIN proves the lead, ROLLBACK does
-// not.
-func TestProbeReportsPositionAtBegin(t *testing.T) {
+// Guards against a proof that carries the log position of ROLLBACK. Only BEGIN
+// proves that the server is the primary; it may have lost that role before
+// ROLLBACK, and then reports the position of another primary's log.
+func TestProofCarriesPositionAtBegin(t *testing.T) {
 	proven := state.Point{Term: 2, Position: 7}
-	s := &scripted{answer: func(c statement.Command) statement.Answer {
-		a := open(c)
-		a.At = state.Point{Term: 2, Position: 5} // of the log that it follows after the loss of the lead
+	s := &scriptedServer{answer: func(c statement.Command) statement.Answer {
+		a := answerInTx(c)
+		a.At = state.Point{Term: 2, Position: 5} // of the log that it replicates after losing the primary role
 		if c.Verb == statement.Begin {
 			a.At = proven
 		}
 		return a
 	}}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		r := run(statement.Work{Opens: true, Command: statement.Command{Verb: statement.Rollback}})
 		if !r.Proven || r.Answer.At != proven {
-			t.Errorf("proven %v at %+v, want the position of BEGIN", r.Proven, r.Answer.At)
+			t.Errorf("proven %v at %+v, want true and the position at BEGIN", r.Proven, r.Answer.At)
 		}
 	})
 }
 
-// Guards against a statement that runs outside of its transaction after the
-// server refused BEGIN.
+// Guards against a statement that runs outside a transaction because the server
+// refused BEGIN.
 func TestNothingFollowsRefusedBegin(t *testing.T) {
-	s := &scripted{answer: func(c statement.Command) statement.Answer { return statement.Refusal(statement.ReadOnly, "") }}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	s := &scriptedServer{answer: func(c statement.Command) statement.Answer { return statement.Refusal(statement.ReadOnly, "") }}
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		r := run(statement.Work{Proof: true, Command: statement.Command{Verb: statement.Read}})
 		if r.Answer.Code != statement.ReadOnly || r.Proven {
-			t.Errorf("answered with %s, proven %v", r.Answer.Code, r.Proven)
+			t.Errorf("code %s, proven %v, want read_only and false", r.Answer.Code, r.Proven)
 		}
-		if sent := s.sent(); !slices.Equal(sent, []statement.Verb{statement.Begin}) {
-			t.Errorf("sent %v", sent)
+		if verbs := s.received(); !slices.Equal(verbs, []statement.Verb{statement.Begin}) {
+			t.Errorf("the server received %v, want BEGIN only", verbs)
 		}
 	})
 }
 
-// Guards against "not run" for a write that was sent and whose connection
-// broke, and against a broken connection that is used again.
+// Guards against a write that is reported as not run although it was sent before
+// its connection broke, and against reuse of the broken connection.
 func TestLostAnswer(t *testing.T) {
 	lose := true
-	s := &scripted{answer: func(c statement.Command) statement.Answer {
+	s := &scriptedServer{answer: func(c statement.Command) statement.Answer {
 		if lose {
 			lose = false
 			return statement.Refusal(statement.Lost, "")
 		}
 		return statement.Answer{State: statement.Idle}
 	}}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		write := statement.Work{Command: statement.Command{Verb: statement.Write}}
 		if r := run(write); r.Answer.Code != statement.Lost {
-			t.Errorf("a write without an answer is told as %s", r.Answer.Code)
+			t.Errorf("a write whose answer was lost: code %s, want lost", r.Answer.Code)
 		}
 		if r := run(write); r.Answer.Code != statement.OK {
-			t.Errorf("the next write is told as %s", r.Answer.Code)
+			t.Errorf("the next write: code %s, want ok", r.Answer.Code)
 		}
 	})
 }
 
-// Guards against a connection that is lost for good because the server never
-// answers the end of a transaction, which no statement waits for.
+// Guards against a connection that stays busy for ever because the server does not
+// answer a ROLLBACK that no statement waits for.
 func TestUnansweredRollback(t *testing.T) {
-	var silent chan struct{} // made where time is virtual
-	s := &scripted{answer: func(c statement.Command) statement.Answer {
+	var silent chan struct{} // created inside withExecutor, where time is virtual
+	s := &scriptedServer{answer: func(c statement.Command) statement.Answer {
 		if c.Verb == statement.Rollback {
 			<-silent
 		}
-		return open(c)
+		return answerInTx(c)
 	}}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		silent = make(chan struct{})
 		defer close(silent)
 		read := statement.Work{Proof: true, Command: statement.Command{Verb: statement.Read}}
 		if r := run(read); r.Answer.Code != statement.OK {
-			t.Fatalf("the first read is told as %s", r.Answer.Code)
+			t.Fatalf("the first read: code %s, want ok", r.Answer.Code)
 		}
 		time.Sleep(time.Second)
 		if r := run(read); r.Answer.Code != statement.OK {
-			t.Errorf("a read after an unanswered rollback is told as %s %s", r.Answer.Code, r.Answer.Text)
+			t.Errorf("a read after an unanswered ROLLBACK: %s %s, want ok", r.Answer.Code, r.Answer.Text)
 		}
 	})
 }
 
-// Guards against other VMs that are told in the wrong order which servers this
-// one reaches, and keep away from one that it reaches.
-func TestReachabilityIsToldInOrder(t *testing.T) {
+// Guards against reachability reports that overtake each other: other VMs would go
+// on avoiding a server that is reachable again.
+func TestReachabilityIsReportedInOrder(t *testing.T) {
 	var mu sync.Mutex
-	var told []int // numbers of unreachable servers
-	s := &scripted{answer: open, reached: func(unreachable []string) {
+	var reports []int // number of unreachable servers in each report
+	s := &scriptedServer{answer: answerInTx, reached: func(unreachable []string) {
 		if len(unreachable) > 0 {
 			time.Sleep(2 * time.Second)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, len(unreachable))
+		reports = append(reports, len(unreachable))
 	}}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		read := statement.Work{Command: statement.Command{Verb: statement.Read}}
 		s.down.Store(true)
 		run(read)
@@ -282,22 +283,22 @@
 		time.Sleep(5 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		if !slices.Equal(told, []int{1, 0}) {
-			t.Errorf("told of %v unreachable servers, want one and then none", told)
+		if !slices.Equal(reports, []int{1, 0}) {
+			t.Errorf("reports of %v unreachable servers, want 1 and then 0", reports)
 		}
 	})
 }
 
-// Guards against connections that rest, go silent without a reset, and cost the
-// next statement its time-out.
-func TestRestingConnectionsAreProbed(t *testing.T) {
-	const dropped = 3 * time.Second // servers drop a connection whose far end is dark
-	s := &scripted{answer: open}
-	inExecutor(t, s, func(run func(statement.Work) statement.Result) {
+// Guards against idle connections that fail without a reset and make the next
+// statement run into its time-out.
+func TestIdleConnectionsUseKeepAlive(t *testing.T) {
+	const dropAfter = 3 * time.Second // servers drop connections whose client is silent for this long
+	s := &scriptedServer{answer: answerInTx}
+	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		run(statement.Work{Command: statement.Command{Verb: statement.Read}})
-		p := s.probes.Load()
-		if p == nil || !p.Enable || p.Idle+time.Duration(p.Count)*p.Interval > dropped {
-			t.Errorf("probes %+v", p)
+		k := s.keepAlive.Load()
+		if k == nil || !k.Enable || k.Idle+time.Duration(k.Count)*k.Interval > dropAfter {
+			t.Errorf("keep-alive settings %+v detect a failure too late", k)
 		}
 	})
 }
--- a/transport/sqlback/job.go
+++ b/transport/sqlback/job.go
@@ -13,9 +13,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// abandon ends the connection's transaction now, or when its statement ends.
-// The caller holds mu.
-func (e *Executor) abandon(c *conn) {
+// abortTx rolls back the connection's transaction now, or when its statement
+// ends. The caller holds mu.
+func (e *Executor) abortTx(c *conn) {
 	if c.job != nil {
 		c.job.aborted = true
 		return
@@ -23,20 +23,21 @@
 	e.rollback(c)
 }
 
-// rollback ends the transaction of a connection without a job.
+// rollback rolls back the transaction of a connection without a job. The caller
+// holds mu.
 func (e *Executor) rollback(c *conn) {
-	e.forgetTx(c)
-	c.state, c.ownSince = connBusy, time.Now()
-	e.send(c, stepRollback, statement.Command{Verb: statement.Rollback})
+	e.clearTx(c)
+	c.state, c.internalSince = connBusy, time.Now()
+	e.send(c, commandRollback, statement.Command{Verb: statement.Rollback})
 }
 
-func (e *Executor) forgetTx(c *conn) {
+func (e *Executor) clearTx(c *conn) {
 	delete(e.txs, c.tx)
-	c.tx, c.from = 0, ""
+	c.tx, c.origin = 0, ""
 }
 
-// startSpan begins the span of a statement on this VM, as a part of the hop on
-// which it came.
+// startSpan starts the span of a statement on this VM as a child of the hop that
+// forwarded it.
 func (e *Executor) startSpan(w *statement.Work) trace.Span {
 	if w.Trace == (statement.Trace{}) {
 		return noop.Span{}
@@ -49,16 +50,16 @@
 	return span
 }
 
-// submit gives the job a connection or lets it wait for one.
+// submit assigns the job to a connection or queues it until one is idle.
 func (e *Executor) submit(j *job) {
 	server := e.table.Current().Servers[j.work.Server]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.running++
-	j.timer = time.AfterFunc(j.work.Timeout, func() { e.post(func() { e.expired(j) }) })
+	e.runningJobs++
+	j.timer = time.AfterFunc(j.work.Timeout, func() { e.post(func() { e.handleTimeout(j) }) })
 	if j.work.Tx != 0 {
 		c := e.txs[j.work.Tx]
-		if c == nil || c.from != j.from || c.job != nil {
+		if c == nil || c.origin != j.origin || c.job != nil {
 			e.finish(j, statement.Refusal(statement.Aborted, "the transaction was ended"))
 			return
 		}
@@ -70,7 +71,7 @@
 		return
 	}
 	p := e.pool(poolKey{j.work.Customer, j.work.Server})
-	if c := p.idle(j.work.Values); c != nil {
+	if c := p.findIdle(j.work.Values); c != nil {
 		e.assign(c, j)
 		return
 	}
@@ -78,201 +79,206 @@
 		e.finish(j, statement.Refusal(statement.Unreachable, "the last opening of a connection failed"))
 		return
 	}
-	if len(p.waiting) >= maxWaiting {
+	if len(p.waiting) >= maxWaitingJobs {
 		e.finish(j, statement.Refusal(statement.Busy, "too many statements wait for a connection"))
 		return
 	}
 	p.waiting = append(p.waiting, j)
 	if j.work.Wait > 0 && j.work.Wait < j.work.Timeout {
-		time.AfterFunc(j.work.Wait, func() { e.post(func() { e.waitedOut(j) }) })
+		time.AfterFunc(j.work.Wait, func() { e.post(func() { e.handleWaitTimeout(j) }) })
 	}
 }
 
-// assign starts the job on the connection.
+// assign runs the job on the connection. The caller holds mu.
 func (e *Executor) assign(c *conn, j *job) {
 	c.job, j.conn = j, c
-	e.waited.RecordDuration(time.Since(j.begin))
+	e.connectionWait.RecordDuration(time.Since(j.submittedAt))
 	c.state = connBusy
-	for _, command := range c.prepare(j) {
-		e.send(c, stepSetup, command)
+	for _, command := range c.setupCommands(j) {
+		e.send(c, commandSetup, command)
 	}
 	w := j.work
 	switch {
 	case w.Opens && w.ReadOnlyTx:
-		e.send(c, stepBegin, statement.Command{Verb: statement.BeginReadOnly, After: w.Command.After})
+		e.send(c, commandBegin, statement.Command{Verb: statement.BeginReadOnly, After: w.Command.After})
 	case w.Opens || w.Wrapped():
-		e.send(c, stepBegin, statement.Command{Verb: statement.Begin})
+		e.send(c, commandBegin, statement.Command{Verb: statement.Begin})
 	}
-	if len(c.expects) == 0 {
-		e.sendMain(c)
+	if len(c.unanswered) == 0 {
+		e.sendStatement(c)
 	}
 }
 
-// sendMain sends the job's statement, after its setup succeeded. A BEGIN that a
-// server refused must not be followed by its statement: it would run outside of
-// the transaction.
-func (e *Executor) sendMain(c *conn) {
+// sendStatement sends the job's statement after its setup and BEGIN succeeded. It
+// must not be sent with BEGIN: if the server refused BEGIN, the statement would
+// run outside a transaction.
+func (e *Executor) sendStatement(c *conn) {
 	j := c.job
-	j.offered = true
+	j.sent = true
 	command := j.work.Command
 	if j.work.Opens {
 		command.After.Term, command.After.Position = 0, 0
 	}
-	e.send(c, stepMain, command)
+	e.send(c, commandStatement, command)
 	if j.work.Wrapped() {
-		e.send(c, stepRollback, statement.Command{Verb: statement.Rollback})
+		e.send(c, commandRollback, statement.Command{Verb: statement.Rollback})
 	}
 }
 
-func (e *Executor) send(c *conn, s step, command statement.Command) {
-	c.expects = append(c.expects, s)
+func (e *Executor) send(c *conn, kind commandKind, command statement.Command) {
+	c.unanswered = append(c.unanswered, kind)
 	c.out.Write(e.dialect.AppendCommand(nil, &command))
 }
 
-// answered takes the answer to the oldest command under way.
-func (e *Executor) answered(c *conn, a statement.Answer) {
+// handleAnswer handles the answer to the oldest unanswered command.
+func (e *Executor) handleAnswer(c *conn, a statement.Answer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.state == connClosed {
 		return
 	}
-	if len(c.expects) == 0 {
-		e.logger.WithField("server", c.pool.key.server).Error("backend: answer to no command.")
-		e.close(c, statement.Lost, "the server answered without being asked")
+	if len(c.unanswered) == 0 {
+		e.logger.WithField("server", c.pool.key.server).Error("backend: answer received without a command.")
+		e.closeConn(c, statement.Lost, "the server answered without being asked")
 		return
 	}
-	s := c.expects[0]
-	c.expects = c.expects[1:]
-	switch s {
-	case stepSetup:
+	kind := c.unanswered[0]
+	c.unanswered = c.unanswered[1:]
+	switch kind {
+	case commandSetup:
 		if a.Code != statement.OK {
-			e.close(c, statement.Unreachable, "session values were refused: "+a.Text)
+			e.closeConn(c, statement.Unreachable, "session values were refused: "+a.Text)
 			return
 		}
-	case stepBegin:
+	case commandBegin:
 		if a.Code != statement.OK {
-			e.finishAnswer(c, a)
+			e.beginRefused(c, a)
 			return
 		}
-		c.job.begun = a.At
-	case stepMain:
-		e.mainAnswered(c, a)
+		c.job.beginPoint = a.At
+	case commandStatement:
+		e.handleStatementAnswer(c, a)
 		return
-	case stepRollback:
+	case commandRollback:
 		if a.Code != statement.OK || a.State != statement.Idle {
-			e.close(c, statement.Lost, "a rollback failed")
+			e.closeConn(c, statement.Lost, "a rollback failed")
 			return
 		}
 	}
-	if len(c.expects) > 0 {
+	if len(c.unanswered) > 0 {
 		return
 	}
-	if c.job != nil && !c.job.offered {
-		e.sendMain(c)
+	if c.job != nil && !c.job.sent {
+		e.sendStatement(c)
 		return
 	}
 	if c.job == nil {
-		e.free(c)
+		e.release(c)
 	}
 }
 
-// finishAnswer ends the job with an answer that came before its statement was
+// beginRefused ends the job with the refusal of its BEGIN. Its statement was not
 // sent.
-func (e *Executor) finishAnswer(c *conn, a statement.Answer) {
+func (e *Executor) beginRefused(c *conn, a statement.Answer) {
 	j := c.job
 	c.job = nil
 	e.finish(j, a)
-	e.settle(c, a.State)
+	e.releaseOrRollback(c, a.State)
 }
 
-// settle frees a connection without a job, and ends what is left of a
-// transaction first.
-func (e *Executor) settle(c *conn, s statement.TxState) {
-	c.ownSince = time.Now()
+// releaseOrRollback releases a connection without a job, after a rollback if a
+// transaction is still open. The caller holds mu.
+func (e *Executor) releaseOrRollback(c *conn, s statement.TxState) {
+	c.internalSince = time.Now()
 	switch {
-	case s != statement.Idle && !slices.Contains(c.expects, stepRollback):
+	case s != statement.Idle && !slices.Contains(c.unanswered, commandRollback):
 		e.rollback(c)
-	case len(c.expects) == 0:
-		e.free(c)
+	case len(c.unanswered) == 0:
+		e.release(c)
 	}
 }
 
-func (e *Executor) mainAnswered(c *conn, a statement.Answer) {
+// handleStatementAnswer ends the job, and keeps the connection for its
+// transaction if that stays open. The caller holds mu.
+func (e *Executor) handleStatementAnswer(c *conn, a statement.Answer) {
 	j := c.job
 	c.job = nil
 	w := j.work
 	ok := a.Code == statement.OK
 	if w.Command.Verb == statement.Rollback {
-		// The server may have lost the lead since BEGIN; only its position at
-		// BEGIN goes with the proof.
-		a.At = j.begun
+		// BEGIN proved that the server was the primary. It may have lost that role
+		// since, so the proof holds for the log position at BEGIN only.
+		a.At = j.beginPoint
 	}
 	r := statement.Result{Answer: a}
 	r.Proven = ok && w.Proves()
 	keep := ok && a.State == statement.InTx && (w.Opens || w.Tx != 0) && !j.aborted
 	if !keep {
 		if c.tx != 0 {
-			e.forgetTx(c)
+			e.clearTx(c)
 		}
 		e.finishResult(j, r)
-		e.settle(c, a.State)
+		e.releaseOrRollback(c, a.State)
 		return
 	}
 	if c.tx == 0 {
 		e.lastTx++
-		c.tx, c.from = e.lastTx, j.from
+		c.tx, c.origin = e.lastTx, j.origin
 		e.txs[c.tx] = c
 	}
-	c.state, c.idleSince = connResting, time.Now()
+	c.state, c.idleSince = connIdleInTx, time.Now()
 	r.Tx = c.tx
 	e.finishResult(j, r)
 }
 
-// expired ends a job that is over its time. A statement that runs is broken off
-// with its connection, whose answer could no longer be told from another's.
-func (e *Executor) expired(j *job) {
+// handleTimeout ends a job whose time has run out. If it has a connection, that is
+// closed too: a late answer could be taken for the answer to the next command.
+func (e *Executor) handleTimeout(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case j.finished:
 	case j.conn == nil:
-		e.unqueue(j, "no connection in time")
+		e.refuseWaiting(j, "no connection in time")
 	default:
 		code := statement.Busy
-		if j.offered {
+		if j.sent {
 			code = statement.Timeout
 		}
-		e.close(j.conn, code, "no answer in time")
+		e.closeConn(j.conn, code, "no answer in time")
 	}
 }
 
-// waitedOut refuses a job that waited for a connection for as long as it may.
-func (e *Executor) waitedOut(j *job) {
+// handleWaitTimeout refuses a job that got no connection within Work.Wait.
+func (e *Executor) handleWaitTimeout(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !j.finished && j.conn == nil {
-		e.unqueue(j, "all connections are in use")
+		e.refuseWaiting(j, "all connections are in use")
 	}
 }
 
-func (e *Executor) unqueue(j *job, why string) {
+// refuseWaiting removes a job from the queue for connections and refuses it. The
+// caller holds mu.
+func (e *Executor) refuseWaiting(j *job, reason string) {
 	p := e.pool(poolKey{j.work.Customer, j.work.Server})
 	p.waiting = slices.DeleteFunc(p.waiting, func(other *job) bool { return other == j })
-	e.finish(j, statement.Refusal(statement.Busy, why))
+	e.finish(j, statement.Refusal(statement.Busy, reason))
 }
 
 func (e *Executor) finish(j *job, a statement.Answer) { e.finishResult(j, statement.Result{Answer: a}) }
 
+// finishResult ends the job unless it has ended. The caller holds mu.
 func (e *Executor) finishResult(j *job, r statement.Result) {
 	if j.finished {
 		return
 	}
 	j.finished = true
-	e.running--
+	e.runningJobs--
 	j.timer.Stop()
 	if r.Answer.Code != statement.OK {
 		j.span.SetStatus(codes.Error, r.Answer.Code.String())
 	}
 	j.span.End()
-	e.effects = append(e.effects, func() { j.done(r) })
+	e.callbacks = append(e.callbacks, func() { j.done(r) })
 }
