--- a/transport/sqlfront/attempt.go
+++ b/transport/sqlfront/attempt.go
@@ -14,137 +14,141 @@
 )
 
 const (
-	// retryDelay is the pause after every server that fits has refused. A
-	// failover takes a second or more.
+	// retryDelay is the pause after all suitable servers have failed. A failover
+	// takes a second or more.
 	retryDelay = 30 * time.Millisecond
-	// busyRetryAfter is what clients are told to wait when capacity is missing.
+	// busyRetryAfter is the pause before a retry that clients are advised when no
+	// server could run their statement.
 	busyRetryAfter = 200 * time.Millisecond
 )
 
-// attempt runs the operation on the server that fits best now.
-func (c *session) attempt(u *run) {
-	if c.current != u {
+// startAttempt runs the operation on the server that is currently the best choice.
+func (c *session) startAttempt(ex *execution) {
+	if c.current != ex {
 		return
 	}
 	now := clock.Now()
-	target, ok := c.choose(u, now)
+	target, ok := c.chooseTarget(ex, now)
 	if !ok {
-		c.later(u, now)
+		c.retryOrRefuse(ex, now)
 		return
 	}
-	c.send(u, target, now)
-	if delay, may := u.op.HedgeAfter(); may {
-		c.server.Leads.With(u.op.Route.Group, func(g *leadership.Group) { g.CountRead() })
-		u.hedge = time.AfterFunc(delay, func() { c.queue.PostAlways(func() { c.runHedge(u) }) })
+	c.send(ex, target, now)
+	if delay, may := ex.op.HedgeAfter(); may {
+		c.server.Leads.With(ex.op.Route.Group, func(g *leadership.Group) { g.CountRead() })
+		ex.hedgeTimer = time.AfterFunc(delay, func() { c.queue.PostAlways(func() { c.runHedge(ex) }) })
 	}
 }
 
-func (c *session) choose(u *run, now time.Duration) (sqlsession.Target, bool) {
+func (c *session) chooseTarget(ex *execution, now time.Duration) (sqlsession.Target, bool) {
 	s := c.server
-	return sqlsession.Choose(u.op, sqlsession.Env{
-		Deployment: s.Table.Current(), Leads: s.Leads, View: s.View(), DataCentre: s.DataCentre, Now: now, Tried: u.tried,
+	return sqlsession.Choose(ex.op, sqlsession.Env{
+		Deployment: s.Table.Current(), Leads: s.Leads, View: s.View(), DataCentre: s.DataCentre, Now: now, Tried: ex.tried,
 	})
 }
 
 // runHedge runs a read on a second server if the first has not answered yet. The
-// first success counts.
-func (c *session) runHedge(u *run) {
-	if c.current != u || len(u.running) != 1 {
+// client gets the first success.
+func (c *session) runHedge(ex *execution) {
+	if c.current != ex || len(ex.runningOn) != 1 {
 		return
 	}
-	u.tried[u.running[0]] = true
+	ex.tried[ex.runningOn[0]] = true
 	now := clock.Now()
-	target, ok := c.choose(u, now)
+	target, ok := c.chooseTarget(ex, now)
 	if !ok {
 		return
 	}
 	allowed := false
-	c.server.Leads.With(u.op.Route.Group, func(g *leadership.Group) { allowed = g.Hedge() })
+	c.server.Leads.With(ex.op.Route.Group, func(g *leadership.Group) { allowed = g.Hedge() })
 	if allowed {
-		c.server.hedged.Inc(1)
-		c.send(u, target, now)
+		c.server.readsHedged.Inc(1)
+		c.send(ex, target, now)
 	}
 }
 
-// send runs the operation at the target.
-func (c *session) send(u *run, target sqlsession.Target, now time.Duration) {
+// send runs the operation on the target.
+func (c *session) send(ex *execution, target sqlsession.Target, now time.Duration) {
 	s := c.server
 	w := target.Work
-	w.Timeout = u.deadline - now
-	w.Wait = max(u.hold-now, time.Millisecond)
-	u.attempts++
-	u.running = append(u.running, w.Server)
+	w.Timeout = ex.deadline - now
+	w.Wait = max(ex.waitUntil-now, time.Millisecond)
+	ex.attempts++
+	ex.runningOn = append(ex.runningOn, w.Server)
 	s.Leads.With(w.Group, func(g *leadership.Group) { g.Sent(w.Server) })
-	hop := s.startHop(u, s.View(), target.VM, &w)
+	hop := s.startHop(ex, s.View(), target.VM, &w)
 	s.Runner.Run(target.VM, &w, func(r statement.Result) {
 		hop.end(&r)
 		c.observe(&w, &r, now)
-		posted := c.queue.PostAlways(func() { c.result(u, target.VM, &w, r) })
+		posted := c.queue.PostAlways(func() { c.handleResult(ex, target.VM, &w, r) })
 		if !posted && r.Tx != 0 {
 			s.Runner.Abort(target.VM, r.Tx)
 		}
 	})
 }
 
-// result takes the result of an attempt.
-func (c *session) result(u *run, vm string, w *statement.Work, r statement.Result) {
-	if c.current != u {
+// handleResult handles the result of an attempt. A transaction that a late result
+// leaves open is ended.
+func (c *session) handleResult(ex *execution, vm string, w *statement.Work, r statement.Result) {
+	if c.current != ex {
 		if r.Tx != 0 {
 			c.server.Runner.Abort(vm, r.Tx)
 		}
 		return
 	}
-	u.stopHedge()
-	u.running = slices.DeleteFunc(u.running, func(server string) bool { return server == w.Server })
+	ex.stopHedge()
+	ex.runningOn = slices.DeleteFunc(ex.runningOn, func(server string) bool { return server == w.Server })
 	failed := r.Answer.Code != statement.OK
-	verdict := u.op.Judge(&r)
+	verdict := ex.op.Judge(&r)
 	if failed && verdict == sqlsession.Retry {
-		// Repetitions of the same failure are counted by the attempts only.
-		if f := (failure{w.Server, r.Answer.Code}); f != u.failed {
-			u.failed = f
-			c.server.logAttempt(u, vm, w, &r)
+		// A failure that repeats is logged once; the number of attempts shows the
+		// repetitions.
+		if f := (failure{w.Server, r.Answer.Code}); f != ex.lastFailure {
+			ex.lastFailure = f
+			c.server.logAttempt(ex, vm, w, &r)
 		}
-		u.tried[w.Server] = true
+		ex.tried[w.Server] = true
 	}
 	switch {
-	case failed && len(u.running) > 0:
+	case failed && len(ex.runningOn) > 0:
 		// The other attempt may still succeed.
 	case verdict == sqlsession.Tell:
-		c.conclude(u, r, vm, w.Server)
-	case clock.Now() < u.deadline:
-		c.attempt(u)
+		c.finishExecution(ex, r, vm, w.Server)
+	case clock.Now() < ex.deadline:
+		c.startAttempt(ex)
 	default:
-		c.later(u, u.deadline)
+		c.retryOrRefuse(ex, ex.deadline)
 	}
 }
 
-func (u *run) stopHedge() {
-	if u.hedge != nil {
-		u.hedge.Stop()
-		u.hedge = nil
+func (ex *execution) stopHedge() {
+	if ex.hedgeTimer != nil {
+		ex.hedgeTimer.Stop()
+		ex.hedgeTimer = nil
 	}
 }
 
-// logAttempt logs a failed attempt with what decided it: the configuration in
-// force and the age of the latest proof of the group's lead.
-func (s *Server) logAttempt(u *run, vm string, w *statement.Work, r *statement.Result) {
+// logAttempt logs a failed attempt with the state that the choice of the server
+// depended on: the configuration in force, and the age of the latest proof of which
+// server is the group's primary.
+func (s *Server) logAttempt(ex *execution, vm string, w *statement.Work, r *statement.Result) {
 	var proofAge time.Duration
 	s.Leads.With(w.Group, func(g *leadership.Group) { proofAge = clock.Now() - g.ProvenAt() })
 	s.Logger.WithFields(log.Fields{
-		"id": u.op.Request.ID, "customer": w.Customer, "group": w.Group, "server": w.Server, "vm": vm, "attempt": u.attempts,
+		"id": ex.op.Request.ID, "customer": w.Customer, "group": w.Group, "server": w.Server, "vm": vm, "attempt": ex.attempts,
 		"code": r.Answer.Code.String(), "why": r.Answer.Text,
 		"config": s.Table.Current().Config.Version, "proof_age_ms": proofAge.Milliseconds(),
 	}).Info("session: attempt failed.")
 }
 
-// later tries again after a pause, or refuses an operation that has waited for
-// as long as it may.
-func (c *session) later(u *run, now time.Duration) {
-	if now >= u.hold {
+// retryOrRefuse starts another attempt after retryDelay, or refuses the operation
+// if it may not wait any longer.
+func (c *session) retryOrRefuse(ex *execution, now time.Duration) {
+	if now >= ex.waitUntil {
 		text := "no server could run it; retry after " + strconv.FormatInt(busyRetryAfter.Milliseconds(), 10) + " ms"
-		c.conclude(u, statement.Result{Answer: statement.Refusal(statement.Busy, text)}, "", "")
+		c.finishExecution(ex, statement.Result{Answer: statement.Refusal(statement.Busy, text)}, "", "")
 		return
 	}
-	clear(u.tried)
-	time.AfterFunc(retryDelay, func() { c.queue.PostAlways(func() { c.attempt(u) }) })
+	clear(ex.tried)
+	time.AfterFunc(retryDelay, func() { c.queue.PostAlways(func() { c.startAttempt(ex) }) })
 }
--- a/transport/sqlfront/dialect.go
+++ b/transport/sqlfront/dialect.go
@@ -6,25 +6,25 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// Start is the opening of a client's session.
+// Start is the first message of a client's session.
 type Start struct {
 	Database string
-	Key      string
+	Key      string // identifies the customer
 }
 
 // Dialect is the wire protocol of the clients.
 type Dialect interface {
-	// ReadStart reads the opening of a session.
+	// ReadStart reads the first message of a session.
 	ReadStart(r *bufio.Reader) (Start, error)
 	// ReadRequest reads the next request. Its verb is statement.Unknown if the
-	// text is none that the protocol defines. It returns false at the end of
-	// the session.
+	// protocol does not define the text. It returns false when the client ends the
+	// session.
 	ReadRequest(r *bufio.Reader) (statement.Request, bool, error)
-	// AppendReady appends the answer to an opening.
+	// AppendReady appends the message that accepts a session.
 	AppendReady(dst []byte) []byte
-	// AppendRefusal appends the refusal of an opening, after which the
-	// connection is closed.
+	// AppendRefusal appends the message that refuses a session. The connection is
+	// closed after it.
 	AppendRefusal(dst []byte, a *statement.Answer) []byte
-	// AppendAnswer appends the complete answer to a request.
+	// AppendAnswer appends the complete answer to a request, including its rows.
 	AppendAnswer(dst []byte, a *statement.Answer) []byte
 }
--- a/transport/sqlfront/hop.go
+++ b/transport/sqlfront/hop.go
@@ -15,63 +15,64 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// latencyBuckets reach from a read on a server in the data centre to the
+// latencyBuckets range from a read on a server in the same data centre to the
 // longest time-out of a route.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 14)
 
-// hopKind says where a statement was sent.
+// hopKind tells where the VM is that a statement was sent to.
 type hopKind uint8
 
 const (
-	hopOwn  hopKind = iota // this VM's connection
-	hopNear                // a VM of the data centre
-	hopFar                 // a VM of another data centre
-	hopKinds
+	hopOwn  hopKind = iota // this VM
+	hopNear                // a VM in the same data centre
+	hopFar                 // a VM in another data centre
+	numHopKinds
 )
 
-var hopNames = [hopKinds]string{"own", "near", "far"}
+var hopNames = [numHopKinds]string{"own", "near", "far"}
 
-// consistencyNames are the routes' kinds in metrics.
+// consistencyNames are the values of the metric label "route".
 var consistencyNames = map[catalog.Consistency]string{
 	catalog.Latest: "latest", catalog.BoundedStale: "bounded", catalog.ReadYourWrites: "read_your_writes",
 }
 
+// metrics holds the metrics of client sessions.
 type metrics struct {
-	outcomes  [256]tally.Counter // by code
-	latency   map[catalog.Consistency]tally.Histogram
-	admission tally.Histogram // from the question whether an operation is inside the limit to the answer
-	hops      [hopKinds]tally.Histogram
-	hedged    tally.Counter // reads that were run on a second server
+	outcomes         [256]tally.Counter // by code
+	statementLatency map[catalog.Consistency]tally.Histogram
+	admissionLatency tally.Histogram // time to check an operation against the customer's limit
+	hopLatency       [numHopKinds]tally.Histogram
+	readsHedged      tally.Counter // reads sent to a second server
 }
 
 func newMetrics(scope tally.Scope) metrics {
-	m := metrics{latency: make(map[catalog.Consistency]tally.Histogram)}
+	m := metrics{statementLatency: make(map[catalog.Consistency]tally.Histogram)}
 	for c := statement.OK; c <= statement.Down; c++ {
 		m.outcomes[c] = scope.Tagged(map[string]string{"code": c.String()}).Counter("statements")
 	}
 	for kind, name := range consistencyNames {
-		m.latency[kind] = scope.Tagged(map[string]string{"route": name}).Histogram("statement_latency", latencyBuckets)
+		m.statementLatency[kind] = scope.Tagged(map[string]string{"route": name}).Histogram("statement_latency", latencyBuckets)
 	}
-	m.hedged = scope.Counter("reads_hedged")
-	m.admission = scope.Histogram("admission_latency", latencyBuckets)
+	m.readsHedged = scope.Counter("reads_hedged")
+	m.admissionLatency = scope.Histogram("admission_latency", latencyBuckets)
 	for kind, name := range hopNames {
-		m.hops[kind] = scope.Tagged(map[string]string{"hop": name}).Histogram("hop_latency", latencyBuckets)
+		m.hopLatency[kind] = scope.Tagged(map[string]string{"hop": name}).Histogram("hop_latency", latencyBuckets)
 	}
 	return m
 }
 
-// hop is an attempt of a statement on its way to the VM that runs it.
+// hop measures one attempt, from sending the statement to a VM until its result.
 type hop struct {
-	begin   time.Duration
-	latency tally.Histogram
-	span    trace.Span
+	startedAt time.Duration
+	latency   tally.Histogram
+	span      trace.Span
 }
 
-// startHop begins the span of an attempt and puts it into the work, so that the
-// VM that runs it can add its own.
-func (s *Server) startHop(u *run, view *placement.View, vm string, w *statement.Work) hop {
-	_, span := s.Tracer.Start(u.ctx, "hop", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
-		attribute.String("vm", vm), attribute.String("server", w.Server), attribute.Int("attempt", u.attempts),
+// startHop starts the span of an attempt and adds its IDs to the work, so that the
+// VM that runs the statement can attach its own span.
+func (s *Server) startHop(ex *execution, view *placement.View, vm string, w *statement.Work) hop {
+	_, span := s.Tracer.Start(ex.ctx, "hop", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
+		attribute.String("vm", vm), attribute.String("server", w.Server), attribute.Int("attempt", ex.attempts),
 	))
 	if sc := span.SpanContext(); sc.IsSampled() {
 		w.Trace = statement.Trace{TraceID: sc.TraceID(), SpanID: sc.SpanID()}
@@ -83,25 +84,26 @@
 	case view.Near(vm):
 		kind = hopNear
 	}
-	return hop{begin: clock.Now(), latency: s.hops[kind], span: span}
+	return hop{startedAt: clock.Now(), latency: s.hopLatency[kind], span: span}
 }
 
-// end ends the attempt with its result.
+// end records the latency and ends the span.
 func (h hop) end(r *statement.Result) {
-	h.latency.RecordDuration(clock.Now() - h.begin)
+	h.latency.RecordDuration(clock.Now() - h.startedAt)
 	if r.Answer.Code != statement.OK {
 		h.span.SetStatus(codes.Error, r.Answer.Code.String())
 	}
 	h.span.End()
 }
 
-// observe records what the result says of the server.
+// observe updates the state of the group's servers with the result: latency,
+// health, log position, and whether the server is the primary.
 func (c *session) observe(w *statement.Work, r *statement.Result, sentAt time.Duration) {
 	now := clock.Now()
 	s := c.server
 	server := s.Table.Current().Servers[w.Server]
 	s.Leads.With(w.Group, func(g *leadership.Group) {
-		g.Done(w.Server, outcome(r.Answer.Code), now-sentAt, r.Answer.At, now)
+		g.Done(w.Server, healthOutcome(r.Answer.Code), now-sentAt, r.Answer.At, now)
 		switch r.Answer.Code {
 		case statement.OK:
 			if r.Proven {
@@ -119,8 +121,8 @@
 	})
 }
 
-// outcome returns what a code says of the server's health.
-func outcome(c statement.Code) leadership.Outcome {
+// healthOutcome returns what an answer's code says about the health of the server.
+func healthOutcome(c statement.Code) leadership.Outcome {
 	switch c {
 	case statement.OK:
 		return leadership.Answered
--- a/transport/sqlfront/server.go
+++ b/transport/sqlfront/server.go
@@ -1,7 +1,7 @@
 // Package sqlfront serves clients' SQL sessions.
 //
-// A connection's reader only frames requests and queues them; pool workers run
-// the decisions of package sqlsession and carry out their effects.
+// The reader of a connection only splits the stream into requests and queues them.
+// Pool workers apply the decisions of package sqlsession.
 package sqlfront
 
 import (
@@ -28,38 +28,42 @@
 )
 
 const (
-	// configWait bounds how long an opening waits for the first configuration.
-	// Clients give up after 2 s.
-	configWait  = 1500 * time.Millisecond
-	configCheck = 20 * time.Millisecond
-	// readBuffer is small because most sessions rest most of the time.
-	readBuffer = 512
-	queueLimit = 16
-	// maxBacklog bounds the requests that a client sends without waiting.
-	maxBacklog = 64
-	outboxHigh = 1 << 20
+	// configTimeout bounds how long a new session waits for the first
+	// configuration. Clients give up after 2 s.
+	configTimeout = 1500 * time.Millisecond
+	// pollInterval is the time between checks for a configuration, and the pause
+	// after a failed accept.
+	pollInterval = 20 * time.Millisecond
+	// readBufferSize is small because most sessions are idle most of the time.
+	readBufferSize = 512 // bytes
+	queueLimit     = 16  // events
+	// maxBacklog bounds the requests that a client may send before the answer to an
+	// earlier one; the connection of a client that sends more is closed.
+	maxBacklog  = 64
+	outboxLimit = 1 << 20 // bytes; no request is read while more are queued
 )
 
-// Runner runs statements on the fleet's VMs.
+// Runner runs statements on the VMs of the fleet.
 type Runner interface {
 	// Run runs the work on the named VM and calls done once, on a pool worker.
 	Run(vm string, w *statement.Work, done func(statement.Result))
-	// Abort ends a transaction whose client is gone.
+	// Abort rolls back a transaction whose client has disconnected, or that was
+	// idle for too long.
 	Abort(vm string, tx uint64)
 }
 
-// Admitter counts customers' operations.
+// Admitter enforces the rate limits of customers.
 type Admitter interface {
-	// Admit calls done once with whether the operation is inside the customer's
-	// limit, and if not, when a retry can succeed.
+	// Admit calls done once with whether the operation is within the customer's
+	// limit, and if not, after how long a retry can succeed.
 	Admit(customer string, done func(admitted bool, retryAfter time.Duration))
 }
 
-// Options are the parts that a Server uses.
+// Options are the settings and dependencies of a Server.
 type Options struct {
 	Network    network.Network
-	Address    string
-	DataCentre string
+	Address    string // listen address, HOST:PORT
+	DataCentre string // of this VM
 	Dialect    Dialect
 	Pool       *pool.Pool
 	Table      *catalog.Table
@@ -72,49 +76,51 @@
 	Tracer     trace.Tracer
 }
 
-// Server serves clients. Create it with New.
+// Server accepts client connections and serves their sessions. Create it with New.
 type Server struct {
 	Options
 	metrics
 
 	mu       lockrank.Mutex // guards the fields below
 	sessions map[*session]struct{}
-	shedding bool // sessions are closed when they rest
-	draining bool // open transactions are ended
+	shedding bool // new sessions are refused and idle ones closed
+	draining bool // idle transactions are rolled back
 }
 
-// New returns a server. Run serves.
+// New returns a server, which accepts clients once Run is called.
 func New(o Options) *Server {
 	s := &Server{Options: o, mu: lockrank.New(lockrank.Sessions), sessions: make(map[*session]struct{})}
 	s.metrics = newMetrics(o.Scope)
 	return s
 }
 
-// Run accepts clients until ctx is done.
+// Run accepts clients until ctx is done. It returns an error if it cannot listen
+// on Options.Address.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := s.Network.Listen(s.Address)
 	if err != nil {
 		return err
 	}
-	network.Accept(ctx, listener, configCheck, func(conn net.Conn) { s.serve(ctx, conn) }, func(err error) {
+	network.Accept(ctx, listener, pollInterval, func(conn net.Conn) { s.serveConn(ctx, conn) }, func(err error) {
 		s.Logger.WithError(err).Warn("session: a client could not be accepted.")
 	})
 	return nil
 }
 
-// serve frames a client's requests until its connection ends.
-func (s *Server) serve(ctx context.Context, conn net.Conn) {
+// serveConn reads a client's requests and queues them until its connection ends.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	r := bufio.NewReaderSize(conn, readBuffer)
-	out := outbox.New(conn, outboxHigh)
+	r := bufio.NewReaderSize(conn, readBufferSize)
+	out := outbox.New(conn, outboxLimit)
 	defer out.Finish()
 	start, err := s.Dialect.ReadStart(r)
 	if err != nil {
 		return
 	}
 	if s.isShedding() {
-		// It would be closed as soon as it rests, perhaps with a request under way.
+		// A new session would be closed as soon as it is idle, and its first request
+		// might already be on its way.
 		refusal := statement.Refusal(statement.Busy, "this VM takes no sessions, connect to another one")
 		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
 		return
@@ -125,11 +131,11 @@
 		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
-	core, refusal := sqlsession.Open(config, start.Database, keyHash(start.Key))
+	core, refusal := sqlsession.Open(config, start.Database, hashKey(start.Key))
 	if core == nil {
 		s.outcomes[refusal.Code].Inc(1)
 		s.Logger.WithFields(log.Fields{"database": start.Database, "code": refusal.Code.String(), "config": config.Version}).
-			Info("session: refused at its start.")
+			Info("session: start refused.")
 		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
@@ -143,29 +149,30 @@
 		if err != nil || !ok {
 			break
 		}
-		if !c.queue.PostWait(func() { c.request(request) }) {
+		if !c.queue.PostWait(func() { c.receive(request) }) {
 			break
 		}
 	}
-	if c.stopped.Load() {
-		c.queue.PostAlways(c.readerEnded)
+	if c.readStopped.Load() {
+		c.queue.PostAlways(c.readerStopped)
 		out.WaitClosed()
 	}
-	c.queue.PostAlways(c.gone)
+	c.queue.PostAlways(c.disconnected)
 }
 
-func keyHash(key string) state.KeyHash { return sha256.Sum256([]byte(key)) }
+func hashKey(key string) state.KeyHash { return sha256.Sum256([]byte(key)) }
 
-// awaitConfig returns the configuration, or nil if none is known in time.
+// awaitConfig returns the configuration, or nil if none arrives within
+// configTimeout.
 func (s *Server) awaitConfig(ctx context.Context) *catalog.Config {
-	for waited := time.Duration(0); waited < configWait; waited += configCheck {
+	for waited := time.Duration(0); waited < configTimeout; waited += pollInterval {
 		if c := s.Table.Current().Config; c != nil {
 			return c
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(configCheck):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
@@ -183,7 +190,7 @@
 	delete(s.sessions, c)
 }
 
-func (s *Server) all() []*session {
+func (s *Server) allSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*session, 0, len(s.sessions))
@@ -193,8 +200,9 @@
 	return all
 }
 
-// Shed closes sessions whenever they rest between operations, or stops doing
-// so. Their clients connect again, to VMs that take new sessions.
+// Shed turns load shedding on or off. While it is on, new sessions are refused, and
+// open ones are closed when they are idle outside a transaction, so that their
+// clients reconnect to other VMs.
 func (s *Server) Shed(on bool) {
 	s.mu.Lock()
 	changed := s.shedding != on
@@ -203,18 +211,19 @@
 	if !on || !changed {
 		return
 	}
-	for _, c := range s.all() {
-		c.queue.PostAlways(c.rest)
+	for _, c := range s.allSessions() {
+		c.queue.PostAlways(c.becomeIdle)
 	}
 }
 
-// EndTransactions ends the transactions in which no statement runs.
+// EndTransactions rolls back idle transactions, from now on as soon as they become
+// idle.
 func (s *Server) EndTransactions() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	for _, c := range s.all() {
-		c.queue.PostAlways(c.endIdleTx)
+	for _, c := range s.allSessions() {
+		c.queue.PostAlways(c.abortIdleTx)
 	}
 }
 
@@ -224,7 +233,7 @@
 	return s.shedding
 }
 
-// Open returns the number of open sessions.
+// Open returns the number of open sessions. A VM that drains waits until it is zero.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/transport/sqlfront/session.go
+++ b/transport/sqlfront/session.go
@@ -19,58 +19,58 @@
 )
 
 const (
-	// holdPart is the part of a statement's time for which it may wait without
-	// running: for a primary to be found, or for a connection. A failover takes
-	// longer than the statement's time, so a longer wait only keeps the client
-	// from coming back.
-	holdPart = 0.2
-	// minTimeout is used for routes without a time-out.
+	// maxWaitFraction is the fraction of a statement's time-out for which it may
+	// wait before it runs: for a primary or for a connection. A failover takes longer
+	// than the time-out, so a longer wait only delays the client's retry.
+	maxWaitFraction = 0.2
+	// minTimeout is the shortest time-out, also for routes that have none.
 	minTimeout = 50 * time.Millisecond
 )
 
-// session is a client's connection. Its fields are used by the events of its
-// queue only.
+// session is a client's connection. Its mutable fields are used only by events of
+// its queue, except readStopped.
 type session struct {
-	server  *Server
-	core    *sqlsession.Session
-	conn    net.Conn
-	out     *outbox.Outbox
-	queue   *pool.Queue
-	stopped atomic.Bool // no more requests are to be read
+	server      *Server
+	core        *sqlsession.Session
+	conn        net.Conn
+	out         *outbox.Outbox
+	queue       *pool.Queue
+	readStopped atomic.Bool // the reader must not read further requests
 
-	current *run
-	waiting bool // the admission of a transaction is under way
-	backlog []statement.Request
-	closed  bool
-	drained bool // the reader has ended, so no request is lost by closing
-	idleTx  *time.Timer
+	current     *execution          // nil while no statement runs
+	admitting   bool                // a BEGIN waits for its rate limit check
+	backlog     []statement.Request // requests that wait for the current one
+	closed      bool
+	readerDone  bool // the reader has ended, so closing loses no request
+	idleTxTimer *time.Timer
 }
 
-// run is an operation under way.
-type run struct {
-	op       *sqlsession.Operation
-	started  time.Duration
-	deadline time.Duration
-	hold     time.Duration // until when it may wait
-	tried    map[string]bool
-	attempts int
-	running  []string        // servers of the attempts without a result
-	hedge    *time.Timer     // runs the operation on a second server
-	ctx      context.Context // carries span
-	span     trace.Span
-	failed   failure // the latest one that was logged
+// execution is an operation that is running or waiting to run.
+type execution struct {
+	op          *sqlsession.Operation
+	startedAt   time.Duration
+	deadline    time.Duration   // on clock.Now, as startedAt and waitUntil
+	waitUntil   time.Duration   // refuse the operation if no server could run it until then
+	tried       map[string]bool // servers not to choose again
+	attempts    int
+	runningOn   []string        // servers of attempts that have no result yet
+	hedgeTimer  *time.Timer     // starts an attempt on a second server
+	ctx         context.Context // contains span
+	span        trace.Span
+	lastFailure failure // latest failure that was logged
 }
 
-// failure is an attempt that failed.
+// failure identifies a failed attempt for logging.
 type failure struct {
 	server string
 	code   statement.Code
 }
 
-func (c *session) busy() bool { return c.current != nil || c.waiting }
+func (c *session) busy() bool { return c.current != nil || c.admitting }
 
-// request takes a request from the client.
-func (c *session) request(r statement.Request) {
+// receive handles a request from the client, or queues it while another is being
+// processed.
+func (c *session) receive(r statement.Request) {
 	if c.closed {
 		return
 	}
@@ -85,8 +85,9 @@
 	c.handle(r)
 }
 
+// handle carries out what the session's state machine decides for a request.
 func (c *session) handle(r statement.Request) {
-	c.stopIdleTimer()
+	c.stopIdleTxTimer()
 	config := c.server.Table.Current().Config
 	step := c.core.Handle(r, config)
 	if step.End != nil {
@@ -101,117 +102,118 @@
 		if step.Answer.Code != statement.OK {
 			c.logRefusal(r.ID, step.Customer, step.Answer, 0, 0)
 		}
-		c.answer(*step.Answer)
+		c.sendAnswer(*step.Answer)
 		if step.Close {
-			c.finish()
+			c.closeAfterOutput()
 			return
 		}
-		c.next()
+		c.handleNext()
 	}
 }
 
-// admitTx answers BEGIN once the transaction is counted.
+// admitTx answers BEGIN after the transaction was checked against the rate limit.
 func (c *session) admitTx(r statement.Request, step sqlsession.Step) {
-	c.waiting = true
+	c.admitting = true
 	c.server.Admitter.Admit(step.Customer, func(admitted bool, retryAfter time.Duration) {
 		c.queue.PostAlways(func() {
-			c.waiting = false
+			c.admitting = false
 			if c.closed {
 				return
 			}
 			a := *step.Answer
 			if !admitted {
 				c.core.Unbegin()
-				a.Code, a.Text, a.State = statement.Busy, overLimit(retryAfter), c.core.State()
+				a.Code, a.Text, a.State = statement.Busy, rateLimitText(retryAfter), c.core.State()
 				c.logRefusal(r.ID, step.Customer, &a, 0, 0)
 			}
-			c.answer(a)
-			c.next()
+			c.sendAnswer(a)
+			c.handleNext()
 		})
 	})
 }
 
-func overLimit(retryAfter time.Duration) string {
+func rateLimitText(retryAfter time.Duration) string {
 	return "over the customer's limit; retry after " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + " ms"
 }
 
-// start begins an operation.
+// start runs an operation after it was checked against the rate limit, if it is
+// subject to one.
 func (c *session) start(op *sqlsession.Operation) {
 	now := clock.Now()
 	timeout := max(op.Route.Timeout, minTimeout)
 	ctx, span := c.server.Tracer.Start(context.Background(), "statement", trace.WithAttributes(attribute.String("id", op.Request.ID)))
-	u := &run{
-		op: op, started: now, deadline: now + timeout, tried: make(map[string]bool), ctx: ctx, span: span,
-		hold: now + time.Duration(holdPart*float64(timeout)),
+	ex := &execution{
+		op: op, startedAt: now, deadline: now + timeout, tried: make(map[string]bool), ctx: ctx, span: span,
+		waitUntil: now + time.Duration(maxWaitFraction*float64(timeout)),
 	}
-	c.current = u
+	c.current = ex
 	if !op.Charge {
-		c.attempt(u)
+		c.startAttempt(ex)
 		return
 	}
 	c.server.Admitter.Admit(op.Customer, func(admitted bool, retryAfter time.Duration) {
 		c.queue.PostAlways(func() {
-			if c.current != u {
+			if c.current != ex {
 				return
 			}
-			c.server.admission.RecordDuration(clock.Now() - now)
+			c.server.admissionLatency.RecordDuration(clock.Now() - now)
 			if !admitted {
-				c.conclude(u, statement.Result{Answer: statement.Refusal(statement.Busy, overLimit(retryAfter))}, "", "")
+				c.finishExecution(ex, statement.Result{Answer: statement.Refusal(statement.Busy, rateLimitText(retryAfter))}, "", "")
 				return
 			}
-			c.attempt(u)
+			c.startAttempt(ex)
 		})
 	})
 }
 
-// conclude answers the operation.
-func (c *session) conclude(u *run, r statement.Result, vm, server string) {
+// finishExecution sends the answer of the operation and handles the next request.
+func (c *session) finishExecution(ex *execution, r statement.Result, vm, server string) {
 	c.current = nil
-	u.stopHedge()
-	u.span.End()
-	took := clock.Now() - u.started
-	c.server.latency[u.op.Route.Consistency].RecordDuration(took)
+	ex.stopHedge()
+	ex.span.End()
+	elapsed := clock.Now() - ex.startedAt
+	c.server.statementLatency[ex.op.Route.Consistency].RecordDuration(elapsed)
 	c.server.outcomes[r.Answer.Code].Inc(1)
-	a := c.core.Finish(u.op, r, vm, server)
+	a := c.core.Finish(ex.op, r, vm, server)
 	if a.Code != statement.OK {
-		c.logRefusal(u.op.Request.ID, u.op.Customer, &a, took, u.attempts)
+		c.logRefusal(ex.op.Request.ID, ex.op.Customer, &a, elapsed, ex.attempts)
 	}
-	c.answer(a)
-	c.next()
+	c.sendAnswer(a)
+	c.handleNext()
 }
 
-func (c *session) logRefusal(id, customer string, a *statement.Answer, took time.Duration, attempts int) {
+func (c *session) logRefusal(id, customer string, a *statement.Answer, elapsed time.Duration, attempts int) {
 	c.server.Logger.WithFields(log.Fields{
-		"id": id, "customer": customer, "code": a.Code.String(), "why": a.Text, "took_ms": took.Milliseconds(), "attempts": attempts,
+		"id": id, "customer": customer, "code": a.Code.String(), "why": a.Text, "took_ms": elapsed.Milliseconds(), "attempts": attempts,
 	}).Warn("session: request refused.")
 }
 
-func (c *session) answer(a statement.Answer) {
+func (c *session) sendAnswer(a statement.Answer) {
 	if !c.closed {
 		c.out.Write(c.server.Dialect.AppendAnswer(nil, &a))
 	}
 }
 
-// next handles the next request, or rests.
-func (c *session) next() {
+// handleNext handles the next queued request, or makes the session idle.
+func (c *session) handleNext() {
 	if len(c.backlog) > 0 && !c.closed {
 		r := c.backlog[0]
 		c.backlog = c.backlog[1:]
 		c.handle(r)
 		return
 	}
-	c.rest()
+	c.becomeIdle()
 }
 
-// rest is called when no request is under way: an open transaction is ended if
-// it rests for too long, and a session that is shed is closed.
-func (c *session) rest() {
+// becomeIdle is called when no request is being processed. It starts the idle timer
+// of an open transaction, and closes the session if the server sheds load.
+func (c *session) becomeIdle() {
 	if c.closed || c.busy() || len(c.backlog) > 0 {
 		return
 	}
 	if c.core.State() == statement.Idle {
-		if c.drained || c.server.isShedding() {
-			c.leave()
+		if c.readerDone || c.server.isShedding() {
+			c.closeIdle()
 		}
 		return
 	}
@@ -219,64 +221,65 @@
 	draining := c.server.draining
 	c.server.mu.Unlock()
 	if draining {
-		c.endIdleTx()
+		c.abortIdleTx()
 		return
 	}
 	if config := c.server.Table.Current().Config; config.TxIdle > 0 {
-		c.stopIdleTimer()
-		c.idleTx = time.AfterFunc(config.TxIdle, func() { c.queue.PostAlways(c.endIdleTx) })
+		c.stopIdleTxTimer()
+		c.idleTxTimer = time.AfterFunc(config.TxIdle, func() { c.queue.PostAlways(c.abortIdleTx) })
 	}
 }
 
-func (c *session) stopIdleTimer() {
-	if c.idleTx != nil {
-		c.idleTx.Stop()
-		c.idleTx = nil
+func (c *session) stopIdleTxTimer() {
+	if c.idleTxTimer != nil {
+		c.idleTxTimer.Stop()
+		c.idleTxTimer = nil
 	}
 }
 
-// endIdleTx ends a transaction in which no statement runs.
-func (c *session) endIdleTx() {
+// abortIdleTx rolls back a transaction in which no statement runs.
+func (c *session) abortIdleTx() {
 	if c.closed || c.busy() || c.core.State() != statement.InTx {
 		return
 	}
 	if tx := c.core.Abandon(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
-	c.server.Logger.Info("session: a resting transaction was ended.")
+	c.server.Logger.Info("session: idle transaction rolled back.")
 }
 
-// leave closes a session that rests. It stops the reader first: a request that
-// was read must be answered.
-func (c *session) leave() {
-	if c.drained {
-		c.finish()
+// closeIdle closes an idle session. It stops the reader first, because every
+// request that was read must be answered.
+func (c *session) closeIdle() {
+	if c.readerDone {
+		c.closeAfterOutput()
 		return
 	}
-	if c.stopped.CompareAndSwap(false, true) {
+	if c.readStopped.CompareAndSwap(false, true) {
 		if err := c.conn.SetReadDeadline(time.Unix(1, 0)); err != nil {
-			c.finish()
+			c.closeAfterOutput()
 		}
 	}
 }
 
-// readerEnded is the last event of a reader that was stopped.
-func (c *session) readerEnded() {
-	c.drained = true
-	c.rest()
+// readerStopped is the last event of a reader that closeIdle stopped.
+func (c *session) readerStopped() {
+	c.readerDone = true
+	c.becomeIdle()
 }
 
-// finish closes the session after what was answered.
-func (c *session) finish() {
+// closeAfterOutput closes the session once all answers have been sent.
+func (c *session) closeAfterOutput() {
 	c.closed = true
-	c.stopIdleTimer()
+	c.stopIdleTxTimer()
 	c.out.Finish()
 }
 
-// gone ends what the client left behind.
-func (c *session) gone() {
+// disconnected handles the end of the connection: it rolls back the open
+// transaction, and the result of a running statement is dropped.
+func (c *session) disconnected() {
 	c.closed = true
-	c.stopIdleTimer()
+	c.stopIdleTxTimer()
 	if tx := c.core.Abandon(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
