--- a/transport/sqlback/executor_test.go
+++ b/transport/sqlback/executor_test.go
@@ -157,7 +157,7 @@
 
 // Guards against transactions that stay open for ever because the VM that opened
 // them has stopped.
-func TestAbandonedTransactionIsRolledBack(t *testing.T) {
+func TestAbandonedTransactionEnds(t *testing.T) {
 	s := &scriptedServer{answer: answerInTx}
 	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
 		r := run(statement.Work{Opens: true, Command: statement.Command{Verb: statement.Write}})
@@ -181,7 +181,7 @@
 // Guards against a proof that carries the log position of ROLLBACK. Only BEGIN
 // proves that the server is the primary; it may have lost that role before
 // ROLLBACK, and then reports the position of another primary's log.
-func TestProofCarriesPositionAtBegin(t *testing.T) {
+func TestProbeReportsPositionAtBegin(t *testing.T) {
 	proven := state.Point{Term: 2, Position: 7}
 	s := &scriptedServer{answer: func(c statement.Command) statement.Answer {
 		a := answerInTx(c)
@@ -262,7 +262,7 @@
 
 // Guards against reachability reports that overtake each other: other VMs would go
 // on avoiding a server that is reachable again.
-func TestReachabilityIsReportedInOrder(t *testing.T) {
+func TestReachabilityIsToldInOrder(t *testing.T) {
 	var mu sync.Mutex
 	var reports []int // number of unreachable servers in each report
 	s := &scriptedServer{answer: answerInTx, reached: func(unreachable []string) {
