--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -1,6 +1,7 @@
-// Package fleetwire is the binary encoding of the messages between VMs that
-// carry statements, tokens and heartbeats. A statement is a few dozen bytes, and
-// bytes between data centres are paid for; HTTP headers would multiply them.
+// Package fleetwire encodes the messages between VMs: statements, rate limit tokens
+// and heartbeats. The encoding is binary because traffic between data centres is
+// charged by volume. A statement is a few dozen bytes, which HTTP headers would
+// multiply.
 package fleetwire
 
 import (
@@ -16,28 +17,29 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// MaxFrame is the longest frame, in bytes. Configurations are the longest
-// messages; the store holds values of up to 1 MiB.
+// MaxFrame is the maximum length of a frame, in bytes. Configurations are the
+// longest messages; the store holds values of up to 1 MiB.
 const MaxFrame = 8 << 20
 
-// Kind is the kind of a frame.
+// Kind is the type of message that a frame carries.
 type Kind byte
 
-// Kinds of frames. A reply carries the ID of the call it answers.
+// Kinds of frames. A reply has the ID of the call that it answers.
 const (
-	KindStatus   Kind = iota + 1 // JSON: the sender describes itself
-	KindPing                     // asks for a pong; says which halves of limits the sender counts
-	KindPong                     // answers with loans and positions
-	KindWork                     // a statement to run
-	KindResult                   // its answer
-	KindAbort                    // ends a transaction whose client is gone
-	KindTokens                   // asks the ledger for tokens
-	KindGrant                    // grants tokens
-	KindSnapshot                 // asks for what the other VM knows from the store
-	KindDocument                 // JSON: the answer to KindSnapshot
+	KindStatus   Kind = iota + 1 // a Status in JSON: the state of the sender
+	KindPing                     // heartbeat with the halves of customers' limits for which the sender is the ledger
+	KindPong                     // a Pong, the reply to KindPing
+	KindWork                     // a statement.Work to run
+	KindResult                   // a statement.Result, the reply to KindWork
+	KindAbort                    // rolls back the transaction with the given number; no reply
+	KindTokens                   // asks a customer's ledger for tokens
+	KindGrant                    // number of tokens granted, the reply to KindTokens
+	KindSnapshot                 // asks for the store's objects that the receiver knows
+	KindDocument                 // those objects in JSON, the reply to KindSnapshot
 )
 
-// Frame is one message.
+// Frame is one message. ID matches a reply to its call; it is zero in messages
+// without a reply.
 type Frame struct {
 	Kind Kind
 	ID   uint64
@@ -54,8 +56,8 @@
 	return dst
 }
 
-// ReadFrame reads one frame. It fails with io.EOF at the end of the stream and
-// with an error that says why if the bytes are not a frame.
+// ReadFrame reads one frame. It returns io.EOF at the end of the stream, and a
+// descriptive error if the bytes are not a frame.
 func ReadFrame(r *bufio.Reader) (Frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -63,7 +65,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n < 2 || n > MaxFrame {
-		return Frame{}, eris.Errorf("frame of %d bytes", n)
+		return Frame{}, eris.Errorf("invalid frame length of %d bytes", n)
 	}
 	buf := make([]byte, n)
 	if _, err := io.ReadFull(r, buf); err != nil {
@@ -71,11 +73,12 @@
 	}
 	id, k := binary.Uvarint(buf[1:])
 	if k <= 0 {
-		return Frame{}, eris.New("frame without a valid id")
+		return Frame{}, eris.New("frame with an invalid ID")
 	}
 	return Frame{Kind: Kind(buf[0]), ID: id, Body: buf[1+k:]}, nil
 }
 
+// Flags in the first byte of KindWork.
 const (
 	flagProof = 1 << iota
 	flagOpens
@@ -86,21 +89,22 @@
 	flagTraced
 )
 
-// AppendWork appends the encoded work to dst.
+// AppendWork appends the encoded work to dst. Durations are cut to whole
+// milliseconds.
 func AppendWork(dst []byte, w *statement.Work) []byte {
 	var flags byte
-	set := func(on bool, flag byte) {
+	setFlag := func(on bool, flag byte) {
 		if on {
 			flags |= flag
 		}
 	}
-	set(w.Proof, flagProof)
-	set(w.Opens, flagOpens)
-	set(w.ReadOnlyTx, flagReadOnlyTx)
-	set(w.Command.Writes, flagWrites)
-	set(w.Prepared != nil, flagPrepared)
-	set(w.Prepared != nil && w.Prepared.Writes, flagPreparedWrites)
-	set(w.Trace != statement.Trace{}, flagTraced)
+	setFlag(w.Proof, flagProof)
+	setFlag(w.Opens, flagOpens)
+	setFlag(w.ReadOnlyTx, flagReadOnlyTx)
+	setFlag(w.Command.Writes, flagWrites)
+	setFlag(w.Prepared != nil, flagPrepared)
+	setFlag(w.Prepared != nil && w.Prepared.Writes, flagPreparedWrites)
+	setFlag(w.Trace != statement.Trace{}, flagTraced)
 	dst = append(dst, flags, byte(w.Command.Verb))
 	for _, s := range []string{w.Customer, w.Group, w.Server, w.Command.ID, w.Command.Name, w.Command.Payload} {
 		dst = appendString(dst, s)
@@ -121,33 +125,34 @@
 	return dst
 }
 
-// DecodeWork decodes what AppendWork encoded.
+// DecodeWork decodes the output of AppendWork. It fails on unknown verbs, which a
+// newer VM may send.
 func DecodeWork(b []byte) (*statement.Work, error) {
-	r := reader{b: b}
-	flags, verb := r.byte(), r.byte()
+	d := decoder{b: b}
+	flags, verb := d.byte(), d.byte()
 	w := &statement.Work{Proof: flags&flagProof != 0, Opens: flags&flagOpens != 0, ReadOnlyTx: flags&flagReadOnlyTx != 0}
 	w.Command.Verb, w.Command.Writes = statement.Verb(verb), flags&flagWrites != 0
 	if !w.Command.Verb.Valid() {
 		return nil, eris.Errorf("work with the unknown verb %d", verb)
 	}
 	for _, s := range []*string{&w.Customer, &w.Group, &w.Server, &w.Command.ID, &w.Command.Name, &w.Command.Payload} {
-		*s = r.string()
+		*s = d.string()
 	}
-	w.Command.After = state.Point{Term: r.uvarint(), Position: r.uvarint()}
-	w.Command.Term, w.Tx = r.uvarint(), r.uvarint()
-	w.Timeout = time.Duration(r.uvarint()) * time.Millisecond
-	w.Wait = time.Duration(r.uvarint()) * time.Millisecond
-	for n := r.count(); n > 0; n-- {
-		w.Values = append(w.Values, statement.Value{Name: r.string(), Data: r.string()})
+	w.Command.After = state.Point{Term: d.uvarint(), Position: d.uvarint()}
+	w.Command.Term, w.Tx = d.uvarint(), d.uvarint()
+	w.Timeout = time.Duration(d.uvarint()) * time.Millisecond
+	w.Wait = time.Duration(d.uvarint()) * time.Millisecond
+	for n := d.length(); n > 0; n-- {
+		w.Values = append(w.Values, statement.Value{Name: d.string(), Data: d.string()})
 	}
 	if flags&flagPrepared != 0 {
-		w.Prepared = &statement.Prepared{Name: r.string(), Writes: flags&flagPreparedWrites != 0, Shape: r.string()}
+		w.Prepared = &statement.Prepared{Name: d.string(), Writes: flags&flagPreparedWrites != 0, Shape: d.string()}
 	}
 	if flags&flagTraced != 0 {
-		r.copy(w.Trace.TraceID[:])
-		r.copy(w.Trace.SpanID[:])
+		d.copy(w.Trace.TraceID[:])
+		d.copy(w.Trace.SpanID[:])
 	}
-	return w, r.end("work")
+	return w, d.finish("work")
 }
 
 // AppendResult appends the encoded result to dst.
@@ -165,36 +170,37 @@
 	return appendStrings(dst, a.Rows)
 }
 
-// DecodeResult decodes what AppendResult encoded.
+// DecodeResult decodes the output of AppendResult. It fails on unknown codes and
+// states, which a newer VM may send.
 func DecodeResult(b []byte) (statement.Result, error) {
-	r := reader{b: b}
+	d := decoder{b: b}
 	var res statement.Result
 	a := &res.Answer
-	a.Code, a.State = statement.Code(r.byte()), statement.TxState(r.byte())
+	a.Code, a.State = statement.Code(d.byte()), statement.TxState(d.byte())
 	if !a.Code.Valid() || !a.State.Valid() {
 		return statement.Result{}, eris.Errorf("result with the unknown code %d or state %d", a.Code, a.State)
 	}
-	res.Proven = r.byte() == 1
-	a.Text, a.Signature = r.string(), r.string()
-	a.At = state.Point{Term: r.uvarint(), Position: r.uvarint()}
-	res.Tx = r.uvarint()
-	a.Rows = r.strings()
-	return res, r.end("result")
+	res.Proven = d.byte() == 1
+	a.Text, a.Signature = d.string(), d.string()
+	a.At = state.Point{Term: d.uvarint(), Position: d.uvarint()}
+	res.Tx = d.uvarint()
+	a.Rows = d.strings()
+	return res, d.finish("result")
 }
 
-// Lead is a proof of the lead of a group, with its age when the message was made.
+// Lead is a proof that a server was the primary of its group.
 type Lead struct {
 	Group  string
 	Server string
-	Point  state.Point
-	Age    time.Duration // whole milliseconds, rounded up
+	Point  state.Point   // end of the server's log at that time
+	Age    time.Duration // when encoded; rounded up to whole milliseconds, so that the proof never looks fresher
 }
 
-// Pong answers a ping.
+// Pong is the reply to a ping.
 type Pong struct {
-	Lent  []catalog.Half // whose share the sender lends to the asking VM
-	Lease time.Duration  // for how long; whole milliseconds
-	Leads []Lead
+	Lent  []catalog.Half // halves of limits of which the sender lends its share to the receiver
+	Lease time.Duration  // duration of the loans; whole milliseconds
+	Leads []Lead         // latest proofs known to the sender
 }
 
 // Append appends the encoded pong to dst.
@@ -212,30 +218,31 @@
 	return dst
 }
 
-// DecodePong decodes what Append encoded.
+// DecodePong decodes the output of Pong.Append.
 func DecodePong(b []byte) (Pong, error) {
-	r := reader{b: b}
+	d := decoder{b: b}
 	var p Pong
-	p.Lent = r.halves()
-	p.Lease = time.Duration(r.uvarint()) * time.Millisecond
-	for n := r.count(); n > 0; n-- {
-		l := Lead{Group: r.string(), Server: r.string()}
-		l.Point = state.Point{Term: r.uvarint(), Position: r.uvarint()}
-		l.Age = time.Duration(r.uvarint()) * time.Millisecond
+	p.Lent = d.halves()
+	p.Lease = time.Duration(d.uvarint()) * time.Millisecond
+	for n := d.length(); n > 0; n-- {
+		l := Lead{Group: d.string(), Server: d.string()}
+		l.Point = state.Point{Term: d.uvarint(), Position: d.uvarint()}
+		l.Age = time.Duration(d.uvarint()) * time.Millisecond
 		p.Leads = append(p.Leads, l)
 	}
-	return p, r.end("pong")
+	return p, d.finish("pong")
 }
 
-func appendStrings(dst []byte, all []string) []byte {
-	dst = binary.AppendUvarint(dst, uint64(len(all)))
-	for _, s := range all {
+func appendStrings(dst []byte, list []string) []byte {
+	dst = binary.AppendUvarint(dst, uint64(len(list)))
+	for _, s := range list {
 		dst = appendString(dst, s)
 	}
 	return dst
 }
 
-// AppendHalves encodes halves of customers' limits.
+// AppendHalves appends an encoded list of halves of customers' limits to dst. It is
+// the body of pings.
 func AppendHalves(dst []byte, halves []catalog.Half) []byte {
 	dst = binary.AppendUvarint(dst, uint64(len(halves)))
 	for _, h := range halves {
@@ -244,123 +251,128 @@
 	return dst
 }
 
-// DecodeHalves decodes what AppendHalves encoded.
+// DecodeHalves decodes the output of AppendHalves.
 func DecodeHalves(b []byte) ([]catalog.Half, error) {
-	r := reader{b: b}
-	all := r.halves()
-	return all, r.end("list of halves")
+	d := decoder{b: b}
+	list := d.halves()
+	return list, d.finish("list of limit halves")
 }
 
-// AppendTokens encodes a question for n tokens of a half.
+// AppendTokens appends an encoded request for n tokens from one half of a customer's
+// limit to dst.
 func AppendTokens(dst []byte, h catalog.Half, n int) []byte {
 	return binary.AppendUvarint(appendHalf(dst, h), uint64(n))
 }
 
-// DecodeTokens decodes what AppendTokens encoded.
+// DecodeTokens decodes the output of AppendTokens.
 func DecodeTokens(b []byte) (h catalog.Half, n int, err error) {
-	r := reader{b: b}
-	h, n = r.half(), int(r.uvarint())
-	return h, n, r.end("tokens")
+	d := decoder{b: b}
+	h, n = d.half(), int(d.uvarint())
+	return h, n, d.finish("tokens")
 }
 
 func appendHalf(dst []byte, h catalog.Half) []byte {
 	return append(appendString(dst, h.Customer), h.Index)
 }
 
-// AppendNumber encodes one number, the body of grants and aborts.
+// AppendNumber appends an encoded number, the body of KindGrant and KindAbort, to
+// dst.
 func AppendNumber(dst []byte, n uint64) []byte { return binary.AppendUvarint(dst, n) }
 
-// DecodeNumber decodes what AppendNumber encoded.
+// DecodeNumber decodes the output of AppendNumber.
 func DecodeNumber(b []byte) (uint64, error) {
-	r := reader{b: b}
-	n := r.uvarint()
-	return n, r.end("number")
+	d := decoder{b: b}
+	n := d.uvarint()
+	return n, d.finish("number")
 }
 
 func appendString(dst []byte, s string) []byte {
 	return append(binary.AppendUvarint(dst, uint64(len(s))), s...)
 }
 
-// reader decodes fields and remembers the first failure.
-type reader struct {
+// decoder decodes the fields of a message. After a failure it returns zero values;
+// finish reports the failure.
+type decoder struct {
 	b      []byte
 	failed bool
 }
 
-func (r *reader) byte() byte {
-	if len(r.b) == 0 {
-		r.failed = true
+func (d *decoder) byte() byte {
+	if len(d.b) == 0 {
+		d.failed = true
 		return 0
 	}
-	c := r.b[0]
-	r.b = r.b[1:]
+	c := d.b[0]
+	d.b = d.b[1:]
 	return c
 }
 
-func (r *reader) uvarint() uint64 {
-	n, k := binary.Uvarint(r.b)
+func (d *decoder) uvarint() uint64 {
+	n, k := binary.Uvarint(d.b)
 	if k <= 0 {
-		r.failed, r.b = true, nil
+		d.failed, d.b = true, nil
 		return 0
 	}
-	r.b = r.b[k:]
+	d.b = d.b[k:]
 	return n
 }
 
-// count reads a number of entries, each of which takes a byte or more.
-func (r *reader) count() uint64 {
-	n := r.uvarint()
-	if n > uint64(len(r.b)) {
-		r.failed, r.b = true, nil
+// length reads the length of a list or string. It fails if fewer bytes are left: each
+// entry takes at least one. So a malformed length cannot cause a large allocation.
+func (d *decoder) length() uint64 {
+	n := d.uvarint()
+	if n > uint64(len(d.b)) {
+		d.failed, d.b = true, nil
 		return 0
 	}
 	return n
 }
 
-func (r *reader) string() string {
-	n := r.count()
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+func (d *decoder) string() string {
+	n := d.length()
+	s := string(d.b[:n])
+	d.b = d.b[n:]
 	return s
 }
 
-func (r *reader) half() catalog.Half {
-	h := catalog.Half{Customer: r.string(), Index: r.byte()}
-	r.failed = r.failed || h.Index >= catalog.Halves
+func (d *decoder) half() catalog.Half {
+	h := catalog.Half{Customer: d.string(), Index: d.byte()}
+	d.failed = d.failed || h.Index >= catalog.Halves
 	return h
 }
 
-// halves reads what AppendHalves encoded.
-func (r *reader) halves() []catalog.Half {
-	var all []catalog.Half
-	for n := r.count(); n > 0; n-- {
-		all = append(all, r.half())
+// halves reads the output of AppendHalves.
+func (d *decoder) halves() []catalog.Half {
+	var list []catalog.Half
+	for n := d.length(); n > 0; n-- {
+		list = append(list, d.half())
 	}
-	return all
+	return list
 }
 
-// strings reads what appendStrings encoded.
-func (r *reader) strings() []string {
-	var all []string
-	for n := r.count(); n > 0; n-- {
-		all = append(all, r.string())
+// strings reads the output of appendStrings.
+func (d *decoder) strings() []string {
+	var list []string
+	for n := d.length(); n > 0; n-- {
+		list = append(list, d.string())
 	}
-	return all
+	return list
 }
 
 // copy fills dst with the next bytes.
-func (r *reader) copy(dst []byte) {
-	if len(r.b) < len(dst) {
-		r.failed, r.b = true, nil
+func (d *decoder) copy(dst []byte) {
+	if len(d.b) < len(dst) {
+		d.failed, d.b = true, nil
 		return
 	}
-	copy(dst, r.b)
-	r.b = r.b[len(dst):]
+	copy(dst, d.b)
+	d.b = d.b[len(dst):]
 }
 
-func (r *reader) end(what string) error {
-	if r.failed || len(r.b) > 0 {
-		return eris.Errorf("%s is not encoded as expected", what)
+// finish returns an error if decoding failed or bytes are left.
+func (d *decoder) finish(message string) error {
+	if d.failed || len(d.b) > 0 {
+		return eris.Errorf("the encoding of the %s is invalid", message)
 	}
 	return nil
 }
--- a/protocol/fleetwire/fleetwire_test.go
+++ b/protocol/fleetwire/fleetwire_test.go
@@ -13,7 +13,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// Guards against fields that are lost or swapped between VMs.
+// Guards against fields that are lost or swapped by encoding and decoding.
 func TestRoundTrip(t *testing.T) {
 	work := &statement.Work{
 		Customer: "c", Group: "g", Server: "s", Proof: true, Tx: 7, Opens: true, ReadOnlyTx: true, Timeout: 800 * time.Millisecond, Wait: 30 * time.Millisecond,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against ages that are rounded down: a sample would look fresher than it is.
+// Guards against ages that are rounded down: a proof would look fresher than it is.
 func TestAgeIsRoundedUp(t *testing.T) {
 	pong := Pong{Leads: []Lead{{Age: 3*time.Millisecond + 1}}}
 	got, err := DecodePong(pong.Append(nil))
@@ -49,33 +49,33 @@
 	}
 }
 
-// Guards against a newer VM's codes, states and verbs that end the process of
-// one that does not know them.
+// Guards against a crash when a newer VM sends codes, states or verbs that this
+// version does not know.
 func TestUnknownValuesAreRefused(t *testing.T) {
 	const unknown = 0xee
 	for name, answer := range map[string]statement.Answer{"code": {Code: unknown}, "state": {State: unknown}} {
 		if r, err := DecodeResult(AppendResult(nil, &statement.Result{Answer: answer})); err == nil {
-			t.Errorf("result with an unknown %s is read as %+v", name, r)
+			t.Errorf("result with an unknown %s is decoded as %+v", name, r)
 		}
 	}
 	if w, err := DecodeWork(AppendWork(nil, &statement.Work{Command: statement.Command{Verb: unknown}})); err == nil {
-		t.Errorf("work with an unknown verb is read as %+v", w)
+		t.Errorf("work with an unknown verb is decoded as %+v", w)
 	}
 }
 
-// Guards against bytes of a foreign or broken VM that end the process.
+// Guards against a crash on malformed messages.
 func FuzzDecode(f *testing.F) {
 	f.Add(AppendWork(nil, &statement.Work{Customer: "c", Values: []statement.Value{{Name: "n"}}}))
 	f.Add(AppendResult(nil, &statement.Result{Answer: statement.Answer{Rows: []string{"a"}}}))
 	f.Add((&Pong{Lent: []catalog.Half{{Customer: "c"}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if w, err := DecodeWork(b); err == nil && w == nil {
-			t.Error("no work and no error")
+			t.Error("DecodeWork returned neither work nor an error")
 		}
 		DecodeResult(b)
 		DecodePong(b)
 		if h, _, err := DecodeTokens(b); err == nil && h.Index >= catalog.Halves {
-			t.Errorf("read half %d", h.Index)
+			t.Errorf("decoded the half %d, which does not exist", h.Index)
 		}
 		DecodeHalves(b)
 		DecodeStatus(b)
@@ -83,7 +83,8 @@
 	})
 }
 
-// Guards against a frame whose length makes a VM reserve all of its memory.
+// Guards against a frame whose length makes a VM allocate all of its memory, and
+// against frames without an ID.
 func TestFrameBounds(t *testing.T) {
 	good := Frame{Kind: KindWork, ID: 300, Body: []byte("body")}
 	got, err := ReadFrame(bufio.NewReader(bytes.NewReader(good.Append(nil))))
@@ -92,7 +93,7 @@
 	}
 	for _, bad := range [][]byte{{0xff, 0xff, 0xff, 0xff, 1, 1}, {0, 0, 0, 1, 1}, {0, 0, 0, 3, 1, 0x80, 0x80}} {
 		if f, err := ReadFrame(bufio.NewReader(bytes.NewReader(bad))); err == nil {
-			t.Errorf("%v is read as %+v", bad, f)
+			t.Errorf("%v is decoded as %+v", bad, f)
 		}
 	}
 }
--- a/protocol/fleetwire/status.go
+++ b/protocol/fleetwire/status.go
@@ -6,36 +6,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// Status is what a VM says of itself, on each new link and after each change.
+// Status is the state that a VM sends to other VMs, on each new link and after each
+// change.
 type Status struct {
 	Name        string            `json:"name"`
-	Address     string            `json:"address"` // where it accepts links
+	Address     string            `json:"address"` // HOST:PORT where it accepts links from other VMs
 	DataCentre  string            `json:"data_centre"`
-	Weight      float64           `json:"weight"`      // processor share
-	Incarnation int64             `json:"incarnation"` // start of the process, Unix nanoseconds
-	Leaving     bool              `json:"leaving,omitempty"`
-	StoreCutOff bool              `json:"store_cut_off,omitempty"`
-	Unreachable []string          `json:"unreachable,omitempty"` // backend servers
-	Revisions   map[string]uint64 `json:"revisions,omitempty"`   // of what it knows from the store, by kind
+	Weight      float64           `json:"weight"`                  // processor share; VMs hold connections in proportion to it
+	Incarnation int64             `json:"incarnation"`             // start time of the process, in Unix nanoseconds
+	Leaving     bool              `json:"leaving,omitempty"`       // the VM is shutting down
+	StoreCutOff bool              `json:"store_cut_off,omitempty"` // the VM cannot reach the store
+	Unreachable []string          `json:"unreachable,omitempty"`   // IDs of backend servers that the VM cannot reach
+	Revisions   map[string]uint64 `json:"revisions,omitempty"`     // latest known revision of the store's objects, by kind
 }
 
-// Encode returns the encoded status.
+// Encode returns the status in JSON.
 func (s *Status) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic("fleetwire: a status cannot be encoded: " + err.Error())
+		panic("fleetwire: encode a status: " + err.Error())
 	}
 	return b
 }
 
-// DecodeStatus decodes what Encode returned.
+// DecodeStatus decodes the output of Status.Encode. It fails if the name or the
+// address is missing.
 func DecodeStatus(b []byte) (Status, error) {
 	var s Status
 	if err := json.Unmarshal(b, &s); err != nil {
 		return s, eris.Wrap(err, "status")
 	}
 	if s.Name == "" || s.Address == "" {
-		return s, eris.New("status without name or address")
+		return s, eris.New("status without a name or address")
 	}
 	return s, nil
 }
