--- a/transport/pool/pool.go
+++ b/transport/pool/pool.go
@@ -2,7 +2,8 @@
 //
 // Events are posted to queues. The events of one queue run in order and one at
 // a time; different queues run in parallel. Queues are bounded, so that a slow
-// decision or an overload slows the readers down instead of filling memory.
+// decision or an overload applies back pressure to the connection readers
+// instead of filling memory.
 package pool
 
 import (
@@ -12,106 +13,114 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Pool is a fixed set of workers over a list of queues that have events.
+// minConsumedEntries is the number of consumed entries of Pool.runnable that must
+// be exceeded before the remaining ones are copied to the front.
+const minConsumedEntries = 1024
+
+// Pool is a fixed set of workers that serve the queues with pending events in
+// FIFO order.
 type Pool struct {
-	mu      sync.Mutex // guards ready, closed and all fields of the queues
-	work    *sync.Cond // signalled when ready grows or the pool closes
-	ready   []*Queue
-	head    int
-	queues  map[*Queue]struct{}
-	closed  bool
-	workers int
+	mu            sync.Mutex // guards runnable, closed and all fields of the queues
+	workAvailable *sync.Cond // signalled when a queue is added to runnable, and when the pool closes
+	runnable      []*Queue   // queues with pending events; runnable[:head] is consumed
+	head          int
+	queues        map[*Queue]struct{} // open queues
+	closed        bool
+	workers       int
 }
 
-// New returns a pool with the given number of workers. Run starts them.
+// New returns a pool with the given number of workers, at least one. Run starts
+// them.
 func New(workers int) *Pool {
 	p := &Pool{workers: max(workers, 1), queues: make(map[*Queue]struct{})}
-	p.work = sync.NewCond(&p.mu)
+	p.workAvailable = sync.NewCond(&p.mu)
 	return p
 }
 
-// Queue is a bounded FIFO of events that run one at a time.
+// Queue is a bounded FIFO queue of events that run one at a time.
 type Queue struct {
-	pool      *Pool
-	space     *sync.Cond // signalled when events shrink or the queue closes
-	events    []func()
-	limit     int
-	scheduled bool
-	closed    bool
+	pool           *Pool
+	spaceAvailable *sync.Cond // signalled when an event is removed, and when the queue or the pool closes
+	events         []func()
+	limit          int
+	scheduled      bool // the queue is in runnable, or a worker runs one of its events
+	closed         bool
 }
 
-// NewQueue returns a queue that holds at most limit events. Close it when its
-// key goes away.
+// NewQueue returns a queue that holds at most limit events, at least one. The
+// caller closes it when it is no longer needed.
 func (p *Pool) NewQueue(limit int) *Queue {
-	q := &Queue{pool: p, space: sync.NewCond(&p.mu), limit: max(limit, 1)}
+	q := &Queue{pool: p, spaceAvailable: sync.NewCond(&p.mu), limit: max(limit, 1)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queues[q] = struct{}{}
 	return q
 }
 
-// Post appends an event. It reports false, without blocking, if the queue is
-// full or closed; the event will then not run.
+// Post appends an event. It returns false without blocking if the queue is full
+// or if the queue or the pool is closed; the event is then dropped.
 func (q *Queue) Post(event func()) bool {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	if q.closed || q.pool.closed || len(q.events) >= q.limit {
 		return false
 	}
-	q.append(event)
+	q.enqueue(event)
 	return true
 }
 
-// PostWait appends an event and waits while the queue is full. It reports
-// false if the queue or the pool is closed. Readers use it so that a full queue
-// stops them from reading; workers must not call it.
+// PostWait appends an event and blocks while the queue is full. It returns false
+// if the queue or the pool is closed. Connection readers use it for back
+// pressure. Workers must not call it, because it would block them.
 func (q *Queue) PostWait(event func()) bool {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	for !q.closed && !q.pool.closed && len(q.events) >= q.limit {
-		q.space.Wait()
+		q.spaceAvailable.Wait()
 	}
 	if q.closed || q.pool.closed {
 		return false
 	}
-	q.append(event)
+	q.enqueue(event)
 	return true
 }
 
 // PostAlways appends an event even if the queue is full. It is for events that
-// must not be lost and whose number is bounded otherwise, such as the end of a
-// connection or a timer. It reports false if the queue or the pool is closed.
+// must not be lost and whose number is bounded by other means, such as the end
+// of a connection or a timer. It returns false if the queue or the pool is
+// closed.
 func (q *Queue) PostAlways(event func()) bool {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	if q.closed || q.pool.closed {
 		return false
 	}
-	q.append(event)
+	q.enqueue(event)
 	return true
 }
 
-// Close refuses new events. Events that were posted before still run, so that
-// what they hold can be given back.
+// Close rejects new events. Events that are already queued still run, so that
+// they can release the resources that they hold.
 func (q *Queue) Close() {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	q.closed = true
 	delete(q.pool.queues, q)
-	q.space.Broadcast()
+	q.spaceAvailable.Broadcast()
 }
 
-func (q *Queue) append(event func()) {
+func (q *Queue) enqueue(event func()) {
 	q.events = append(q.events, event)
 	if !q.scheduled {
 		q.scheduled = true
-		q.pool.ready = append(q.pool.ready, q)
-		q.pool.work.Signal()
+		q.pool.runnable = append(q.pool.runnable, q)
+		q.pool.workAvailable.Signal()
 	}
 }
 
-// Run works until ctx is done, then returns after the running events ended.
-// Events that have not started are dropped.
+// Run starts the workers and blocks until ctx is done and the running events
+// have returned. Events that have not started are dropped. The error is always
+// nil.
 func (p *Pool) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for range p.workers {
@@ -129,38 +138,38 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.work.Broadcast()
+	p.workAvailable.Broadcast()
 	for q := range p.queues {
-		q.space.Broadcast()
+		q.spaceAvailable.Broadcast()
 	}
 }
 
 func (p *Pool) worker() {
 	for {
-		q, event := p.next()
+		q, event := p.dequeue()
 		if q == nil {
 			return
 		}
 		event()
-		p.done(q)
+		p.finish(q)
 	}
 }
 
-// next waits for a queue with an event and takes the event. It returns nil when
-// the pool is closed.
-func (p *Pool) next() (*Queue, func()) {
+// dequeue blocks until a queue has an event, and removes the event from it. It
+// returns nil when the pool is closed.
+func (p *Pool) dequeue() (*Queue, func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
 		if p.closed {
 			return nil, nil
 		}
-		if p.head == len(p.ready) {
-			p.work.Wait()
+		if p.head == len(p.runnable) {
+			p.workAvailable.Wait()
 			continue
 		}
-		q := p.ready[p.head]
-		p.ready[p.head] = nil
+		q := p.runnable[p.head]
+		p.runnable[p.head] = nil
 		p.head++
 		p.compact()
 		if len(q.events) == 0 {
@@ -170,31 +179,33 @@
 		event := q.events[0]
 		q.events[0] = nil
 		q.events = q.events[1:]
-		q.space.Signal()
+		q.spaceAvailable.Signal()
 		return q, event
 	}
 }
 
-// compact reuses the space in front of head, so that ready does not grow
-// without bound while the pool is never idle.
+// compact removes the consumed entries of runnable. Without it, the slice would
+// grow without bound as long as the pool is never idle.
 func (p *Pool) compact() {
 	switch {
-	case p.head == len(p.ready):
-		p.ready, p.head = p.ready[:0], 0
-	case p.head > 1024 && p.head*2 > len(p.ready):
-		n := copy(p.ready, p.ready[p.head:])
-		clear(p.ready[n:])
-		p.ready, p.head = p.ready[:n], 0
+	case p.head == len(p.runnable):
+		p.runnable, p.head = p.runnable[:0], 0
+	case p.head > minConsumedEntries && p.head*2 > len(p.runnable):
+		n := copy(p.runnable, p.runnable[p.head:])
+		clear(p.runnable[n:])
+		p.runnable, p.head = p.runnable[:n], 0
 	}
 }
 
-func (p *Pool) done(q *Queue) {
+// finish makes the queue runnable again after one of its events has returned, if
+// more events are pending.
+func (p *Pool) finish(q *Queue) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(q.events) == 0 {
 		q.scheduled = false
 		return
 	}
-	p.ready = append(p.ready, q)
-	p.work.Signal()
+	p.runnable = append(p.runnable, q)
+	p.workAvailable.Signal()
 }
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 )
 
-func start(t *testing.T, workers int) (*Pool, func()) {
+func startPool(t *testing.T, workers int) (*Pool, func()) {
 	t.Helper()
 	p := New(workers)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -24,11 +24,11 @@
 	}
 }
 
-// Guards against two events of one session running at the same time or out of
-// order.
+// Guards against events of one queue that run concurrently or out of order, which
+// would break the single-threaded use of a session's state.
 func TestEventsOfOneQueueRunInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, stop := start(t, 8)
+		p, stop := startPool(t, 8)
 		const events = 1000
 		queues := make([]*Queue, 4)
 		got := make([][]int, len(queues))
@@ -57,24 +57,25 @@
 	})
 }
 
-// Guards against a reader that waits for room for ever after the pool stopped.
-func TestStopWakesWaitingPosters(t *testing.T) {
+// Guards against a PostWait call that blocks forever because the pool stopped
+// while the queue was full.
+func TestStopUnblocksPostWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, stop := start(t, 1)
+		p, stop := startPool(t, 1)
 		block := make(chan struct{})
 		q := p.NewQueue(1)
 		q.Post(func() { <-block })
 		synctest.Wait()
 		q.Post(func() {})
 		if q.Post(func() {}) {
-			t.Fatal("post on a full queue was accepted")
+			t.Fatal("Post on a full queue returned true")
 		}
-		refused := make(chan bool)
-		go func() { refused <- q.PostWait(func() {}) }()
+		accepted := make(chan bool)
+		go func() { accepted <- q.PostWait(func() {}) }()
 		synctest.Wait()
 		go stop()
-		if <-refused {
-			t.Fatal("post was accepted after stop")
+		if <-accepted {
+			t.Fatal("PostWait returned true after the pool stopped")
 		}
 		close(block)
 		synctest.Wait()
