--- a/transport/pgbackend/backends.go
+++ b/transport/pgbackend/backends.go
@@ -15,56 +15,61 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// expireInterval is how often waiting requests are checked for their deadline
-// and connecting is retried.
-const expireInterval = 20 * time.Millisecond
+// refreshInterval is the interval at which connection limits are updated, waiting
+// requests past their deadline are refused, and failed connection attempts are
+// retried.
+const refreshInterval = 20 * time.Millisecond
 
-// Waiters takes the answers to Acquire. Its methods must not block.
+// Waiters receives the results of Acquire. The methods must not block.
 type Waiters interface {
+	// Granted is called when the request holds the connection.
 	Granted(id state.WaiterID, server string, conn state.ConnID)
+	// NotGranted is called when the request is refused.
 	NotGranted(id state.WaiterID, reason queueing.Reason)
 }
 
-// Options are the parts that Backends works with.
+// Options are the dependencies and settings of Backends. All fields are required.
 type Options struct {
 	Tables      *state.Tables
 	Network     network.Network
 	Credentials Credentials
 	Waiters     Waiters
 	Queueing    queueing.Options
-	// Limit returns the number of connections that this VM may have open to the
-	// server now.
+	// Limit returns the maximum number of connections that this VM may currently
+	// have open to the server.
 	Limit func(server *state.BackendServer) int
-	// Wanted is told how many connections to a server this VM has a use for.
+	// Wanted is called with the number of connections to a server that this VM
+	// could use.
 	Wanted func(server string, conns int)
-	// Failed is told of a server that cannot be reached.
+	// Failed is called after a connection attempt to the server has failed.
 	Failed func(server string)
 	Logger log.Interface
 	Scope  tally.Scope
 }
 
-// Backends are the connections of this VM to all backend servers.
+// Backends manages this VM's connections to all backend servers.
 type Backends struct {
 	Options
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	ctx        context.Context // done after Run; ends connection attempts
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // readers, connection attempts and cancel requests
 
-	mu    sync.Mutex // guards conns; no other lock is taken under it
-	conns map[state.ConnID]*Conn
+	mu    sync.Mutex             // guards conns; no other lock is taken under it
+	conns map[state.ConnID]*Conn // open connections, pooled or held
 }
 
-// New returns Backends without connections.
+// New returns Backends without connections. Run must be called to enforce limits
+// and deadlines and to close the connections.
 func New(o Options) *Backends {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Backends{Options: o, ctx: ctx, cancel: cancel, conns: make(map[state.ConnID]*Conn)}
 }
 
-// Run keeps limits up to date and expires waiting requests until ctx is done.
-// Then it closes all connections.
+// Run updates limits and expires waiting requests until ctx is done. It then
+// closes all connections and waits for their goroutines. The error is always nil.
 func (b *Backends) Run(ctx context.Context) error {
-	ticker := time.NewTicker(expireInterval)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,7 +77,7 @@
 			b.close()
 			return nil
 		case <-ticker.C:
-			b.tick(time.Now())
+			b.refreshAll(time.Now())
 		}
 	}
 }
@@ -84,11 +89,12 @@
 		c.discard()
 	}
 	b.mu.Unlock()
-	b.tasks.Wait()
+	b.goroutines.Wait()
 }
 
-// tick looks at the servers that this VM has connections or requests for.
-func (b *Backends) tick(now time.Time) {
+// refreshAll refreshes the servers that this VM has connections to or waiting
+// requests for.
+func (b *Backends) refreshAll(now time.Time) {
 	cfg := b.Tables.Config.Current()
 	if cfg == nil {
 		return
@@ -100,7 +106,8 @@
 	}
 }
 
-// Lower applies a reduced connection limit of a server at once.
+// Lower applies a reduced connection limit of a server immediately instead of at
+// the next refresh.
 func (b *Backends) Lower(server string) {
 	if cfg := b.Tables.Config.Current(); cfg != nil {
 		if s, _ := findServer(cfg, server); s != nil {
@@ -109,6 +116,8 @@
 	}
 }
 
+// refresh applies the server's current limit, expires its waiting requests and
+// reports the number of wanted connections.
 func (b *Backends) refresh(server *state.BackendServer, now time.Time) {
 	limit := b.Limit(server)
 	var effects []queueing.Effect
@@ -120,11 +129,11 @@
 		effects = append(effects, queueing.Expire(s, now)...)
 		wanted = s.Wanted()
 	})
-	b.run(server.Name, effects)
+	b.execute(server.Name, effects)
 	b.Wanted(server.Name, wanted)
 }
 
-// Acquire asks for a connection. The answer goes to Waiters.
+// Acquire requests a connection. The result is passed to Waiters.
 func (b *Backends) Acquire(server *state.BackendServer, w state.ConnWaiter, now time.Time) {
 	limit := b.Limit(server)
 	var effects []queueing.Effect
@@ -134,66 +143,70 @@
 		effects = queueing.Acquire(s, w, now, b.Queueing)
 		wanted = s.Wanted()
 	})
-	b.run(server.Name, effects)
+	b.execute(server.Name, effects)
 	if wanted > limit {
 		b.Wanted(server.Name, wanted)
 	}
 }
 
-// Withdraw takes back an Acquire.
+// Withdraw removes a request for a connection that has not been granted yet.
 func (b *Backends) Withdraw(server string, id state.WaiterID) {
 	b.Tables.Backends.With(server, func(s *state.ServerConns) { queueing.Withdraw(s, id) })
 }
 
-// Release returns a connection that is ready for another request.
+// Release returns a connection to the pool, or hands it to the next waiting
+// request.
 func (b *Backends) Release(server string, conn state.ConnID, now time.Time) {
 	c := b.lookup(conn)
 	if c == nil {
 		return
 	}
 	if !c.release() {
-		return // its reader forgets it
+		return // open removes it when its reader ends
 	}
 	var effects []queueing.Effect
 	b.Tables.Backends.With(server, func(s *state.ServerConns) { effects = queueing.Release(s, conn, now) })
-	b.run(server, effects)
+	b.execute(server, effects)
 }
 
-// Discard closes a connection.
+// Discard closes a connection without notifying its holder.
 func (b *Backends) Discard(conn state.ConnID) {
 	if c := b.lookup(conn); c != nil {
 		c.discard()
 	}
 }
 
-// Send prepares the connection for the session and sends the request. It
-// reports false if the connection has failed before a byte was sent.
-func (b *Backends) Send(conn state.ConnID, s Sink, request uint64, batch *pgwire.Batch, prepare func(c *pgwire.Connection) pgwire.Prepared) bool {
+// Send prepares the connection for the session and sends the request. The response
+// goes to h, which holds the connection until Release or Discard. Send returns
+// false if the connection failed before any byte was sent.
+func (b *Backends) Send(conn state.ConnID, h ResponseHandler, request uint64, batch *pgwire.Batch, prepare func(c *pgwire.Connection) pgwire.Prepared) bool {
 	c := b.lookup(conn)
-	return c != nil && c.send(s, request, batch, prepare(&c.wire))
+	return c != nil && c.send(h, request, batch, prepare(&c.protocolState))
 }
 
-// Wire calls f with the protocol state of a connection that the caller holds.
-func (b *Backends) Wire(conn state.ConnID, f func(c *pgwire.Connection)) {
+// WithProtocolState calls f with the protocol state of a connection that the
+// caller holds. It does nothing if the connection is closed.
+func (b *Backends) WithProtocolState(conn state.ConnID, f func(c *pgwire.Connection)) {
 	if c := b.lookup(conn); c != nil {
-		f(&c.wire)
+		f(&c.protocolState)
 	}
 }
 
-// Cancel asks the backend server to cancel what runs on the connection.
+// Cancel asks the backend server to cancel the statement that runs on the
+// connection. It does not wait for the server; failures are logged.
 func (b *Backends) Cancel(conn state.ConnID) {
 	c := b.lookup(conn)
 	if c == nil {
 		return
 	}
-	b.tasks.Go(func() {
+	b.goroutines.Go(func() {
 		if err := c.cancel(b.ctx); err != nil {
-			b.Logger.WithError(err).Warn("backend: cancel failed.")
+			b.Logger.WithError(err).Warn("backend: cancel request failed")
 		}
 	})
 }
 
-// Warm opens connections to the server ahead of their use.
+// Warm opens connections to the server before they are needed, up to the limit.
 func (b *Backends) Warm(server *state.BackendServer, conns int, now time.Time) {
 	limit := b.Limit(server)
 	var effects []queueing.Effect
@@ -201,7 +214,7 @@
 		s.Limit = limit
 		effects = queueing.Warm(s, conns, now)
 	})
-	b.run(server.Name, effects)
+	b.execute(server.Name, effects)
 }
 
 func (b *Backends) lookup(conn state.ConnID) *Conn {
@@ -210,7 +223,8 @@
 	return b.conns[conn]
 }
 
-func (b *Backends) run(server string, effects []queueing.Effect) {
+// execute carries out effects. No lock is held.
+func (b *Backends) execute(server string, effects []queueing.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case queueing.Grant:
@@ -218,14 +232,15 @@
 		case queueing.Refuse:
 			b.Waiters.NotGranted(e.Waiter, e.Reason)
 		case queueing.Open:
-			b.tasks.Go(func() { b.open(e.Server) })
+			b.goroutines.Go(func() { b.open(e.Server) })
 		case queueing.Close:
 			b.Discard(e.Conn)
 		}
 	}
 }
 
-// open opens a connection and reads from it until it fails.
+// open opens a connection, adds it to the pool and reads from it until it fails.
+// It runs on its own goroutine.
 func (b *Backends) open(server string) {
 	c, err := b.connect(server)
 	now := time.Now()
@@ -233,11 +248,11 @@
 		if b.ctx.Err() != nil {
 			return
 		}
-		b.Logger.WithError(err).WithField("server", server).Warn("backend: connect failed.")
+		b.Logger.WithError(err).WithField("server", server).Warn("backend: connection attempt failed")
 		b.Scope.Tagged(map[string]string{"server": server}).Counter("backend_connect_failures").Inc(1)
 		var effects []queueing.Effect
 		b.Tables.Backends.With(server, func(s *state.ServerConns) { effects = queueing.OpenFailed(s, now) })
-		b.run(server, effects)
+		b.execute(server, effects)
 		b.Failed(server)
 		return
 	}
@@ -247,11 +262,11 @@
 	}
 	var effects []queueing.Effect
 	b.Tables.Backends.With(server, func(s *state.ServerConns) { effects = queueing.Opened(s, c.ID, now) })
-	b.run(server, effects)
-	sink, request := c.read()
-	b.forget(c)
-	if sink != nil {
-		sink.Lost(c.ID, request)
+	b.execute(server, effects)
+	holder, request := c.read()
+	b.remove(c)
+	if holder != nil {
+		holder.HandleConnLost(c.ID, request)
 	}
 }
 
@@ -269,6 +284,7 @@
 	return connect(b.ctx, b.Network, s, credentials, id)
 }
 
+// add registers a connection. It returns false after Run has ended.
 func (b *Backends) add(c *Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -279,13 +295,13 @@
 	return true
 }
 
-func (b *Backends) forget(c *Conn) {
+func (b *Backends) remove(c *Conn) {
 	b.mu.Lock()
 	delete(b.conns, c.ID)
 	b.mu.Unlock()
 	var effects []queueing.Effect
 	b.Tables.Backends.With(c.Server, func(s *state.ServerConns) { effects = queueing.Closed(s, c.ID, time.Now()) })
-	b.run(c.Server, effects)
+	b.execute(c.Server, effects)
 }
 
 func findServer(cfg *state.Config, name string) (*state.BackendServer, *state.Group) {
--- a/transport/pgbackend/conn.go
+++ b/transport/pgbackend/conn.go
@@ -1,5 +1,5 @@
-// Package pgbackend opens, pools and drives connections to backend servers. It
-// carries out the decisions of package queueing.
+// Package pgbackend opens, pools and uses connections to backend servers. It
+// executes the effects that package queueing decides on.
 package pgbackend
 
 import (
@@ -19,65 +19,69 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/outbox"
 )
 
-// connectTimeout bounds the opening of a connection, and the sending of a
-// cancel request.
+// connectTimeout limits the time for opening a connection, including
+// authentication, and the time for sending a cancel request.
 const connectTimeout = 5 * time.Second
 
-// Sink takes the answer to a request. Its methods may block, which stops the
-// connection from being read.
-type Sink interface {
-	// Part takes a part of the answer.
-	Part(conn state.ConnID, request uint64, p pgwire.Part)
-	// Ended takes the end of the answer. prepared is the number of Parse
+// ResponseHandler receives the response to a request. The methods are called by the
+// goroutine that reads the connection. While one of them blocks, the connection is
+// not read, which applies back pressure to the backend server.
+type ResponseHandler interface {
+	// HandlePart receives the next part of the response.
+	HandlePart(conn state.ConnID, request uint64, p pgwire.Part)
+	// HandleEnd is called after the last part. prepared is the number of Parse
 	// messages that succeeded.
-	Ended(conn state.ConnID, request uint64, end session.End, prepared int)
-	// Lost tells that the connection has failed while the sink held it.
-	Lost(conn state.ConnID, request uint64)
+	HandleEnd(conn state.ConnID, request uint64, end session.End, prepared int)
+	// HandleConnLost is called if the connection fails while the handler holds it.
+	HandleConnLost(conn state.ConnID, request uint64)
 }
 
-// exchange is a request on a connection and where its answer goes.
-type exchange struct {
-	sink    Sink
-	request uint64
-	batch   *pgwire.Batch
-	answer  *pgwire.Answer
+// pendingRequest is a request that was sent on a connection and whose response is
+// incomplete.
+type pendingRequest struct {
+	handler  ResponseHandler
+	request  uint64
+	batch    *pgwire.Batch
+	response *pgwire.Answer
 }
 
-// Conn is a connection to a backend server.
+// Conn is an authenticated connection to a backend server. At most one session
+// holds it at a time.
 type Conn struct {
 	ID     state.ConnID
 	Server string
 
-	pid       uint32
-	secret    []byte
-	conn      net.Conn
-	out       *outbox.Outbox
-	frontend  *pgproto3.Frontend
-	network   network.Network
-	address   string
-	wire      pgwire.Connection // used only by the worker that holds the connection
-	mu        sync.Mutex        // guards the fields below; only the outbox's lock is taken under it
-	current   *exchange
-	holder    Sink // who is told of a failure while nothing is executed; nil if pooled
-	holderReq uint64
-	closed    bool
+	pid           uint32
+	secret        []byte
+	conn          net.Conn
+	out           *outbox.Outbox
+	frontend      *pgproto3.Frontend
+	network       network.Network
+	address       string
+	protocolState pgwire.Connection // used by the holder's worker, and by the reader until it has called HandleEnd
+
+	mu            sync.Mutex      // guards the fields below; only the outbox's lock is taken under it
+	current       *pendingRequest // nil between requests
+	holder        ResponseHandler // notified if the connection fails, also between requests; nil if pooled
+	holderRequest uint64
+	closed        bool
 }
 
-// Credentials are the proxy's own towards backend servers.
+// Credentials are the credentials with which the proxy logs in to backend servers.
 type Credentials struct {
 	User     string
 	Password string
-	Database string
+	Database string // if empty, the name of the server's group
 }
 
 func connect(ctx context.Context, nw network.Network, server *state.BackendServer, c Credentials, id state.ConnID) (*Conn, error) {
 	host, port, err := net.SplitHostPort(server.Address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "address of backend server %s", server.Name)
+		return nil, eris.Wrapf(err, "parse address of backend server %s", server.Name)
 	}
 	cfg, err := pgconn.ParseConfig("sslmode=disable host=" + host + " port=" + port)
 	if err != nil {
-		return nil, eris.Wrapf(err, "connection to backend server %s", server.Name)
+		return nil, eris.Wrapf(err, "configure connection to backend server %s", server.Name)
 	}
 	cfg.User, cfg.Password, cfg.Database = c.User, c.Password, c.Database
 	cfg.Fallbacks = nil
@@ -107,8 +111,7 @@
 	}, nil
 }
 
-// release ends the hold on the connection. It reports false if the connection
-// has failed.
+// release clears the holder. It returns false if the connection has failed.
 func (c *Conn) release() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,48 +119,48 @@
 	return !c.closed
 }
 
-// send sends a request with the preparation that the protocol layer put in
-// front of it. It reports false if the connection has failed already; then no
-// byte was sent and the sink is not told of the failure.
-func (c *Conn) send(s Sink, request uint64, b *pgwire.Batch, p pgwire.Prepared) bool {
+// send sends a request, preceded by the preparation of the connection, and makes h
+// the holder. It returns false if the connection has already failed; in that case
+// no byte was sent and h is not notified of the failure.
+func (c *Conn) send(h ResponseHandler, request uint64, b *pgwire.Batch, p pgwire.Prepared) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.holder, c.holderReq = s, request
-	c.current = &exchange{sink: s, request: request, batch: b, answer: pgwire.NewAnswer(p.Preparations)}
+	c.holder, c.holderRequest = h, request
+	c.current = &pendingRequest{handler: h, request: request, batch: b, response: pgwire.NewAnswer(p.Preparations)}
 	c.out.Write(p.Bytes)
 	return true
 }
 
-// read takes messages until the connection fails, and returns the holder to be
-// told of it.
-func (c *Conn) read() (Sink, uint64) {
+// read handles messages until the connection fails. It returns the holder, which
+// the caller notifies of the failure, or nil.
+func (c *Conn) read() (ResponseHandler, uint64) {
 	for {
 		msg, err := c.frontend.Receive()
 		if err != nil {
 			return c.fail()
 		}
-		x := c.executing()
-		if x == nil {
-			if unsolicited(msg) {
+		r := c.currentRequest()
+		if r == nil {
+			if isAsync(msg) {
 				continue
 			}
 			return c.fail()
 		}
-		if !c.take(x, msg) {
+		if !c.handleMessage(r, msg) {
 			return c.fail()
 		}
 	}
 }
 
-// take passes a message on. It reports false if the connection cannot be used
-// any more.
-func (c *Conn) take(x *exchange, msg pgproto3.BackendMessage) bool {
-	step := x.answer.Add(msg, c.frontend.ReadBufferLen() > 0)
+// handleMessage passes a message of the response to the request's handler. It
+// returns false if the connection must not be used any more.
+func (c *Conn) handleMessage(r *pendingRequest, msg pgproto3.BackendMessage) bool {
+	step := r.response.Add(msg, c.frontend.ReadBufferLen() > 0)
 	for _, p := range step.Parts {
-		x.sink.Part(c.ID, x.request, p)
+		r.handler.HandlePart(c.ID, r.request, p)
 	}
 	if step.Fault != "" {
 		return false
@@ -168,32 +171,32 @@
 	c.mu.Lock()
 	c.current = nil
 	c.mu.Unlock()
-	if x.answer.Tainted() {
-		c.wire.Changed()
+	if r.response.Tainted() {
+		c.protocolState.Changed()
 	}
-	c.wire.Failed(x.batch, x.answer.Prepared())
-	x.sink.Ended(c.ID, x.request, x.answer.End(), x.answer.Prepared())
+	c.protocolState.Failed(r.batch, r.response.Prepared())
+	r.handler.HandleEnd(c.ID, r.request, r.response.End(), r.response.Prepared())
 	return true
 }
 
-func (c *Conn) executing() *exchange {
+func (c *Conn) currentRequest() *pendingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
 }
 
-// fail closes the connection and returns its holder, once.
-func (c *Conn) fail() (Sink, uint64) {
+// fail closes the connection and returns its holder. Later calls return nil.
+func (c *Conn) fail() (ResponseHandler, uint64) {
 	c.out.Abort()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	s, r := c.holder, c.holderReq
+	h, request := c.holder, c.holderRequest
 	c.holder, c.current = nil, nil
-	return s, r
+	return h, request
 }
 
-// discard closes the connection; its holder does not want to hear of it.
+// discard closes the connection without notifying its holder.
 func (c *Conn) discard() {
 	c.mu.Lock()
 	c.holder = nil
@@ -201,7 +204,8 @@
 	c.out.Abort()
 }
 
-// cancel asks the backend server to cancel what runs on the connection.
+// cancel asks the backend server to cancel the statement that runs on the
+// connection. It uses a separate connection, as the protocol requires.
 func (c *Conn) cancel(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, connectTimeout)
 	defer stop()
@@ -212,22 +216,24 @@
 	defer conn.Close()
 	raw, err := (&pgproto3.CancelRequest{ProcessID: c.pid, SecretKey: c.secret}).Encode(nil)
 	if err != nil {
-		return eris.Wrap(err, "cancel request")
+		return eris.Wrap(err, "encode cancel request")
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
-			return eris.Wrap(err, "cancel request")
+			return eris.Wrap(err, "set deadline of cancel request")
 		}
 	}
 	if _, err := conn.Write(raw); err != nil {
 		return eris.Wrapf(err, "cancel on backend server %s", c.Server)
 	}
 	var end [1]byte
-	_, _ = conn.Read(end[:]) // the server closes the connection once it took the request
+	_, _ = conn.Read(end[:]) // the server closes the connection after it has read the request
 	return nil
 }
 
-func unsolicited(msg pgproto3.BackendMessage) bool {
+// isAsync reports whether a backend server may send the message at any time,
+// without a request.
+func isAsync(msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.ParameterStatus, *pgproto3.NoticeResponse, *pgproto3.NotificationResponse:
 		return true
--- a/transport/pgserver/pgserver.go
+++ b/transport/pgserver/pgserver.go
@@ -1,6 +1,6 @@
-// Package pgserver accepts clients that speak the PostgreSQL wire protocol. A
-// reader per client frames requests and hands them to the session; it decides
-// nothing else.
+// Package pgserver accepts clients that speak the PostgreSQL wire protocol. One
+// reader goroutine per client splits the input into requests and passes them to
+// the client's session, which makes all decisions.
 package pgserver
 
 import (
@@ -22,101 +22,106 @@
 )
 
 const (
-	// loginTimeout bounds the time from accepting a client to its login.
+	// loginTimeout limits the time from accepting a connection to the receipt of
+	// the client's key.
 	loginTimeout = 10 * time.Second
-	// flushTimeout bounds the writing of what is left for a client at the end of
-	// its connection.
+	// flushTimeout limits the time for writing the remaining output when a
+	// connection ends.
 	flushTimeout = 2 * time.Second
-	// lingerTimeout is how long a client is left to close its connection after it
-	// was told the reason for the end of its session.
+	// lingerTimeout limits how long the server waits for the client to close the
+	// connection after it was sent the reason for the end of its session.
 	lingerTimeout = 2 * time.Second
-	// outputHigh is the number of queued bytes for a client from which on answers
-	// are not read from the backend server.
-	outputHigh = 1 << 20
+	// outputHighWaterBytes is the number of bytes queued for a client above which
+	// responses are no longer read from the backend server.
+	outputHighWaterBytes = 1 << 20
 )
 
-// Login is what a client presents when it connects.
+// Login holds the credentials and start-up parameters of a client.
 type Login struct {
-	Customer   string
-	Route      string
-	Key        string // never logged
-	Parameters map[string]string
+	Customer   string            // user name of the start-up message
+	Route      string            // database name; the user name if there is none
+	Key        string            // the customer's key; must not be logged
+	Parameters map[string]string // all start-up parameters
 }
 
-// Session is the client's session.
+// Session receives the requests of one client. Its methods are called by the
+// client's reader goroutine.
 type Session interface {
-	// Request takes the next request. It blocks while the previous one runs and
-	// reports false if the session has ended.
+	// Request starts the next request. It blocks while the previous one runs, and
+	// returns false if the session has ended.
 	Request(b *pgwire.Batch) bool
-	// Gone tells that the client left.
-	Gone()
+	// Disconnected ends the session after the client has closed the connection or
+	// the connection has failed.
+	Disconnected()
 }
 
-// Sessions opens sessions.
+// Sessions opens sessions and routes cancel requests to them.
 type Sessions interface {
-	// Login opens a session for a client, or returns why it is refused. The
-	// session writes to the client through c.
+	// Login opens a session that writes its output to c. If the login is refused,
+	// the session is nil and the outcome holds the reason.
 	Login(c *Client, l Login) (Session, *session.Outcome)
-	// Cancel takes a cancel request.
+	// Cancel handles a cancel request with the process ID and the secret that the
+	// session sent to its client. An unknown ID or a wrong secret has no effect.
 	Cancel(processID, secret uint32)
 }
 
-// Client is a client's connection.
+// Client is the output side of a client connection. Its methods can be called by
+// several goroutines; all but Wait return without blocking.
 type Client struct {
 	out *outbox.Outbox
 }
 
-// Write queues encoded messages.
+// Write queues encoded messages. The caller must not change b afterwards.
 func (c *Client) Write(b []byte) { c.out.Write(b) }
 
-// Send queues messages.
+// Send encodes and queues messages. It panics if a message cannot be encoded.
 func (c *Client) Send(messages ...pgproto3.BackendMessage) {
 	var raw []byte
 	for _, m := range messages {
 		var err error
 		raw, err = m.Encode(raw)
 		if err != nil {
-			panic("message of the proxy cannot be encoded: " + err.Error())
+			panic("encode message to the client: " + err.Error())
 		}
 	}
 	c.out.Write(raw)
 }
 
-// Wait waits until the client has taken most of its output. It reports false if
-// the connection has failed.
+// Wait blocks until at most outputHighWaterBytes are queued. It returns false if
+// the connection has failed. Workers of the pool must not call it.
 func (c *Client) Wait() bool { return c.out.Wait() }
 
-// Full reports whether the client takes its output too slowly.
+// Full reports whether more than outputHighWaterBytes are queued, because the
+// client reads too slowly.
 func (c *Client) Full() bool { return c.out.Full() }
 
-// Finish ends the connection after everything queued is written. A request that
-// the client sends at the same moment is read and dropped: if the connection was
-// closed at once, the client would get an error of the network in place of the
-// reason.
+// Finish closes the connection after all queued output is written. A request that
+// the client sends at the same time is read and discarded: if the connection was
+// closed immediately, the client would see a network error instead of the reason.
 func (c *Client) Finish() { c.out.Seal(lingerTimeout) }
 
-// Abort closes the connection at once.
+// Abort closes the connection immediately and drops queued output.
 func (c *Client) Abort() { c.out.Abort() }
 
-// Server accepts clients.
+// Server accepts client connections. Set the exported fields before calling Run.
 type Server struct {
 	Listener net.Listener
-	TLS      *tls.Config // nil refuses TLS
+	TLS      *tls.Config // if nil, TLS requests are declined
 	Sessions Sessions
 	Logger   log.Interface
 
-	mu      sync.Mutex           // guards conns; no other lock is taken under it
-	conns   map[net.Conn]*Client // nil until the client has logged in
-	readers sync.WaitGroup
+	mu          sync.Mutex           // guards conns; no other lock is taken under it
+	conns       map[net.Conn]*Client // nil until the start-up phase is complete
+	connReaders sync.WaitGroup
 }
 
-// Run accepts clients until ctx is done. Then it closes the connections that are
-// left once they have been sent what was queued for them.
+// Run accepts clients until ctx is done. It then flushes and closes the remaining
+// connections and waits for their reader goroutines.
 func (s *Server) Run(ctx context.Context) error {
 	s.conns = make(map[net.Conn]*Client)
 	stop := context.AfterFunc(ctx, func() { s.Listener.Close() })
 	defer stop()
-	defer s.readers.Wait()
+	defer s.connReaders.Wait()
 	defer s.closeAll()
 	for {
 		conn, err := s.Listener.Accept()
@@ -127,7 +132,7 @@
 			return eris.Wrap(err, "accept clients")
 		}
 		s.track(conn)
-		s.readers.Go(func() {
+		s.connReaders.Go(func() {
 			defer s.untrack(conn)
 			s.serve(conn)
 		})
@@ -140,8 +145,9 @@
 	s.conns[conn] = nil
 }
 
-// loggedIn notes the client of a connection.
-func (s *Server) loggedIn(conn net.Conn, c *Client) {
+// setClient records the client of a connection that has completed the start-up
+// phase.
+func (s *Server) setClient(conn net.Conn, c *Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[conn] = c
@@ -154,60 +160,62 @@
 	delete(s.conns, conn)
 }
 
-// closeAll ends all connections. Answers may be queued still: a stop waits for
-// the sessions to end, but not for their clients to read.
+// closeAll flushes and closes all connections. Responses can still be queued,
+// because shutdown waits for sessions to end but not for their clients to read.
 func (s *Server) closeAll() {
-	for conn, client := range s.open() {
+	for conn, client := range s.openConns() {
 		if client == nil {
 			conn.Close()
 			continue
 		}
-		flush(conn, client)
+		startFlush(conn, client)
 	}
 }
 
-func (s *Server) open() map[net.Conn]*Client {
+func (s *Server) openConns() map[net.Conn]*Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.conns)
 }
 
+// serve runs on the reader goroutine of a connection until the connection ends.
 func (s *Server) serve(raw net.Conn) {
 	if err := raw.SetDeadline(time.Now().Add(loginTimeout)); err != nil {
 		return
 	}
-	conn, backend, startup, err := s.startup(raw)
+	conn, backend, startup, err := s.receiveStartup(raw)
 	if err != nil {
-		s.Logger.WithError(err).Debug("session: client did not start.")
+		s.Logger.WithError(err).Debug("session: start-up failed")
 		return
 	}
 	if startup == nil {
-		return // a cancel request
+		return // the client sent a cancel request
 	}
 	login, err := readLogin(backend, startup)
 	if err != nil {
-		s.Logger.WithError(err).Debug("session: client did not log in.")
+		s.Logger.WithError(err).Debug("session: login failed")
 		return
 	}
 	if err := raw.SetDeadline(time.Time{}); err != nil {
 		return
 	}
-	client := &Client{out: outbox.New(conn, outputHigh)}
-	s.loggedIn(raw, client)
-	defer finish(raw, client)
+	client := &Client{out: outbox.New(conn, outputHighWaterBytes)}
+	s.setClient(raw, client)
+	defer closeAfterFlush(raw, client)
 	sess, refused := s.Sessions.Login(client, login)
 	if refused != nil {
 		client.Send(pgwire.Refuse(*refused, true))
 		client.Finish()
-		skip(backend)
+		discardInput(backend)
 		return
 	}
-	defer sess.Gone()
-	read(backend, client, sess)
+	defer sess.Disconnected()
+	readRequests(backend, client, sess)
 }
 
-// skip reads until the client closes the connection or its time is over.
-func skip(backend *pgproto3.Backend) {
+// discardInput reads and drops messages until the client closes the connection or
+// the read deadline expires.
+func discardInput(backend *pgproto3.Backend) {
 	for {
 		if _, err := backend.Receive(); err != nil {
 			return
@@ -215,17 +223,17 @@
 	}
 }
 
-// finish closes the connection once the client has got what was queued for it,
-// such as the reason for the end of its session.
-func finish(conn net.Conn, c *Client) {
-	if flush(conn, c) {
+// closeAfterFlush writes the queued output, such as the reason for the end of the
+// session, closes the connection and waits until it is closed.
+func closeAfterFlush(conn net.Conn, c *Client) {
+	if startFlush(conn, c) {
 		c.out.WaitClosed()
 	}
 }
 
-// flush lets the connection close once what is queued is written. It reports
-// false if the connection is closed already.
-func flush(conn net.Conn, c *Client) bool {
+// startFlush makes the connection close as soon as its queued output is written.
+// It returns false if the connection is already closed.
+func startFlush(conn net.Conn, c *Client) bool {
 	if err := conn.SetWriteDeadline(time.Now().Add(flushTimeout)); err != nil {
 		return false
 	}
@@ -233,15 +241,16 @@
 	return true
 }
 
-// startup takes the first messages of a client: requests for encryption, a
-// cancel request, or the start-up message. What the client sent behind the
-// start-up message stays with the returned backend.
-func (s *Server) startup(conn net.Conn) (net.Conn, *pgproto3.Backend, *pgproto3.StartupMessage, error) {
+// receiveStartup handles the first messages of a client: encryption requests, a
+// cancel request or the start-up message. Input that was received after the
+// start-up message stays buffered in the returned backend. The returned message
+// is nil after a cancel request.
+func (s *Server) receiveStartup(conn net.Conn) (net.Conn, *pgproto3.Backend, *pgproto3.StartupMessage, error) {
 	backend := newBackend(conn)
 	for {
 		msg, err := backend.ReceiveStartupMessage()
 		if err != nil {
-			return nil, nil, nil, eris.Wrap(err, "start-up message")
+			return nil, nil, nil, eris.Wrap(err, "receive start-up message")
 		}
 		switch m := msg.(type) {
 		case *pgproto3.StartupMessage:
@@ -255,14 +264,15 @@
 				break
 			}
 			if conn, err = s.startTLS(conn); err == nil {
-				// What was sent in plain text behind the request is dropped.
+				// Drops plain-text input that was sent after the TLS request, which an
+				// attacker could have injected.
 				backend = newBackend(conn)
 			}
 		default:
 			_, err = conn.Write([]byte{'N'})
 		}
 		if err != nil {
-			return nil, nil, nil, eris.Wrap(err, "encryption request")
+			return nil, nil, nil, eris.Wrap(err, "answer encryption request")
 		}
 	}
 }
@@ -281,8 +291,9 @@
 	return t, t.Handshake()
 }
 
-// readLogin asks for the customer's key. A client that sends no user name
-// connects to a route that is open to all, and is not asked.
+// readLogin requests the customer's key as a clear-text password. Every client is
+// asked, including those of public routes. The route is the database name, or the
+// user name if no database is given.
 func readLogin(backend *pgproto3.Backend, m *pgproto3.StartupMessage) (Login, error) {
 	l := Login{Customer: m.Parameters["user"], Route: m.Parameters["database"], Parameters: m.Parameters}
 	if l.Route == "" {
@@ -301,14 +312,15 @@
 	}
 	p, ok := msg.(*pgproto3.PasswordMessage)
 	if !ok {
-		return l, eris.Errorf("message %T in place of the password", msg)
+		return l, eris.Errorf("received message %T instead of a password", msg)
 	}
 	l.Key = p.Password
 	return l, nil
 }
 
-// read frames requests until the client leaves.
-func read(backend *pgproto3.Backend, c *Client, sess Session) {
+// readRequests passes the client's requests to the session until the client
+// disconnects or the session ends.
+func readRequests(backend *pgproto3.Backend, c *Client, sess Session) {
 	var framer pgwire.Framer
 	for {
 		msg, err := backend.Receive()
@@ -326,11 +338,11 @@
 		if err != nil {
 			c.Send(pgwire.Refuse(session.Outcome{Kind: session.NotRun, Reason: session.StatementTooLarge, Detail: err.Error()}, true))
 			c.Finish()
-			skip(backend)
+			discardInput(backend)
 			return
 		}
 		if batch != nil && !sess.Request(batch) {
-			skip(backend)
+			discardInput(backend)
 			return
 		}
 	}
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -16,66 +16,67 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// client is the session of one client. Its fields are used only by the worker
-// that runs its queue, unless they say otherwise.
-type client struct {
+// clientSession is the session of one client. Its fields are used only by events
+// of its queue, unless a comment says otherwise.
+type clientSession struct {
 	sessions   *Sessions
-	st         *state.Session
+	st         *state.Session // entry of the session table
 	out        *pgserver.Client
 	queue      *pool.Queue
-	statements pgwire.Statements
-	secret     uint32 // constant
+	statements pgwire.Statements // prepared statements of the client
+	secret     uint32            // authenticates cancel requests; constant
 
-	// idle holds a value while no request runs. The reader takes it before it
-	// posts a request.
-	idle  chan struct{}
-	ended chan struct{} // closed when the session has ended
-	once  sync.Once     // closes ended
+	// idle holds one value while no request runs. The reader of the client
+	// connection receives it before it posts a request.
+	idle    chan struct{}
+	ended   chan struct{} // closed when the session has ended
+	endOnce sync.Once     // guards the clean-up in end
 
-	batch    *pgwire.Batch
-	held     [][]byte
-	txStatus byte // status of the last ReadyForQuery; zero before the first
-	timer    *time.Timer
-	wakes    []session.Wake
-	span     trace.Span // of the request
-	hop      trace.Span // of the request on a backend server
+	batch       *pgwire.Batch // the current request
+	heldParts   [][]byte      // parts of the response, until FlushHeld or DropHeld
+	txStatus    byte          // status of the last ReadyForQuery; zero before the first
+	timer       *time.Timer
+	wakeUps     []session.Wake // scheduled calls of Decider.Woken
+	requestSpan trace.Span     // nil if no request runs
+	backendSpan trace.Span     // nil if no backend server runs the request
 }
 
-// post runs a decision on the client's queue. It reports false if the session
-// has ended.
-func (c *client) post(decide func(now time.Time) []session.Effect) bool {
+// post queues a decision. It returns false if the session has ended.
+func (c *clientSession) post(decide func(now time.Time) []session.Effect) bool {
 	return c.queue.PostAlways(func() { c.run(decide) })
 }
 
-func (c *client) run(decide func(now time.Time) []session.Effect) {
+// run makes a decision under the session's lock and then executes its effects.
+func (c *clientSession) run(decide func(now time.Time) []session.Effect) {
 	now := time.Now()
 	c.st.Lock()
 	effects := decide(now)
 	c.st.Unlock()
 	for _, e := range effects {
-		c.perform(e, now)
+		c.execute(e, now)
 	}
 }
 
 // Request implements pgserver.Session.
-func (c *client) Request(b *pgwire.Batch) bool {
+func (c *clientSession) Request(b *pgwire.Batch) bool {
 	select {
 	case <-c.idle:
 	case <-c.ended:
 		return false
 	}
-	return c.queue.PostAlways(func() { c.start(b) })
+	return c.queue.PostAlways(func() { c.startRequest(b) })
 }
 
-// Gone implements pgserver.Session.
-func (c *client) Gone() {
+// Disconnected implements pgserver.Session.
+func (c *clientSession) Disconnected() {
 	c.post(func(time.Time) []session.Effect { return c.sessions.Decider.Gone(c.st) })
 	c.queue.PostAlways(c.end)
 }
 
-// end forgets the session. It runs on the client's queue.
-func (c *client) end() {
-	c.once.Do(func() {
+// end removes the session and releases its resources. It runs as an event of the
+// queue.
+func (c *clientSession) end() {
+	c.endOnce.Do(func() {
 		close(c.ended)
 		if c.timer != nil {
 			c.timer.Stop()
@@ -88,16 +89,17 @@
 	})
 }
 
-// start begins a request.
-func (c *client) start(b *pgwire.Batch) {
+// startRequest begins a request. Settings of the proxy and unsupported statements
+// are answered here; all other requests go to the decider.
+func (c *clientSession) startRequest(b *pgwire.Batch) {
 	if b.OnlySync {
-		c.ready()
+		c.sendReady()
 		return
 	}
 	c.statements.Analyse(b)
 	c.batch = b
 	if b.Setting != nil && b.Setting.Own() {
-		c.finish(session.Finish{Outcome: c.ownSetting(b)})
+		c.finish(session.Finish{Outcome: c.executeSetting(b)})
 		return
 	}
 	if b.Unsupported != "" {
@@ -116,15 +118,16 @@
 			Idempotent:   c.st.Idempotent || b.Hints.Idempotent,
 			MaxStaleness: b.Hints.MaxStaleness,
 			Arrived:      now,
-			Deadline:     now.Add(c.deadline()),
+			Deadline:     now.Add(c.requestTimeout()),
 		}
-		c.startSpan(r)
+		c.startRequestSpan(r)
 		return c.sessions.Decider.Arrive(c.st, r, now)
 	})
 }
 
-// deadline returns the longest time that a request of the session may take.
-func (c *client) deadline() time.Duration {
+// requestTimeout returns the time from the arrival of a request of this session to
+// its deadline.
+func (c *clientSession) requestTimeout() time.Duration {
 	if cfg := c.sessions.Tables.Config.Current(); cfg != nil {
 		if r := cfg.Routes[c.st.Route]; r != nil && r.Deadline > 0 {
 			return r.Deadline
@@ -133,8 +136,8 @@
 	return c.sessions.DefaultDeadline
 }
 
-// perform carries out an effect.
-func (c *client) perform(e session.Effect, now time.Time) {
+// execute carries out an effect.
+func (c *clientSession) execute(e session.Effect, now time.Time) {
 	s := c.sessions
 	switch e := e.(type) {
 	case session.Acquire:
@@ -146,21 +149,21 @@
 	case session.Forward:
 		c.out.Write(e.Part.([]byte))
 	case session.Hold:
-		c.held = append(c.held, e.Part.([]byte))
+		c.heldParts = append(c.heldParts, e.Part.([]byte))
 	case session.FlushHeld:
-		for _, b := range c.held {
+		for _, b := range c.heldParts {
 			c.out.Write(b)
 		}
-		c.held = nil
+		c.heldParts = nil
 	case session.DropHeld:
-		c.held = nil
+		c.heldParts = nil
 	case session.Finish:
 		c.finish(e)
 	case session.Release:
-		c.endHop()
+		c.endBackendSpan()
 		s.backends.Release(e.Server, e.Conn, now)
 	case session.Discard:
-		c.endHop()
+		c.endBackendSpan()
 		s.backends.Discard(e.Conn)
 	case session.CancelBackend:
 		s.backends.Cancel(e.Conn)
@@ -169,7 +172,7 @@
 	case session.WithdrawAwait:
 		s.groups.Withdraw(e.Group, e.ID)
 	case session.Wake:
-		c.wake(e)
+		c.scheduleWake(e)
 	case session.ReportToken:
 		c.out.Send(&pgproto3.ParameterStatus{Name: pgwire.SettingSession, Value: c.token()})
 	case session.Suspect:
@@ -177,11 +180,13 @@
 	case session.AdvanceLimits:
 		s.limits.Advance(e.At)
 	case session.CloseClient:
-		c.close(e.Outcome)
+		c.closeWithError(e.Outcome)
 	}
 }
 
-func (c *client) acquire(e session.Acquire, now time.Time) {
+// acquire requests a connection to a backend server. A server that is no longer
+// configured counts as a refusal.
+func (c *clientSession) acquire(e session.Acquire, now time.Time) {
 	cfg := c.sessions.Tables.Config.Current()
 	for _, g := range cfg.Groups {
 		if server := g.Server(e.Server); server != nil {
@@ -192,24 +197,24 @@
 	c.sessions.NotGranted(e.Waiter.ID, 0)
 }
 
-// send hands the request to the backend connection.
-func (c *client) send(e session.Send) {
+// send sends the request on the backend connection.
+func (c *clientSession) send(e session.Send) {
 	s := c.sessions
 	if c.st.TargetsPrimary {
 		s.metrics.onPrimary.Inc(1)
 	} else {
 		s.metrics.onReplica.Inc(1)
 	}
-	c.startHop(e)
-	want := pgwire.Preparation{
+	c.startBackendSpan(e)
+	preparation := pgwire.Preparation{
 		Owner: c.st.ID, Variables: c.st.Variables, ReadOnly: e.ReadOnly, InTransaction: c.st.InTransaction,
 		Lookup: func(name string) *pgproto3.Parse { return c.statements[name] },
 	}
 	if e.Opening != nil {
-		want.Opening = e.Opening.(*pgwire.Batch)
+		preparation.Opening = e.Opening.(*pgwire.Batch)
 	}
-	ok := s.backends.Send(e.Conn, c, e.Request, c.batch, func(w *pgwire.Connection) pgwire.Prepared {
-		return w.Prepare(want, c.batch)
+	ok := s.backends.Send(e.Conn, c, e.Request, c.batch, func(pc *pgwire.Connection) pgwire.Prepared {
+		return pc.Prepare(preparation, c.batch)
 	})
 	if !ok {
 		c.post(func(now time.Time) []session.Effect {
@@ -218,8 +223,8 @@
 	}
 }
 
-// Part implements pgbackend.Sink.
-func (c *client) Part(conn state.ConnID, request uint64, p pgwire.Part) {
+// HandlePart implements pgbackend.ResponseHandler.
+func (c *clientSession) HandlePart(conn state.ConnID, request uint64, p pgwire.Part) {
 	if !c.out.Wait() {
 		return
 	}
@@ -230,11 +235,11 @@
 	})
 }
 
-// Ended implements pgbackend.Sink.
-func (c *client) Ended(conn state.ConnID, request uint64, end session.End, prepared int) {
+// HandleEnd implements pgbackend.ResponseHandler.
+func (c *clientSession) HandleEnd(conn state.ConnID, request uint64, end session.End, prepared int) {
 	posted := c.queue.PostAlways(func() {
 		if c.st.Conn == conn && c.st.Request.Number == request && c.st.Phase == state.PhaseExecuting {
-			c.answered(conn, end, prepared)
+			c.recordResponse(conn, end, prepared)
 		}
 		c.run(func(now time.Time) []session.Effect {
 			return c.sessions.Decider.Ended(c.st, conn, request, end, now)
@@ -245,43 +250,46 @@
 	}
 }
 
-// answered updates what is known of prepared statements and settings.
-func (c *client) answered(conn state.ConnID, end session.End, prepared int) {
+// recordResponse updates the transaction status, the prepared statements and the
+// settings of the session after a response.
+func (c *clientSession) recordResponse(conn state.ConnID, end session.End, prepared int) {
 	c.txStatus = end.Status
 	c.statements.Prepared(c.batch, prepared)
 	if c.batch.Setting == nil || end.ErrorCode != "" {
 		return
 	}
-	c.sessions.backends.Wire(conn, func(w *pgwire.Connection) {
+	c.sessions.backends.WithProtocolState(conn, func(pc *pgwire.Connection) {
 		vars, ok := pgwire.Remember(c.st.Variables, c.batch.Setting)
 		if end.InTransaction || !ok {
-			w.Changed()
+			pc.Changed()
 			return
 		}
 		c.st.Lock()
 		c.st.Variables = vars
 		c.st.Unlock()
-		w.SettingChanged(vars)
+		pc.SettingChanged(vars)
 	})
 }
 
-// Lost implements pgbackend.Sink.
-func (c *client) Lost(conn state.ConnID, request uint64) {
+// HandleConnLost implements pgbackend.ResponseHandler.
+func (c *clientSession) HandleConnLost(conn state.ConnID, request uint64) {
 	c.post(func(now time.Time) []session.Effect {
 		return c.sessions.Decider.Lost(c.st, conn, request, now)
 	})
 }
 
-// finish tells the client how its request ended and lets the next one in.
-func (c *client) finish(e session.Finish) {
+// finish ends the request. The client is sent the error if the request was not
+// answered, and the next request may start.
+func (c *clientSession) finish(e session.Finish) {
 	c.sessions.metrics.outcome(e.Outcome)
-	if c.span != nil {
+	if c.requestSpan != nil {
 		c.sessions.metrics.latency.RecordDuration(time.Since(c.st.Request.Arrived))
 	}
 	c.endSpans(e.Outcome)
 	if e.Outcome.Kind != session.Answered {
 		if c.out.Full() {
-			// The reader of the backend connection waits for this client.
+			// The client does not read, and HandlePart blocks the reader of the
+			// backend connection until the output drains.
 			c.out.Abort()
 		}
 		c.out.Send(pgwire.Refuse(e.Outcome, false))
@@ -292,10 +300,11 @@
 		return
 	}
 	c.batch = nil
-	c.ready()
+	c.sendReady()
 }
 
-func (c *client) ready() {
+// sendReady sends ReadyForQuery and lets the next request start.
+func (c *clientSession) sendReady() {
 	status := c.txStatus
 	if status == 0 || !c.st.InTransaction {
 		status = 'I'
@@ -304,95 +313,98 @@
 	c.idle <- struct{}{}
 }
 
-// close ends the session after telling the client why.
-func (c *client) close(out session.Outcome) {
+// closeWithError sends the client the reason and ends the session.
+func (c *clientSession) closeWithError(out session.Outcome) {
 	c.sessions.metrics.outcome(out)
 	c.out.Send(pgwire.Refuse(out, true))
 	c.end()
 }
 
-// wake arms the client's timer for a call of Woken.
-func (c *client) wake(w session.Wake) {
-	kept := c.wakes[:0]
-	for _, old := range c.wakes {
+// scheduleWake schedules a call of Decider.Woken, and drops the scheduled calls for
+// earlier requests.
+func (c *clientSession) scheduleWake(w session.Wake) {
+	remaining := c.wakeUps[:0]
+	for _, old := range c.wakeUps {
 		if old.Request == w.Request {
-			kept = append(kept, old)
+			remaining = append(remaining, old)
 		}
 	}
-	c.wakes = append(kept, w)
-	c.arm()
+	c.wakeUps = append(remaining, w)
+	c.armTimer()
 }
 
-func (c *client) arm() {
-	if len(c.wakes) == 0 {
+// armTimer sets the timer to the earliest scheduled call.
+func (c *clientSession) armTimer() {
+	if len(c.wakeUps) == 0 {
 		return
 	}
-	next := c.wakes[0].At
-	for _, w := range c.wakes[1:] {
+	next := c.wakeUps[0].At
+	for _, w := range c.wakeUps[1:] {
 		if w.At.Before(next) {
 			next = w.At
 		}
 	}
 	delay := time.Until(next)
 	if c.timer == nil {
-		c.timer = time.AfterFunc(delay, func() { c.queue.PostAlways(c.timeout) })
+		c.timer = time.AfterFunc(delay, func() { c.queue.PostAlways(c.timerFired) })
 		return
 	}
 	c.timer.Reset(delay)
 }
 
-func (c *client) timeout() {
+// timerFired makes the scheduled calls that are due.
+func (c *clientSession) timerFired() {
 	now := time.Now()
-	kept := c.wakes[:0]
+	remaining := c.wakeUps[:0]
 	var due []session.Wake
-	for _, w := range c.wakes {
+	for _, w := range c.wakeUps {
 		if w.At.After(now) {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		due = append(due, w)
 	}
-	c.wakes = kept
+	c.wakeUps = remaining
 	for _, w := range due {
 		c.run(func(now time.Time) []session.Effect { return c.sessions.Decider.Woken(c.st, w.Request, now) })
 	}
-	c.arm()
+	c.armTimer()
 }
 
-func (c *client) startSpan(r state.Request) {
-	_, c.span = c.sessions.Tracer.Start(context.Background(), "request", trace.WithAttributes(
+func (c *clientSession) startRequestSpan(r state.Request) {
+	_, c.requestSpan = c.sessions.Tracer.Start(context.Background(), "request", trace.WithAttributes(
 		attribute.String("customer", c.st.Customer),
 		attribute.String("route", c.st.Route),
 		attribute.String("vm", c.sessions.Tables.Self.Name),
 	))
 }
 
-func (c *client) startHop(e session.Send) {
-	if c.span == nil {
+func (c *clientSession) startBackendSpan(e session.Send) {
+	if c.requestSpan == nil {
 		return
 	}
-	ctx := trace.ContextWithSpan(context.Background(), c.span)
-	_, c.hop = c.sessions.Tracer.Start(ctx, "backend", trace.WithAttributes(
+	ctx := trace.ContextWithSpan(context.Background(), c.requestSpan)
+	_, c.backendSpan = c.sessions.Tracer.Start(ctx, "backend", trace.WithAttributes(
 		attribute.String("server", c.st.Server),
 		attribute.Bool("read_only", e.ReadOnly),
 	))
 }
 
-func (c *client) endHop() {
-	if c.hop != nil {
-		c.hop.End()
-		c.hop = nil
+func (c *clientSession) endBackendSpan() {
+	if c.backendSpan != nil {
+		c.backendSpan.End()
+		c.backendSpan = nil
 	}
 }
 
-func (c *client) endSpans(out session.Outcome) {
-	c.endHop()
-	if c.span == nil {
+func (c *clientSession) endSpans(out session.Outcome) {
+	c.endBackendSpan()
+	if c.requestSpan == nil {
 		return
 	}
 	if out.Kind != session.Answered {
-		c.span.SetAttributes(attribute.String("refused", out.Reason.String()))
+		c.requestSpan.SetAttributes(attribute.String("refused", out.Reason.String()))
 	}
-	c.span.End()
-	c.span = nil
+	c.requestSpan.End()
+	c.requestSpan = nil
 }
--- a/transport/sessions/metrics.go
+++ b/transport/sessions/metrics.go
@@ -8,7 +8,8 @@
 	"github.com/chestnutdyke/chestnutdyke/coordination/session"
 )
 
-// latencyBuckets cover a local read to a request that waits for a failover.
+// latencyBuckets range from the latency of a local read to that of a request that
+// waits for a failover: 250 µs to 8.2 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(250*time.Microsecond, 2, 16)
 
 type metrics struct {
@@ -27,7 +28,7 @@
 	outcome := func(kind string) tally.Counter {
 		return scope.Tagged(map[string]string{"outcome": kind}).Counter("requests")
 	}
-	server := func(role string) tally.Counter {
+	sentTo := func(role string) tally.Counter {
 		return scope.Tagged(map[string]string{"role": role}).Counter("requests_sent")
 	}
 	return metrics{
@@ -35,14 +36,15 @@
 		answered:  outcome("answered"),
 		notRun:    outcome("not_run"),
 		unknown:   outcome("unknown"),
-		onReplica: server("replica"),
-		onPrimary: server("primary"),
+		onReplica: sentTo("replica"),
+		onPrimary: sentTo("primary"),
 		retries:   scope.Counter("retries"),
 		latency:   scope.Histogram("request_latency", latencyBuckets),
 		scope:     scope,
 	}
 }
 
+// outcome counts a finished request, and the reason if it was not answered.
 func (m *metrics) outcome(out session.Outcome) {
 	switch out.Kind {
 	case session.Answered:
--- a/transport/sessions/sessions.go
+++ b/transport/sessions/sessions.go
@@ -1,6 +1,6 @@
-// Package sessions carries out the decisions of package session: it turns what
-// happens on connections and timers into events on the worker pool, and the
-// effects of decisions into I/O.
+// Package sessions runs the decisions of package session. Activity on connections
+// and timers becomes events on the worker pool, and the effects of decisions
+// become I/O.
 package sessions
 
 import (
@@ -27,43 +27,49 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// Groups waits for positions of database groups.
+// Groups waits for log positions of database groups and takes reports of failed
+// servers. Its methods must not block.
 type Groups interface {
+	// Wait adds a waiter. Its result is passed to Sessions.Resolved.
 	Wait(group string, w state.PositionWaiter)
+	// Withdraw removes a waiter.
 	Withdraw(group string, id state.WaiterID)
+	// Suspect reports a failed connection or a missing response of a server.
 	Suspect(group, server string)
 }
 
-// Limits decides on requests that wait for tokens of their customer's limit.
+// Limits admits requests that wait for tokens of their customer's rate limit. The
+// decisions are passed to Sessions.Admitted.
 type Limits interface {
-	// Advance looks at waiting requests and loans at the given time at the latest.
+	// Advance processes waiting requests and loans no later than the given time.
 	Advance(at time.Time)
 }
 
-// Options are the parts that Sessions works with.
+// Options are the dependencies and settings of Sessions. All fields are required.
 type Options struct {
 	Pool    *pool.Pool
 	Tables  *state.Tables
 	Decider *session.Decider
 	Secret  []byte // signs session tokens
-	// Index returns this VM's number in the configuration, by which other VMs find
-	// it when they get a cancel request for one of its sessions.
+	// Index returns this VM's index in the configuration, or false if the VM is not
+	// listed. Other VMs use it to forward cancel requests to this VM.
 	Index func() (uint16, bool)
-	// ForwardCancel passes a cancel request on to the VM with the given number. It
+	// ForwardCancel forwards a cancel request to the VM with the given index. It
 	// must not block.
 	ForwardCancel func(index uint16, session, secret uint32)
-	MaxSessions   int
-	// QueueLimit bounds the events that wait for one session. Parts of an answer
-	// fill it; the reader of the backend connection then stops.
+	// MaxSessions limits the open sessions; further logins are refused.
+	MaxSessions int
+	// QueueLimit limits the queued events per session. When the parts of a response
+	// fill the queue, the backend connection is not read until there is space.
 	QueueLimit int
-	// DefaultDeadline is the deadline of requests on routes that state none.
+	// DefaultDeadline is the time limit of requests on routes without a deadline.
 	DefaultDeadline time.Duration
 	Logger          log.Interface
 	Scope           tally.Scope
 	Tracer          trace.Tracer
 }
 
-// Sessions are the sessions of this VM.
+// Sessions manages the sessions of this VM.
 type Sessions struct {
 	Options
 	backends *pgbackend.Backends
@@ -72,25 +78,26 @@
 	metrics  metrics
 
 	mu       sync.Mutex // guards the fields below; no other lock is taken under it
-	byID     map[uint64]*client
-	byCancel map[uint32]*client // by cancelSession of its identifier
+	byID     map[uint64]*clientSession
+	byCancel map[uint32]*clientSession // by cancelID of the session's ID
 	draining bool
-	drained  bool          // empty is closed
-	empty    chan struct{} // closed when draining and no session is left
+	drained  bool          // allEnded is closed
+	allEnded chan struct{} // closed when draining and no session remains
 }
 
-// New returns Sessions without sessions. Connect must be called before the
-// first login.
+// New returns a manager without sessions. Connect must be called before the first
+// login.
 func New(o Options) *Sessions {
-	return &Sessions{Options: o, metrics: newMetrics(o.Scope), byID: make(map[uint64]*client), byCancel: make(map[uint32]*client), empty: make(chan struct{})}
+	return &Sessions{Options: o, metrics: newMetrics(o.Scope), byID: make(map[uint64]*clientSession), byCancel: make(map[uint32]*clientSession), allEnded: make(chan struct{})}
 }
 
-// Connect sets the parts that need Sessions themselves.
+// Connect sets the dependencies that in turn depend on Sessions.
 func (s *Sessions) Connect(b *pgbackend.Backends, g Groups, l Limits) {
 	s.backends, s.groups, s.limits = b, g, l
 }
 
-// Login implements pgserver.Sessions. The decision runs on the worker pool.
+// Login implements pgserver.Sessions. It blocks until a worker of the pool has made
+// the decision.
 func (s *Sessions) Login(out *pgserver.Client, l pgserver.Login) (pgserver.Session, *session.Outcome) {
 	st := s.Tables.Sessions.Add()
 	st.Lock()
@@ -98,7 +105,7 @@
 	st.Route = l.Route
 	st.Key, st.HasKey = sha256.Sum256([]byte(l.Key)), l.Key != ""
 	st.Unlock()
-	c := &client{
+	c := &clientSession{
 		sessions:   s,
 		st:         st,
 		out:        out,
@@ -121,8 +128,9 @@
 	return c, nil
 }
 
-// login decides whether the session is opened, and welcomes the client.
-func (c *client) login(parameters map[string]string) *session.Outcome {
+// login returns the reason if the login is refused. Otherwise it registers the
+// session and completes the start-up of the client.
+func (c *clientSession) login(parameters map[string]string) *session.Outcome {
 	c.st.Lock()
 	refused := c.sessions.Decider.Login(c.st, time.Now())
 	c.st.Unlock()
@@ -141,8 +149,8 @@
 	return nil
 }
 
-// welcome tells the client that it is logged in.
-func (c *client) welcome() {
+// welcome sends the messages that complete the client's start-up.
+func (c *clientSession) welcome() {
 	messages := []pgproto3.BackendMessage{
 		&pgproto3.AuthenticationOk{},
 		&pgproto3.ParameterStatus{Name: "server_version", Value: "15.0"},
@@ -158,8 +166,8 @@
 	c.out.Send(messages...)
 }
 
-// add registers the session, or returns why it is refused.
-func (s *Sessions) add(c *client) *session.Outcome {
+// add registers the session. It returns the reason if the session is refused.
+func (s *Sessions) add(c *clientSession) *session.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -169,72 +177,75 @@
 		return &session.Outcome{Kind: session.NotRun, Reason: session.TooManySessions}
 	}
 	s.byID[c.st.ID] = c
-	s.byCancel[cancelSession(c.st.ID)] = c
+	s.byCancel[cancelID(c.st.ID)] = c
 	s.metrics.sessions.Update(float64(len(s.byID)))
 	return nil
 }
 
-func (s *Sessions) remove(c *client) {
+func (s *Sessions) remove(c *clientSession) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.byID[c.st.ID]; !ok {
 		return
 	}
 	delete(s.byID, c.st.ID)
-	if key := cancelSession(c.st.ID); s.byCancel[key] == c {
+	if key := cancelID(c.st.ID); s.byCancel[key] == c {
 		delete(s.byCancel, key)
 	}
 	s.metrics.sessions.Update(float64(len(s.byID)))
-	s.signalEmpty()
+	s.signalDrained()
 }
 
-// signalEmpty is called with mu held.
-func (s *Sessions) signalEmpty() {
+// signalDrained closes allEnded if Drain was called and no session remains. The
+// caller holds mu.
+func (s *Sessions) signalDrained() {
 	if s.draining && len(s.byID) == 0 && !s.drained {
 		s.drained = true
-		close(s.empty)
+		close(s.allEnded)
 	}
 }
 
-func (s *Sessions) lookup(id uint64) *client {
+func (s *Sessions) lookup(id uint64) *clientSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byID[id]
 }
 
-func (s *Sessions) all() []*client {
+func (s *Sessions) snapshot() []*clientSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]*client, 0, len(s.byID))
+	all := make([]*clientSession, 0, len(s.byID))
 	for _, c := range s.byID {
 		all = append(all, c)
 	}
 	return all
 }
 
-// Drain refuses new sessions and closes each session once it has neither a
-// request nor a transaction. The channel is closed when none is left.
+// Drain refuses new sessions and closes each session as soon as it has neither a
+// running request nor an open transaction. The returned channel is closed when no
+// session remains.
 func (s *Sessions) Drain() <-chan struct{} {
 	s.mu.Lock()
 	s.draining = true
-	s.signalEmpty()
-	empty := s.empty
+	s.signalDrained()
+	allEnded := s.allEnded
 	s.mu.Unlock()
-	for _, c := range s.all() {
+	for _, c := range s.snapshot() {
 		c.post(func(time.Time) []session.Effect { return s.Decider.Drain(c.st) })
 	}
-	return empty
+	return allEnded
 }
 
-// Resume accepts sessions again after Drain. Sessions that are still open stay.
+// Resume accepts new sessions again after Drain. Sessions that are still open are
+// kept.
 func (s *Sessions) Resume() {
 	s.mu.Lock()
 	if s.drained {
-		s.empty = make(chan struct{})
+		s.allEnded = make(chan struct{})
 	}
 	s.draining, s.drained = false, false
 	s.mu.Unlock()
-	for _, c := range s.all() {
+	for _, c := range s.snapshot() {
 		c.post(func(time.Time) []session.Effect {
 			c.st.Draining = false
 			return nil
@@ -242,37 +253,39 @@
 	}
 }
 
-// Close ends all sessions at once.
+// Close ends all sessions immediately, as if their clients had disconnected.
 func (s *Sessions) Close() {
-	for _, c := range s.all() {
-		c.Gone()
+	for _, c := range s.snapshot() {
+		c.Disconnected()
 	}
 }
 
-// A cancel request names a session by a number of 32 bits, and the load balancer
-// may send it to any VM. The upper bits are the number of the session's VM.
-const cancelSessionBits = 22
+// cancelIDBits is the number of low bits of a process ID that identify the session
+// on its VM. The 10 high bits are the index of that VM, because a load balancer can
+// send a cancel request to any VM.
+const cancelIDBits = 22
 
-func cancelSession(id uint64) uint32 { return uint32(id) & (1<<cancelSessionBits - 1) }
+func cancelID(id uint64) uint32 { return uint32(id) & (1<<cancelIDBits - 1) }
 
-// processID is the number by which the client's cancel requests name the session.
-func (c *client) processID() uint32 {
+// processID returns the identifier of the session in cancel requests.
+func (c *clientSession) processID() uint32 {
 	index, _ := c.sessions.Index()
-	return uint32(index)<<cancelSessionBits | cancelSession(c.st.ID)
+	return uint32(index)<<cancelIDBits | cancelID(c.st.ID)
 }
 
-// Cancel implements pgserver.Sessions.
+// Cancel implements pgserver.Sessions. A request for a session of another VM is
+// forwarded.
 func (s *Sessions) Cancel(processID, secret uint32) {
-	index := uint16(processID >> cancelSessionBits)
+	index := uint16(processID >> cancelIDBits)
 	if own, listed := s.Index(); listed && own != index {
-		s.ForwardCancel(index, processID&(1<<cancelSessionBits-1), secret)
+		s.ForwardCancel(index, processID&(1<<cancelIDBits-1), secret)
 		return
 	}
-	s.CancelOwn(processID&(1<<cancelSessionBits-1), secret)
+	s.CancelOwn(processID&(1<<cancelIDBits-1), secret)
 }
 
-// CancelOwn cancels the request of a session of this VM. A wrong secret has no
-// effect.
+// CancelOwn cancels the running request of a session of this VM. The ID is the low
+// part of the process ID. An unknown ID or a wrong secret has no effect.
 func (s *Sessions) CancelOwn(id, secret uint32) {
 	s.mu.Lock()
 	c := s.byCancel[id]
@@ -302,7 +315,7 @@
 	}
 }
 
-// Resolved takes the result of a wait for positions.
+// Resolved passes the result of Groups.Wait to the waiting session.
 func (s *Sessions) Resolved(id state.WaiterID, r replication.Result) {
 	if c := s.lookup(id.Session); c != nil {
 		c.post(func(now time.Time) []session.Effect {
@@ -311,7 +324,7 @@
 	}
 }
 
-// Admitted takes the decision on a request that waited for a token.
+// Admitted passes the decision on a request that waited for tokens to its session.
 func (s *Sessions) Admitted(d share.Decision) {
 	if c := s.lookup(d.ID.Session); c != nil {
 		c.post(func(now time.Time) []session.Effect {
@@ -320,16 +333,18 @@
 	}
 }
 
+// newSecret returns a random number that authenticates cancel requests.
 func newSecret() uint32 {
 	var b [4]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic("no random numbers: " + err.Error())
+		panic("read random bytes: " + err.Error())
 	}
 	return binary.BigEndian.Uint32(b[:])
 }
 
-// token returns the client's session token. The session must not be locked.
-func (c *client) token() string {
+// token returns the encoded session token. The caller must not hold the session's
+// lock.
+func (c *clientSession) token() string {
 	c.st.Lock()
 	defer c.st.Unlock()
 	return token.Encode(c.sessions.Secret, c.st.Customer, c.st.Token)
--- a/transport/sessions/settings.go
+++ b/transport/sessions/settings.go
@@ -12,9 +12,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// applyParameters applies the proxy's own settings among the start-up
-// parameters, and returns the refusal if one has an invalid value.
-func (c *client) applyParameters(parameters map[string]string) *session.Outcome {
+// applyParameters applies those start-up parameters that are settings of the proxy.
+// It returns the refusal if a name or a value is invalid, and otherwise nil.
+func (c *clientSession) applyParameters(parameters map[string]string) *session.Outcome {
 	for name, value := range parameters {
 		name = strings.ToLower(name)
 		if !strings.HasPrefix(name, pgwire.Prefix) {
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// ownSetting carries out a SET, RESET or SHOW of one of the proxy's settings
-// and queues its answer. The end of the request is left to the caller.
-func (c *client) ownSetting(b *pgwire.Batch) session.Outcome {
+// executeSetting executes a SET, RESET or SHOW of one of the proxy's settings and
+// queues the response. The caller ends the request.
+func (c *clientSession) executeSetting(b *pgwire.Batch) session.Outcome {
 	s := b.Setting
 	switch s.Verb {
 	case pgwire.ShowVerb:
@@ -49,11 +49,12 @@
 	return session.Outcome{Kind: session.Answered}
 }
 
-func (c *client) set(name, value string) session.Outcome {
+// set changes one of the proxy's settings.
+func (c *clientSession) set(name, value string) session.Outcome {
 	invalid := session.Refused(session.ParameterInvalid)
 	switch name {
 	case pgwire.SettingSession:
-		return c.present(value)
+		return c.mergeToken(value)
 	case pgwire.SettingMaxStaleness:
 		d, err := time.ParseDuration(value)
 		if err != nil || d < 0 {
@@ -62,7 +63,7 @@
 		}
 		c.update(func(s *state.Session) { s.MaxStaleness = d })
 	case pgwire.SettingIdempotent:
-		on, ok := parseSwitch(value)
+		on, ok := parseBool(value)
 		if !ok {
 			invalid.Detail = name + " takes on or off"
 			return invalid
@@ -75,10 +76,11 @@
 	return session.Outcome{Kind: session.Answered}
 }
 
-// present takes the session token of a client that comes from another VM.
-func (c *client) present(text string) session.Outcome {
-	points, verdict := token.Decode(c.sessions.Secret, c.st.Customer, text)
-	switch verdict {
+// mergeToken adds the positions in a session token to those of the session. Clients
+// send the token of their previous session, which may have been on another VM.
+func (c *clientSession) mergeToken(text string) session.Outcome {
+	points, validity := token.Decode(c.sessions.Secret, c.st.Customer, text)
+	switch validity {
 	case token.Invalid:
 		return session.Refused(session.TokenInvalid)
 	case token.Foreign:
@@ -93,7 +95,8 @@
 	return session.Outcome{Kind: session.Answered}
 }
 
-func (c *client) reset(name string) {
+// reset restores the default value of a setting. The session token is kept.
+func (c *clientSession) reset(name string) {
 	switch name {
 	case pgwire.SettingMaxStaleness:
 		c.update(func(s *state.Session) { s.MaxStaleness = 0 })
@@ -102,7 +105,7 @@
 	}
 }
 
-func (c *client) show(name string) string {
+func (c *clientSession) show(name string) string {
 	switch name {
 	case pgwire.SettingSession:
 		return c.token()
@@ -117,13 +120,14 @@
 	return ""
 }
 
-func (c *client) update(f func(s *state.Session)) {
+// update changes the session's state under its lock.
+func (c *clientSession) update(f func(s *state.Session)) {
 	c.st.Lock()
 	defer c.st.Unlock()
 	f(c.st)
 }
 
-func parseSwitch(value string) (on, ok bool) {
+func parseBool(value string) (on, ok bool) {
 	switch strings.ToLower(value) {
 	case "on", "true", "1":
 		return true, true
