--- a/transport/groupctl/http.go
+++ b/transport/groupctl/http.go
@@ -19,59 +19,58 @@
 )
 
 const (
-	// idlePerServer is the number of idle connections kept per server: one for
-	// status queries, and one for an order that runs at the same time.
-	idlePerServer = 2
-	// idleTimeout closes the connections to servers that this VM no longer asks.
-	idleTimeout = 30 * time.Second
-	// maxAnswer bounds the body of an answer in bytes. A status with 16 terms
-	// takes about 1 KB.
-	maxAnswer = 64 << 10
+	// maxIdleConnsPerServer allows for one status query and one concurrent command.
+	maxIdleConnsPerServer = 2
+	// idleConnTimeout closes connections to servers that this VM no longer queries.
+	idleConnTimeout = 30 * time.Second
+	// maxResponseBytes limits the body of a response. A status with 16 terms takes
+	// about 1 KB.
+	maxResponseBytes = 64 << 10
 )
 
-// ErrClosed is returned for calls after Close.
+// ErrClosed is returned by calls made after HTTP.Close.
 var ErrClosed = errors.New("control client is closed")
 
-// HTTP makes clients that use HTTP with JSON. Connections are kept and shared
-// by all clients of the same address.
+// HTTP creates clients that use JSON over HTTP. Clients for the same address share
+// persistent connections.
 type HTTP struct {
 	client    *http.Client
 	transport *http.Transport
-	base      context.Context // done after Close; ends dials
+	baseCtx   context.Context // done after Close; cancels dials and calls
 	cancel    context.CancelFunc
 
 	mu     sync.Mutex // guards closed and conns
 	closed bool
 	conns  map[*conn]struct{} // open connections
-	calls  sync.WaitGroup     // running calls and dials
+	calls  sync.WaitGroup     // calls and dials in progress
 }
 
-// NewHTTP returns a maker of clients that dial over the given network. Close it
-// after use.
+// NewHTTP returns a factory of clients that dial over the given network. The caller
+// closes it after use.
 func NewHTTP(n network.Network) *HTTP {
 	h := &HTTP{conns: make(map[*conn]struct{})}
-	h.base, h.cancel = context.WithCancel(context.Background())
+	h.baseCtx, h.cancel = context.WithCancel(context.Background())
 	h.transport = &http.Transport{
-		DialContext:         h.dialer(n),
-		MaxIdleConnsPerHost: idlePerServer,
-		IdleConnTimeout:     idleTimeout,
+		DialContext:         h.dialFunc(n),
+		MaxIdleConnsPerHost: maxIdleConnsPerServer,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	h.client = &http.Client{Transport: h.transport, CheckRedirect: refuseRedirect}
 	return h
 }
 
-// refuseRedirect keeps an order from reaching another server than the one it is
-// for.
+// refuseRedirect prevents a command from reaching a server other than the one that
+// it is meant for.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Client returns a client of the server with the given control address. It is
-// a Factory.
+// Client returns a client for the server with the given control address. The method
+// is a Factory.
 func (h *HTTP) Client(controlAddress string) Client {
-	return &httpClient{h: h, base: "http://" + controlAddress}
+	return &httpClient{h: h, baseURL: "http://" + controlAddress}
 }
 
-// Close cancels running calls, waits for them and closes all connections.
+// Close cancels calls in progress, waits for them and closes all connections.
 func (h *HTTP) Close() {
 	h.mu.Lock()
 	h.closed = true
@@ -80,12 +79,12 @@
 	h.calls.Wait()
 	h.transport.CloseIdleConnections()
 	for _, c := range h.openConns() {
-		_ = c.Close() // the connection is given up; its error has no use
+		_ = c.Close() // the error is irrelevant because the connection is no longer used
 	}
 }
 
-// begin registers a call or a dial. It reports false after Close.
-func (h *HTTP) begin() bool {
+// beginCall registers a call or a dial with h.calls. It returns false after Close.
+func (h *HTTP) beginCall() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -105,17 +104,18 @@
 	return open
 }
 
-// dialer tracks connections, because http.Transport completes a dial in the
-// background when the call that asked for it got another connection.
-func (h *HTTP) dialer(n network.Network) func(context.Context, string, string) (net.Conn, error) {
+// dialFunc returns a dial function that tracks connections. Close needs them because
+// http.Transport completes a dial in the background if the call that started it
+// received another connection.
+func (h *HTTP) dialFunc(n network.Network) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		if !h.begin() {
+		if !h.beginCall() {
 			return nil, ErrClosed
 		}
 		defer h.calls.Done()
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(h.base, cancel)()
+		defer context.AfterFunc(h.baseCtx, cancel)()
 		raw, err := n.Dial(ctx, address)
 		if err != nil {
 			return nil, err
@@ -134,7 +134,7 @@
 	h *HTTP
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and stops tracking it.
 func (c *conn) Close() error {
 	c.h.mu.Lock()
 	delete(c.h.conns, c)
@@ -143,8 +143,8 @@
 }
 
 type httpClient struct {
-	h    *HTTP
-	base string
+	h       *HTTP
+	baseURL string
 }
 
 func (c *httpClient) Status(ctx context.Context) (state.ServerStatus, error) {
@@ -171,50 +171,52 @@
 	return c.call(ctx, groupapi.PathResume, groupapi.Order{Term: term})
 }
 
-func (c *httpClient) call(ctx context.Context, path string, order groupapi.Order) (state.ServerStatus, error) {
-	if !c.h.begin() {
+func (c *httpClient) call(ctx context.Context, path string, command groupapi.Order) (state.ServerStatus, error) {
+	if !c.h.beginCall() {
 		return state.ServerStatus{}, ErrClosed
 	}
 	defer c.h.calls.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(c.h.base, cancel)()
+	defer context.AfterFunc(c.h.baseCtx, cancel)()
 
-	body, err := json.Marshal(order)
+	body, err := json.Marshal(command)
 	if err != nil {
-		return state.ServerStatus{}, eris.Wrap(err, "encode order")
+		return state.ServerStatus{}, eris.Wrap(err, "encode control command")
 	}
-	// http.Transport sends a POST again only if no byte of it was written.
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
+	// http.Transport repeats a POST only if no byte of it was written, so the server
+	// receives the command at most once.
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return state.ServerStatus{}, eris.Wrap(err, "make request")
+		return state.ServerStatus{}, eris.Wrap(err, "create request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.h.client.Do(req)
 	if err != nil {
 		return state.ServerStatus{}, eris.Wrapf(err, "call %s", path)
 	}
-	return decode(resp)
+	return decodeResponse(resp)
 }
 
-func decode(resp *http.Response) (state.ServerStatus, error) {
+// decodeResponse reads and closes the body of a response.
+func decodeResponse(resp *http.Response) (state.ServerStatus, error) {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return state.ServerStatus{}, eris.Wrap(err, "read answer")
+		return state.ServerStatus{}, eris.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return state.ServerStatus{}, eris.Errorf("unexpected HTTP status %d", resp.StatusCode)
 	}
-	if len(body) > maxAnswer {
-		return state.ServerStatus{}, eris.Errorf("answer is longer than %d bytes", maxAnswer)
+	if len(body) > maxResponseBytes {
+		return state.ServerStatus{}, eris.Errorf("response exceeds %d bytes", maxResponseBytes)
 	}
-	var answer groupapi.Answer
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return state.ServerStatus{}, eris.Wrap(err, "decode answer")
+	var response groupapi.Answer
+	if err := json.Unmarshal(body, &response); err != nil {
+		return state.ServerStatus{}, eris.Wrap(err, "decode response")
 	}
 	if resp.StatusCode == http.StatusConflict {
-		return answer.Status, &RefusedError{Reason: answer.Refused}
+		return response.Status, &RefusedError{Reason: response.Refused}
 	}
-	return answer.Status, nil
+	return response.Status, nil
 }
--- a/transport/groupctl/http_test.go
+++ b/transport/groupctl/http_test.go
@@ -18,20 +18,21 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// counting counts dials.
-type counting struct {
+// countingNetwork is TCP with a count of the dials.
+type countingNetwork struct {
 	network.TCP
 	dials atomic.Int32
 }
 
-func (c *counting) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (c *countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	c.dials.Add(1)
 	return c.TCP.Dial(ctx, address)
 }
 
-// serve answers adopt orders of odd terms, refuses even ones, and leaves
-// promote orders unanswered until the caller goes away.
-func serve(t *testing.T) string {
+// startServer starts a server that accepts adopt commands for odd terms and refuses
+// them for even ones, redirects follow commands to adopt, and does not answer promote
+// commands until the caller disconnects. It returns the address.
+func startServer(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var o groupapi.Order
@@ -57,13 +58,13 @@
 	return s.Listener.Addr().String()
 }
 
-// Guards against a refusal that is taken for success or loses the status, and
-// against a new connection per call.
+// Guards against a refusal that is reported as success or without the status, and
+// against a new connection for each call.
 func TestAnswersAndRefusalsShareAConnection(t *testing.T) {
-	n := &counting{}
+	n := &countingNetwork{}
 	h := NewHTTP(n)
 	defer h.Close()
-	address := serve(t)
+	address := startServer(t)
 	for term := uint64(1); term <= 20; term++ {
 		st, err := h.Client(address).Adopt(context.Background(), term)
 		var refused *RefusedError
@@ -79,24 +80,24 @@
 	}
 }
 
-// Guards against an order that reaches another server than the one it is for.
+// Guards against a command that reaches another server through a redirect.
 func TestRedirectIsAnError(t *testing.T) {
 	h := NewHTTP(network.TCP{})
 	defer h.Close()
-	if st, err := h.Client(serve(t)).Follow(context.Background(), 1, "a"); err == nil {
-		t.Errorf("a redirect was followed: %+v", st)
+	if st, err := h.Client(startServer(t)).Follow(context.Background(), 1, "a"); err == nil {
+		t.Errorf("redirect was followed: %+v", st)
 	}
 }
 
-// Guards against calls that outlive their deadline, and against goroutines or
-// connections left behind by Close while a call runs.
+// Guards against calls that exceed their deadline, and against goroutines or
+// connections that remain after Close is called during a call.
 func TestDeadlineAndClose(t *testing.T) {
 	h := NewHTTP(network.TCP{})
-	c := h.Client(serve(t))
+	c := h.Client(startServer(t))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := c.Promote(ctx, 1); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("got %v, want a missed deadline", err)
+		t.Fatalf("got %v, want context.DeadlineExceeded", err)
 	}
 	ended := make(chan error, 1)
 	go func() {
@@ -106,10 +107,10 @@
 	time.Sleep(20 * time.Millisecond) // lets the call reach the server
 	h.Close()
 	if err := <-ended; err == nil {
-		t.Error("a call that Close cancelled succeeded")
+		t.Error("call succeeded although Close cancelled it")
 	}
 	if _, err := c.Status(context.Background()); !errors.Is(err, ErrClosed) {
-		t.Errorf("a call after Close returned %v", err)
+		t.Errorf("call after Close returned %v, want ErrClosed", err)
 	}
 	if n := len(h.openConns()); n != 0 {
 		t.Errorf("%d connections are open after Close", n)
