--- a/transport/groups/calls.go
+++ b/transport/groups/calls.go
@@ -15,51 +15,54 @@
 )
 
 const (
-	// statusTimeout lets two status queries fail within the 400 ms after which a
-	// silent primary counts as failed.
+	// statusTimeout is half of the 400 ms after which a primary that does not respond
+	// counts as failed, so that two status queries can fail in that time.
 	statusTimeout = 200 * time.Millisecond
-	// maxCallsPerServer bounds the goroutines. A server has at most one status
-	// query and a few orders at a time.
+	// maxCallsPerServer limits the goroutines. In normal operation a server has at
+	// most one status query and a few commands in progress.
 	maxCallsPerServer = 8
 )
 
 var (
-	errTooManyCalls = errors.New("too many control calls to the server")
-	errNoServer     = errors.New("the server is not configured")
+	errTooManyCalls = errors.New("too many concurrent control calls to the server")
+	errNoServer     = errors.New("server is not in the configuration")
 )
 
-// callSpec describes a control call.
+// callSpec describes a control call to a server.
 type callSpec struct {
-	order   string
+	command string // for metrics and traces
 	server  string
-	term    uint64
+	term    uint64 // zero for status queries
 	timeout time.Duration
-	do      func(context.Context, groupctl.Client) (state.ServerStatus, error)
+	invoke  func(context.Context, groupctl.Client) (state.ServerStatus, error)
 }
 
-func callStatus(ctx context.Context, c groupctl.Client) (state.ServerStatus, error) {
-	return c.Status(ctx)
+// invokeStatus is the callSpec.invoke function of a status query.
+func invokeStatus(ctx context.Context, client groupctl.Client) (state.ServerStatus, error) {
+	return client.Status(ctx)
 }
 
-func callOrder(o failover.Call) func(context.Context, groupctl.Client) (state.ServerStatus, error) {
-	return func(ctx context.Context, c groupctl.Client) (state.ServerStatus, error) {
-		switch o.Order {
+// invokeCommand returns the callSpec.invoke function of a command.
+func invokeCommand(c failover.Call) func(context.Context, groupctl.Client) (state.ServerStatus, error) {
+	return func(ctx context.Context, client groupctl.Client) (state.ServerStatus, error) {
+		switch c.Order {
 		case failover.Adopt:
-			return c.Adopt(ctx, o.Term)
+			return client.Adopt(ctx, c.Term)
 		case failover.Promote:
-			return c.Promote(ctx, o.Term)
+			return client.Promote(ctx, c.Term)
 		case failover.Follow:
-			return c.Follow(ctx, o.Term, o.Peer)
+			return client.Follow(ctx, c.Term, c.Peer)
 		case failover.Switchover:
-			return c.Switchover(ctx, o.Term, o.Peer)
+			return client.Switchover(ctx, c.Term, c.Peer)
 		case failover.Resume:
-			return c.Resume(ctx, o.Term)
+			return client.Resume(ctx, c.Term)
 		}
-		panic("unknown order " + string(o.Order))
+		panic("unknown command " + string(c.Order))
 	}
 }
 
-func outcome(st state.ServerStatus, err error) failover.Outcome {
+// commandOutcome converts the result of a command for package failover.
+func commandOutcome(st state.ServerStatus, err error) failover.Outcome {
 	var refused *groupctl.RefusedError
 	switch {
 	case err == nil:
@@ -71,46 +74,49 @@
 	}
 }
 
-// callEnd decides on the end of a control call.
-type callEnd func(st state.ServerStatus, err error, g *state.GroupState, m moment, out *effects)
+// callHandler makes the decision that follows the result of a control call. It runs
+// under the group table's lock and adds its effects to out.
+type callHandler func(st state.ServerStatus, err error, g *state.GroupState, snap snapshot, out *effects)
 
-// call runs a control call on a goroutine and posts its end as an event. After
-// the driver has stopped, nothing is posted.
-func (e *group) call(m moment, spec callSpec, end callEnd) {
-	client, err := e.client(m, spec.server)
+// startCall runs a control call on a new goroutine and posts its result as an event
+// of the group. After the driver has stopped, nothing is posted.
+func (e *executor) startCall(snap snapshot, spec callSpec, done callHandler) {
+	client, err := e.clientFor(snap, spec.server)
 	if err != nil {
-		e.post(func(g *state.GroupState, m moment, out *effects) { end(state.ServerStatus{}, err, g, m, out) })
+		e.post(func(g *state.GroupState, snap snapshot, out *effects) { done(state.ServerStatus{}, err, g, snap, out) })
 		return
 	}
-	e.calls[spec.server]++
+	e.activeCalls[spec.server]++
 	started := e.driver.start(func() {
-		st, err := e.perform(client, spec)
-		e.post(func(g *state.GroupState, m moment, out *effects) {
-			e.calls[spec.server]--
-			end(st, err, g, m, out)
+		st, err := e.execCall(client, spec)
+		e.post(func(g *state.GroupState, snap snapshot, out *effects) {
+			e.activeCalls[spec.server]--
+			done(st, err, g, snap, out)
 		})
 	})
 	if !started {
-		e.calls[spec.server]--
+		e.activeCalls[spec.server]--
 	}
 }
 
-func (e *group) client(m moment, server string) (groupctl.Client, error) {
-	if m.group == nil {
+// clientFor returns a client for the server. It fails if the server is not
+// configured or has too many calls in progress.
+func (e *executor) clientFor(snap snapshot, server string) (groupctl.Client, error) {
+	if snap.group == nil {
 		return nil, errNoServer
 	}
-	s := m.group.Server(server)
+	s := snap.group.Server(server)
 	if s == nil {
 		return nil, errNoServer
 	}
-	if e.calls[server] >= maxCallsPerServer {
+	if e.activeCalls[server] >= maxCallsPerServer {
 		return nil, errTooManyCalls
 	}
 	return e.driver.opts.Control(s.ControlAddress), nil
 }
 
-// start runs f on a goroutine that the driver waits for when it stops. It
-// reports false if the driver has stopped.
+// start runs f on a new goroutine, which the driver waits for when it stops. It
+// returns false if the driver has already stopped.
 func (d *Driver) start(f func()) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,11 +127,11 @@
 	return true
 }
 
-// perform makes the call within its time limit and records a span.
-func (e *group) perform(client groupctl.Client, spec callSpec) (state.ServerStatus, error) {
-	ctx, cancel := context.WithTimeout(e.driver.base, spec.timeout)
+// execCall makes the call within its time limit, and records a span and failures.
+func (e *executor) execCall(client groupctl.Client, spec callSpec) (state.ServerStatus, error) {
+	ctx, cancel := context.WithTimeout(e.driver.baseCtx, spec.timeout)
 	defer cancel()
-	ctx, span := e.driver.opts.Tracer.Start(ctx, "control "+spec.order,
+	ctx, span := e.driver.opts.Tracer.Start(ctx, "control "+spec.command,
 		trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(
 			attribute.String("group", e.name),
@@ -133,10 +139,10 @@
 			attribute.Int64("term", int64(spec.term)),
 		))
 	defer span.End()
-	st, err := spec.do(ctx, client)
+	st, err := spec.invoke(ctx, client)
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
-		e.driver.metrics.callFailed(spec.order)
+		e.driver.metrics.callFailed(spec.command)
 	}
 	return st, err
 }
--- a/transport/groups/effects.go
+++ b/transport/groups/effects.go
@@ -10,79 +10,80 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/groupctl"
 )
 
-// effects collects the effects of the decisions of one event.
+// effects collects the effects of the decisions that one event causes.
 type effects struct {
-	acts          []any // effects to execute, in order
-	probe         bool  // a round of status queries is wanted
-	settled       bool  // a waiter got its result
-	wakePositions time.Time
-	wakeFailover  time.Time
+	pending         []any     // effects to execute, in this order
+	probe           bool      // a round of status queries is requested
+	resolved        bool      // at least one waiter received its result
+	replicationWake time.Time // zero if none is requested
+	failoverWake    time.Time // zero if none is requested
 }
 
-// replication adds the effects of a decision on positions. Its wake-up replaces
-// the earlier one.
-func (o *effects) replication(list []replication.Effect) {
-	o.wakePositions = time.Time{}
-	for _, act := range list {
-		switch act := act.(type) {
+// addReplication adds the effects of a decision of package replication. Its wake-up
+// time replaces the previous one.
+func (o *effects) addReplication(added []replication.Effect) {
+	o.replicationWake = time.Time{}
+	for _, effect := range added {
+		switch effect := effect.(type) {
 		case replication.WakeAt:
-			o.wakePositions = act.At
+			o.replicationWake = effect.At
 			continue
 		case replication.Resolve:
-			o.settled = true
+			o.resolved = true
 		}
-		o.acts = append(o.acts, act)
+		o.pending = append(o.pending, effect)
 	}
 }
 
-// failover adds the effects of a decision on failover. It reports whether a
-// round of status queries is wanted.
-func (o *effects) failover(list []failover.Effect) (probe bool) {
-	o.wakeFailover = time.Time{}
-	for _, act := range list {
-		switch act := act.(type) {
+// addFailover adds the effects of a decision of package failover. Its wake-up time
+// replaces the previous one. It reports whether a round of status queries is
+// requested.
+func (o *effects) addFailover(added []failover.Effect) (probe bool) {
+	o.failoverWake = time.Time{}
+	for _, effect := range added {
+		switch effect := effect.(type) {
 		case failover.WakeAt:
-			o.wakeFailover = act.At
+			o.failoverWake = effect.At
 		case failover.Probe:
 			o.probe = true
 		default:
-			o.acts = append(o.acts, act)
+			o.pending = append(o.pending, effect)
 		}
 	}
 	return o.probe
 }
 
-// wake returns the earliest wake-up, or zero if none is wanted.
-func (o *effects) wake() time.Time {
-	if o.wakePositions.IsZero() || !o.wakeFailover.IsZero() && o.wakeFailover.Before(o.wakePositions) {
-		return o.wakeFailover
+// nextWake returns the earlier wake-up time, or zero if none is requested.
+func (o *effects) nextWake() time.Time {
+	if o.replicationWake.IsZero() || !o.failoverWake.IsZero() && o.failoverWake.Before(o.replicationWake) {
+		return o.failoverWake
 	}
-	return o.wakePositions
+	return o.replicationWake
 }
 
 // execute carries out an effect. No lock is held.
-func (e *group) execute(m moment, act any) {
+func (e *executor) execute(snap snapshot, effect any) {
 	d := e.driver
-	switch act := act.(type) {
+	switch effect := effect.(type) {
 	case replication.AskStatus:
-		e.ask(m, act)
+		e.queryStatus(snap, effect)
 	case replication.Resolve:
-		d.metrics.result(act.Result)
-		e.noteResult(m, act.Result)
-		d.opts.Resolve(act.ID, act.Result)
+		d.metrics.result(effect.Result)
+		e.recordResult(snap, effect.Result)
+		d.opts.Resolve(effect.ID, effect.Result)
 	case replication.RoundStarted:
-		d.metrics.round(act.Waiters)
+		d.metrics.round(effect.Waiters)
 	case failover.Call:
-		e.order(m, act)
+		e.sendCommand(snap, effect)
 	case failover.Report:
-		e.report(m, act)
+		e.report(snap, effect)
 	case failover.Announce:
 		e.announce()
 	}
 }
 
-// announce passes the view of the group on.
-func (e *group) announce() {
+// announce passes this VM's view of the group to Options.Announce.
+func (e *executor) announce() {
 	if e.driver.opts.Announce == nil {
 		return
 	}
@@ -91,22 +92,23 @@
 	e.driver.opts.Announce(v)
 }
 
-// ask sends a status query. Its end is posted as exactly one event.
-func (e *group) ask(m moment, ask replication.AskStatus) {
-	spec := callSpec{order: "status", server: ask.Server, timeout: statusTimeout, do: callStatus}
-	e.call(m, spec, func(st state.ServerStatus, err error, g *state.GroupState, m moment, out *effects) {
+// queryStatus sends a status query. Its result is posted as exactly one event.
+func (e *executor) queryStatus(snap snapshot, query replication.AskStatus) {
+	spec := callSpec{command: "status", server: query.Server, timeout: statusTimeout, invoke: invokeStatus}
+	e.startCall(snap, spec, func(st state.ServerStatus, err error, g *state.GroupState, snap snapshot, out *effects) {
 		if err != nil {
-			out.replication(replication.Failure(g, m.group, ask, groupctl.Down(err), m.now))
+			out.addReplication(replication.Failure(g, snap.group, query, groupctl.Down(err), snap.now))
 			return
 		}
-		out.replication(replication.Answer(g, m.group, ask, st, m.now))
+		out.addReplication(replication.Answer(g, snap.group, query, st, snap.now))
 	})
 }
 
-// order gives an order to a server. Its end is posted as exactly one event.
-func (e *group) order(m moment, c failover.Call) {
-	spec := callSpec{order: string(c.Order), server: c.Server, term: c.Term, timeout: c.Timeout, do: callOrder(c)}
-	e.call(m, spec, func(st state.ServerStatus, err error, g *state.GroupState, m moment, out *effects) {
-		out.failover(failover.Answer(m.input(g), c, outcome(st, err)))
+// sendCommand sends a failover command to a server. Its result is posted as exactly
+// one event.
+func (e *executor) sendCommand(snap snapshot, c failover.Call) {
+	spec := callSpec{command: string(c.Order), server: c.Server, term: c.Term, timeout: c.Timeout, invoke: invokeCommand(c)}
+	e.startCall(snap, spec, func(st state.ServerStatus, err error, g *state.GroupState, snap snapshot, out *effects) {
+		out.addFailover(failover.Answer(snap.input(g), c, commandOutcome(st, err)))
 	})
 }
--- a/transport/groups/groups.go
+++ b/transport/groups/groups.go
@@ -1,8 +1,8 @@
-// Package groups drives the decisions on database groups: it runs them in the
-// worker pool under the group table's lock and carries out their effects.
+// Package groups runs the decisions on database groups on the worker pool, under the
+// group table's lock, and executes their effects.
 //
-// Each group has one queue, so its decisions run in order. Control calls run on
-// goroutines of their own, and their answers come back as events of the queue.
+// Each group has one queue, so its decisions run in order. Each control call to a
+// server runs on its own goroutine, and its result is posted to the queue.
 package groups
 
 import (
@@ -24,32 +24,33 @@
 )
 
 const (
-	// queueLimit is the number of views from other VMs that may wait per group.
-	// Views are repeated, so one that finds the queue full is dropped.
+	// queueLimit is the number of queued events per group above which views from
+	// other VMs are dropped. Views are sent repeatedly, so a dropped one
+	// arrives again.
 	queueLimit = 64
-	// roleInterval is how often the driver checks whether this VM has become
-	// the watcher of a group.
+	// roleInterval is the interval at which the driver checks whether this VM has
+	// become the watcher of a group.
 	roleInterval = time.Second
 )
 
-// Options are what a Driver needs. Index, Announce, Logger, Scope and Tracer may
-// be nil.
+// Options are the dependencies of a Driver. Index, Announce, Logger, Scope and
+// Tracer may be nil.
 type Options struct {
 	Pool    *pool.Pool
 	Tables  *state.Tables
 	Control groupctl.Factory
-	// Resolve receives the result of every wait. It is called by a worker that
-	// holds no lock, and must not block.
+	// Resolve receives the results of waiters. It is called by a worker of the pool
+	// that holds no lock, and must not block.
 	Resolve func(state.WaiterID, replication.Result)
-	// Rank returns this VM's rank among the VMs for the group, and whether it
-	// watches the group. It is called without locks, about once a second for
+	// Rank returns this VM's rank among the VMs for the group, and whether it is a
+	// watcher of the group. It is called without locks, about once per second for
 	// each configured group.
 	Rank func(group string) (rank int, watcher bool)
 	// Index returns the index that makes this VM's terms unique, or false if the
-	// VM is to promote nothing. If nil, ConfigIndex is used.
+	// VM must not promote servers. If nil, ConfigIndex is used.
 	Index func() (index uint16, ok bool)
-	// Announce is called when a new primary or the suspicion of a failure is
-	// known, so that it can be passed on before the next exchange. It must not
+	// Announce is called when a new primary or a suspected failure becomes known, so
+	// that other VMs can be told before the next regular exchange. It must not
 	// block.
 	Announce func(peerapi.GroupView)
 	Logger   log.Interface
@@ -57,21 +58,21 @@
 	Tracer   trace.Tracer
 }
 
-// Driver executes the decisions on all groups of a VM.
+// Driver runs the decisions on all groups of a VM.
 type Driver struct {
 	opts    Options
 	metrics metrics
-	base    context.Context // done when the driver stops; ends control calls
+	baseCtx context.Context // done when the driver stops; cancels control calls
 	cancel  context.CancelFunc
 
-	mu     sync.Mutex // guards groups and closed; held for no call out of this package
-	groups map[string]*group
-	closed bool
-	calls  sync.WaitGroup // running control calls
+	mu        sync.Mutex // guards executors and closed; only the pool's lock is taken under it
+	executors map[string]*executor
+	closed    bool
+	calls     sync.WaitGroup // control calls in progress
 }
 
-// New returns a driver. Waiters may be added at once; Run must be called for
-// watching, and to stop the driver.
+// New returns a driver. Waiters may be added immediately; Run must be called to
+// monitor groups and to stop the driver.
 func New(opts Options) *Driver {
 	if opts.Logger == nil {
 		opts.Logger = log.Log
@@ -87,20 +88,20 @@
 			return ConfigIndex(opts.Tables.Config.Current(), opts.Tables.Self.Name)
 		}
 	}
-	d := &Driver{opts: opts, metrics: newMetrics(opts.Scope), groups: make(map[string]*group)}
-	d.base, d.cancel = context.WithCancel(context.Background())
+	d := &Driver{opts: opts, metrics: newMetrics(opts.Scope), executors: make(map[string]*executor)}
+	d.baseCtx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// Run watches the groups that this VM is responsible for until ctx is done. It
-// then cancels the running control calls and waits for them.
+// Run monitors the groups that this VM watches until ctx is done. It then cancels
+// the control calls in progress and waits for them. The error is always nil.
 func (d *Driver) Run(ctx context.Context) error {
 	defer d.stop()
 	ticker := time.NewTicker(roleInterval)
 	defer ticker.Stop()
 	for {
 		changed := d.opts.Tables.Config.Changed()
-		d.visitGroups()
+		d.tickGroups()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -110,9 +111,10 @@
 	}
 }
 
-// visitGroups wakes the groups that are in use, and those that this VM watches.
-func (d *Driver) visitGroups() {
-	for _, e := range d.known() {
+// tickGroups runs the periodic checks of the groups that are in use, and of those
+// that this VM watches.
+func (d *Driver) tickGroups() {
+	for _, e := range d.allExecutors() {
 		e.tick()
 	}
 	cfg := d.opts.Tables.Config.Current()
@@ -120,22 +122,23 @@
 		return
 	}
 	for name := range cfg.Groups {
-		if d.has(name) {
+		if d.hasExecutor(name) {
 			continue
 		}
 		if _, watcher := d.opts.Rank(name); watcher {
-			d.group(name).tick()
+			d.executor(name).tick()
 		}
 	}
 }
 
+// stop cancels the control calls, waits for them and stops all executors.
 func (d *Driver) stop() {
 	d.mu.Lock()
 	d.closed = true
 	d.mu.Unlock()
 	d.cancel()
 	d.calls.Wait()
-	for _, e := range d.known() {
+	for _, e := range d.allExecutors() {
 		e.timer.Stop()
 		e.queue.Close()
 	}
@@ -143,36 +146,36 @@
 
 // Wait adds a waiter to a group. Its result goes to Options.Resolve.
 func (d *Driver) Wait(group string, w state.PositionWaiter) {
-	d.group(group).post(func(g *state.GroupState, m moment, out *effects) {
-		out.replication(replication.Wait(g, m.group, w, m.now))
+	d.executor(group).post(func(g *state.GroupState, snap snapshot, out *effects) {
+		out.addReplication(replication.Wait(g, snap.group, w, snap.now))
 	})
 }
 
-// Withdraw removes a waiter. A result that is already on its way is not
-// stopped.
+// Withdraw removes a waiter. Options.Resolve may still be called if the result was
+// already decided.
 func (d *Driver) Withdraw(group string, id state.WaiterID) {
-	d.group(group).post(func(g *state.GroupState, _ moment, _ *effects) {
+	d.executor(group).post(func(g *state.GroupState, _ snapshot, _ *effects) {
 		replication.Withdraw(g, id)
 	})
 }
 
-// Suspect reports that a connection to the server broke or that it did not
-// answer in time. The servers are asked at once.
+// Suspect reports that a connection to the server failed or that the server did not
+// respond in time. The status of the group's servers is queried immediately.
 func (d *Driver) Suspect(group, server string) {
-	d.group(group).post(func(g *state.GroupState, m moment, out *effects) {
-		out.failover(failover.Suspect(m.input(g), server))
+	d.executor(group).post(func(g *state.GroupState, snap snapshot, out *effects) {
+		out.addFailover(failover.Suspect(snap.input(g), server))
 	})
 }
 
-// MergeView takes in what another VM knows of a group. Repeated and old views
-// change nothing.
+// MergeView merges another VM's view of a group. Repeated and outdated views have
+// no effect.
 func (d *Driver) MergeView(v peerapi.GroupView) {
-	d.group(v.Group).offer(func(g *state.GroupState, m moment, out *effects) {
-		out.failover(failover.Merge(m.input(g), v.Term, v.Primary, v.Suspect))
+	d.executor(v.Group).tryPost(func(g *state.GroupState, snap snapshot, out *effects) {
+		out.addFailover(failover.Merge(snap.input(g), v.Term, v.Primary, v.Suspect))
 	})
 }
 
-// Views returns what this VM knows of the primaries of all groups.
+// Views returns this VM's views of all groups with a known primary.
 func (d *Driver) Views() []peerapi.GroupView {
 	var views []peerapi.GroupView
 	d.opts.Tables.Groups.Each(func(g *state.GroupState) {
@@ -183,6 +186,7 @@
 	return views
 }
 
+// view returns this VM's view of the group.
 func view(g *state.GroupState) peerapi.GroupView {
 	return peerapi.GroupView{
 		Group:   g.Name,
@@ -192,29 +196,29 @@
 	}
 }
 
-// group returns the named group's queue and timer, created if needed.
-func (d *Driver) group(name string) *group {
+// executor returns the group's executor and creates it if necessary.
+func (d *Driver) executor(name string) *executor {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := d.groups[name]
+	e := d.executors[name]
 	if e == nil {
-		e = newGroup(d, name)
-		d.groups[name] = e
+		e = newExecutor(d, name)
+		d.executors[name] = e
 	}
 	return e
 }
 
-func (d *Driver) has(name string) bool {
+func (d *Driver) hasExecutor(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.groups[name] != nil
+	return d.executors[name] != nil
 }
 
-func (d *Driver) known() []*group {
+func (d *Driver) allExecutors() []*executor {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := make([]*group, 0, len(d.groups))
-	for _, e := range d.groups {
+	all := make([]*executor, 0, len(d.executors))
+	for _, e := range d.executors {
 		all = append(all, e)
 	}
 	return all
--- a/transport/groups/groups_test.go
+++ b/transport/groups/groups_test.go
@@ -26,34 +26,35 @@
 	goleak.VerifyTestMain(m)
 }
 
-// latency is the time that a server of a testbed takes to answer.
-const latency = 500 * time.Microsecond
+// responseDelay is the time that a fakeServer takes to respond.
+const responseDelay = 500 * time.Microsecond
 
-// server is a backend server in memory. Its replicas hold the whole log at
-// once.
-type server struct {
-	bed    *testbed
-	status state.ServerStatus
-	silent bool
+// fakeServer is the control interface of an in-memory backend server. Replication is
+// instantaneous: every replica always holds the whole log.
+type fakeServer struct {
+	testbed      *testbed
+	status       state.ServerStatus
+	unresponsive bool
 }
 
-// testbed is a group of three servers and a driver in front of them.
+// testbed is a group of three servers, a driver that manages it and a running worker
+// pool.
 type testbed struct {
 	*Driver
-	mu      sync.Mutex // guards servers, asked and results
-	servers map[string]*server
-	asked   int
-	results map[state.WaiterID][]replication.Result
+	mu            sync.Mutex // guards servers, statusQueries and results
+	servers       map[string]*fakeServer
+	statusQueries int // received by all servers
+	results       map[state.WaiterID][]replication.Result
 }
 
 func newTestbed(t *testing.T, watcher bool) *testbed {
 	t.Helper()
 	grp := &state.Group{Name: "orders"}
-	b := &testbed{servers: map[string]*server{}, results: map[state.WaiterID][]replication.Result{}}
+	b := &testbed{servers: map[string]*fakeServer{}, results: map[state.WaiterID][]replication.Result{}}
 	for _, name := range []string{"a", "b", "c"} {
 		grp.Servers = append(grp.Servers, state.BackendServer{
 			Name: name, DataCentre: "dc-" + name, ControlAddress: name, State: state.InService})
-		b.servers[name] = &server{bed: b, status: state.ServerStatus{
+		b.servers[name] = &fakeServer{testbed: b, status: state.ServerStatus{
 			Server: name, Role: state.Replica, AdoptedTerm: 1, LogTerm: 1, Position: 5, Primary: "a",
 			History: []state.TermStart{{Term: 1}}}}
 	}
@@ -83,6 +84,7 @@
 	return b
 }
 
+// wait adds a waiter that starts now.
 func (b *testbed) wait(w state.PositionWaiter, timeout time.Duration) {
 	w.Joined, w.Deadline = time.Now(), time.Now().Add(timeout)
 	b.Wait("orders", w)
@@ -94,39 +96,41 @@
 	return b.results[id]
 }
 
-func (b *testbed) set(name string, f func(s *server)) {
+// update changes a server under the lock.
+func (b *testbed) update(name string, f func(s *fakeServer)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b.servers[name])
 }
 
-// do answers an order after the latency.
-func (s *server) do(ctx context.Context, order failover.Order, term uint64, peer string) (state.ServerStatus, error) {
-	s.bed.mu.Lock()
-	silent := s.silent
-	s.bed.mu.Unlock()
-	if silent {
+// handle executes a command or status query after responseDelay. An unresponsive
+// server does not respond until ctx is done.
+func (s *fakeServer) handle(ctx context.Context, command failover.Order, term uint64, peer string) (state.ServerStatus, error) {
+	s.testbed.mu.Lock()
+	unresponsive := s.unresponsive
+	s.testbed.mu.Unlock()
+	if unresponsive {
 		<-ctx.Done()
 		return state.ServerStatus{}, ctx.Err()
 	}
-	time.Sleep(latency)
-	s.bed.mu.Lock()
-	defer s.bed.mu.Unlock()
+	time.Sleep(responseDelay)
+	s.testbed.mu.Lock()
+	defer s.testbed.mu.Unlock()
 	st := &s.status
 	switch {
-	case order == "status":
-		s.bed.asked++
-	case order == failover.Adopt && term > st.AdoptedTerm:
+	case command == "status":
+		s.testbed.statusQueries++
+	case command == failover.Adopt && term > st.AdoptedTerm:
 		st.AdoptedTerm = term
-	case order == failover.Promote && term == st.AdoptedTerm:
+	case command == failover.Promote && term == st.AdoptedTerm:
 		st.Role, st.LogTerm, st.Primary = state.Primary, term, ""
 		st.History = append(st.History, state.TermStart{Term: term, Position: st.Position})
 		st.Position++
-	case order == failover.Follow && term >= st.AdoptedTerm:
-		name, p := st.Server, s.bed.servers[peer].status
+	case command == failover.Follow && term >= st.AdoptedTerm:
+		name, p := st.Server, s.testbed.servers[peer].status
 		*st = p
 		st.Server, st.Role, st.Primary, st.AdoptedTerm = name, state.Replica, peer, term
-	case order == failover.Switchover:
+	case command == failover.Switchover:
 		st.SwitchingTo = peer
 	default:
 		return *st, &groupctl.RefusedError{Reason: "term"}
@@ -134,27 +138,29 @@
 	return *st, nil
 }
 
-type answer = state.ServerStatus
+type status = state.ServerStatus
 
-func (s *server) Status(ctx context.Context) (answer, error) { return s.do(ctx, "status", 0, "") }
-func (s *server) Adopt(ctx context.Context, term uint64) (answer, error) {
-	return s.do(ctx, failover.Adopt, term, "")
+func (s *fakeServer) Status(ctx context.Context) (status, error) {
+	return s.handle(ctx, "status", 0, "")
 }
-func (s *server) Promote(ctx context.Context, term uint64) (answer, error) {
-	return s.do(ctx, failover.Promote, term, "")
+func (s *fakeServer) Adopt(ctx context.Context, term uint64) (status, error) {
+	return s.handle(ctx, failover.Adopt, term, "")
 }
-func (s *server) Follow(ctx context.Context, term uint64, primary string) (answer, error) {
-	return s.do(ctx, failover.Follow, term, primary)
+func (s *fakeServer) Promote(ctx context.Context, term uint64) (status, error) {
+	return s.handle(ctx, failover.Promote, term, "")
 }
-func (s *server) Switchover(ctx context.Context, term uint64, to string) (answer, error) {
-	return s.do(ctx, failover.Switchover, term, to)
+func (s *fakeServer) Follow(ctx context.Context, term uint64, primary string) (status, error) {
+	return s.handle(ctx, failover.Follow, term, primary)
 }
-func (s *server) Resume(ctx context.Context, term uint64) (answer, error) {
-	return s.do(ctx, failover.Resume, term, "")
+func (s *fakeServer) Switchover(ctx context.Context, term uint64, to string) (status, error) {
+	return s.handle(ctx, failover.Switchover, term, to)
+}
+func (s *fakeServer) Resume(ctx context.Context, term uint64) (status, error) {
+	return s.handle(ctx, failover.Resume, term, "")
 }
 
-// Guards against one status round per write: writes that wait at the same time
-// must share rounds, and each must get exactly one result.
+// Guards against a round of status queries for each write: concurrent writes must
+// share rounds, and each must receive exactly one result.
 func TestWritesShareRounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, false)
@@ -171,22 +177,22 @@
 				t.Fatalf("write %d got %v", i, got)
 			}
 		}
-		if b.asked > 9 {
-			t.Errorf("%d status queries for %d writes, want at most 3 rounds of 3", b.asked, writes)
+		if b.statusQueries > 9 {
+			t.Errorf("%d status queries for %d writes, want at most 3 rounds of 3", b.statusQueries, writes)
 		}
 	})
 }
 
-// Guards against a driver that loses an order or its answer: the primary falls
-// silent while a request waits, a replica is promoted and the other follows it,
-// in less than a second. The old primary follows once it is back.
+// Guards against the loss of a command or its result. The primary stops responding
+// while a request waits; within a second a replica must be promoted. The other replica
+// and, after its recovery, the old primary must follow the new primary.
 func TestFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, true)
 		time.Sleep(time.Second)
-		b.set("a", func(s *server) { s.silent = true })
+		b.update("a", func(s *fakeServer) { s.unresponsive = true })
 		time.Sleep(10 * time.Millisecond)
-		from, id := time.Now(), state.WaiterID{Session: 1}
+		start, id := time.Now(), state.WaiterID{Session: 1}
 		b.Suspect("orders", "a")
 		b.wait(state.PositionWaiter{ID: id, Kind: state.WaitPrimary}, 5*time.Second)
 		for len(b.resultsOf(id)) == 0 {
@@ -194,13 +200,13 @@
 		}
 		const term = 1<<16 | 7
 		got := b.resultsOf(id)[0]
-		if got.Kind != replication.Satisfied || got.Server == "a" || got.Term != term || time.Since(from) >= time.Second {
-			t.Fatalf("got %+v after %v", got, time.Since(from))
+		if got.Kind != replication.Satisfied || got.Server == "a" || got.Term != term || time.Since(start) >= time.Second {
+			t.Fatalf("got %+v after %v", got, time.Since(start))
 		}
-		b.set("a", func(s *server) { s.silent = false })
+		b.update("a", func(s *fakeServer) { s.unresponsive = false })
 		time.Sleep(3 * time.Second)
 		for name := range b.servers {
-			b.set(name, func(s *server) {
+			b.update(name, func(s *fakeServer) {
 				if name != got.Server && (s.status.Primary != got.Server || s.status.AdoptedTerm != term) {
 					t.Errorf("%s does not follow %s: %+v", name, got.Server, s.status)
 				}
@@ -213,23 +219,24 @@
 	})
 }
 
-// Guards against queries for groups that this VM neither watches nor uses.
-func TestIdleGroupsAreNotAsked(t *testing.T) {
+// Guards against status queries for groups that this VM neither watches nor uses.
+func TestIdleGroupsAreNotQueried(t *testing.T) {
 	for watcher, want := range map[bool]int{false: 0, true: 3 * 2 * 60} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestbed(t, watcher)
 			b.MergeView(peerapi.GroupView{Group: "orders", Term: 1, Primary: "a"})
 			time.Sleep(time.Minute)
-			b.set("a", func(*server) {
-				if b.asked < want || b.asked > want+15 {
-					t.Errorf("watcher %v: %d status queries in a minute, want about %d", watcher, b.asked, want)
+			b.update("a", func(*fakeServer) {
+				if b.statusQueries < want || b.statusQueries > want+15 {
+					t.Errorf("watcher %v: %d status queries per minute, want about %d", watcher, b.statusQueries, want)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a configuration change that does not hand the primary over.
+// Guards against a primary that is not handed over when the configuration marks its
+// data centre as leaving.
 func TestLeavingPrimaryIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, true)
@@ -238,8 +245,8 @@
 		cfg.Ticket.Number++
 		cfg.DataCentres = map[string]*state.DataCentre{"dc-a": {Name: "dc-a", State: state.Leaving}}
 		b.opts.Tables.Config.Advance(&cfg)
-		time.Sleep(5 * time.Second) // this VM leaves the task to the watchers of dc-b and dc-c first
-		b.set("a", func(s *server) {
+		time.Sleep(5 * time.Second) // the watchers of dc-b and dc-c have precedence over this VM
+		b.update("a", func(s *fakeServer) {
 			if s.status.Role != state.Replica || s.status.Primary != "b" || s.status.AdoptedTerm == 1 {
 				t.Errorf("a is still the primary: %+v", s.status)
 			}
--- a/transport/groups/index.go
+++ b/transport/groups/index.go
@@ -8,13 +8,13 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// ConfigIndex returns a VM's index among all VMs of the configuration, ordered
-// by the names of their data centres and then as listed. It reports false if the
-// VM is not listed, or is beyond the indexes that fit into a term.
+// ConfigIndex returns a VM's index among all VMs of the configuration, ordered by
+// the names of their data centres and then as listed. It returns false if the VM is
+// not listed or the index exceeds the 16 bits that a term has for it.
 //
-// Two VMs that apply different tickets can have the same index. That is safe,
-// because a server adopts a term once; the indexes only keep promoters from
-// choosing the same term in general.
+// Two VMs that have applied different tickets can have the same index. That is safe,
+// because a server adopts each term only once; distinct indexes merely make it
+// unlikely that two VMs choose the same term.
 func ConfigIndex(cfg *state.Config, vm string) (index uint16, ok bool) {
 	if cfg == nil {
 		return 0, false
--- a/transport/groups/telemetry.go
+++ b/transport/groups/telemetry.go
@@ -11,11 +11,12 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// roundBuckets are the upper bounds of the waiters that one round serves.
+// roundBuckets are the upper bounds of the histogram of waiters per round of status
+// queries.
 var roundBuckets = tally.ValueBuckets{0, 1, 2, 4, 8, 16, 32, 64, 128, 256}
 
-// stepFirstAcknowledged is the last timed step of a failover: the first write
-// that is acknowledged under the new term.
+// stepFirstAcknowledged is the last timed step of a failover: from the promotion to
+// the first acknowledged write of the new term.
 const stepFirstAcknowledged = "first_acknowledged"
 
 type metrics struct {
@@ -41,60 +42,60 @@
 	m.scope.Tagged(map[string]string{"kind": r.Kind.String()}).Counter("position_waits").Inc(1)
 }
 
-func (m *metrics) callFailed(order string) {
-	m.scope.Tagged(map[string]string{"order": order}).Counter("control_failures").Inc(1)
+func (m *metrics) callFailed(command string) {
+	m.scope.Tagged(map[string]string{"order": command}).Counter("control_failures").Inc(1)
 }
 
-// step records the time that a step of a failover took since the step before.
+// step records the duration of a failover step, measured from the previous step.
 func (m *metrics) step(name string, d time.Duration) {
 	m.scope.Tagged(map[string]string{"step": name}).Timer("failover_step").Record(d)
 }
 
-// timeline remembers this VM's latest promotion in a group until a write is
-// acknowledged under its term.
-type timeline struct {
+// promotion is the most recent promotion by this VM in a group. It is kept to measure
+// stepFirstAcknowledged.
+type promotion struct {
 	term       uint64
-	promotedAt time.Time // zero if no acknowledgement is awaited
+	promotedAt time.Time // zero once a write of the term was acknowledged
 }
 
-// report logs and measures a step of a failover.
-func (e *group) report(m moment, r failover.Report) {
+// report logs a failover step and records its duration.
+func (e *executor) report(snap snapshot, r failover.Report) {
 	fields := log.Fields{"group": e.name, "term": r.Term}
 	if r.Server != "" {
 		fields["server"] = r.Server
 	}
 	l := e.driver.opts.Logger.WithFields(fields)
-	steps := &e.driver.metrics
+	m := &e.driver.metrics
 	switch r.Step {
 	case failover.StepSuspected:
 		l.Warn("failover: primary suspected")
 	case failover.StepDetected:
-		steps.step("detected", r.After)
+		m.step("detected", r.After)
 		l.WithDuration(r.After).Warn("failover: promotion started")
 	case failover.StepAdopted:
-		steps.step("adopted", r.After)
+		m.step("adopted", r.After)
 		l.WithDuration(r.After).Info("failover: term adopted by a majority")
 	case failover.StepPromoted:
-		steps.step("promoted", r.After)
-		e.timeline = timeline{term: r.Term, promotedAt: m.now}
+		m.step("promoted", r.After)
+		e.lastPromotion = promotion{term: r.Term, promotedAt: snap.now}
 		l.WithDuration(r.After).Info("failover: primary promoted")
 	case failover.StepGivenUp:
-		l.WithField("reason", r.Reason).Warn("failover: attempt given up")
+		l.WithField("reason", r.Reason).Warn("failover: promotion attempt abandoned")
 	case failover.StepSwitching:
 		l.Info("failover: switchover started")
 	case failover.StepDrained:
-		steps.step("drained", r.After)
+		m.step("drained", r.After)
 		l.WithDuration(r.After).Info("failover: primary drained")
 	case failover.StepFollow:
-		l.Info("failover: server told to follow")
+		l.Info("failover: server ordered to follow the primary")
 	case failover.StepResume:
-		l.Info("failover: primary told to resume")
+		l.Info("failover: primary ordered to resume writes")
 	}
 }
 
-// noteResult measures the first acknowledgement after a promotion, and logs
-// writes whose fate cannot be shown.
-func (e *group) noteResult(m moment, r replication.Result) {
+// recordResult measures the time from a promotion to the first acknowledged write,
+// and logs writes that could not be shown to be durable.
+func (e *executor) recordResult(snap snapshot, r replication.Result) {
 	if r.Wait != state.WaitDurable {
 		return
 	}
@@ -103,8 +104,8 @@
 			Warn("replication: write not acknowledged")
 		return
 	}
-	if !e.timeline.promotedAt.IsZero() && r.Term >= e.timeline.term {
-		e.driver.metrics.step(stepFirstAcknowledged, m.now.Sub(e.timeline.promotedAt))
-		e.timeline.promotedAt = time.Time{}
+	if !e.lastPromotion.promotedAt.IsZero() && r.Term >= e.lastPromotion.term {
+		e.driver.metrics.step(stepFirstAcknowledged, snap.now.Sub(e.lastPromotion.promotedAt))
+		e.lastPromotion.promotedAt = time.Time{}
 	}
 }
--- a/transport/groups/views.go
+++ b/transport/groups/views.go
@@ -9,92 +9,96 @@
 )
 
 const (
-	// newsRepeats is how often a VM passes a change on. A change that every VM
-	// repeats this often reaches 490 VMs with near certainty.
-	newsRepeats = 12
-	// newsPerMessage and oldPerMessage bound the views in one message: changes,
-	// and views that are sent in turn to repair what was missed.
-	newsPerMessage = 16
-	oldPerMessage  = 2
+	// updateRepeats is the number of messages in which a VM sends each change. If every
+	// VM repeats a change this often, it reaches 490 VMs with near certainty.
+	updateRepeats = 12
+	// maxUpdatesPerMessage limits the changed views in one message.
+	maxUpdatesPerMessage = 16
+	// repairViewsPerMessage limits the further views in one message. They are sent in
+	// round-robin order, so that VMs which missed a change catch up.
+	repairViewsPerMessage = 2
 )
 
-// Views is the part of the exchange between VMs that spreads who is primary.
+// Views disseminates the primaries of the database groups among VMs by gossip. It is
+// a part of the regular exchange between VMs.
 type Views struct {
 	driver *Driver
 
-	mu   sync.Mutex     // guards the fields below; no other lock is taken under it
-	news map[string]int // by group: how often a change is still to be passed on
-	turn int
+	mu             sync.Mutex     // guards the fields below; no other lock is taken under it
+	pendingUpdates map[string]int // by group: the number of messages that are still to carry its change
+	repairIndex    int            // position of the round-robin order
 }
 
-// NewViews returns the part for a driver. Connect it with SetDriver.
-func NewViews() *Views { return &Views{news: make(map[string]int)} }
+// NewViews returns Views without a driver. SetDriver must be called before the first
+// exchange.
+func NewViews() *Views { return &Views{pendingUpdates: make(map[string]int)} }
 
-// SetDriver sets the driver whose views are spread.
+// SetDriver sets the driver that provides this VM's views and merges received ones.
 func (v *Views) SetDriver(d *Driver) { v.driver = d }
 
-// Announce notes a change of the group, to be passed on in the next messages.
+// Announce schedules the changed view of a group for the next messages.
 func (v *Views) Announce(g peerapi.GroupView) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.news[g.Group] = newsRepeats
+	v.pendingUpdates[g.Group] = updateRepeats
 }
 
-// Fill adds views to a message.
-func (v *Views) Fill(_ string, m *peerapi.Exchange) { m.Groups = v.choose() }
+// Fill adds views to an outgoing message.
+func (v *Views) Fill(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
 
-// Handle takes the views of another VM and answers with those that it lacks.
+// Handle merges the views of another VM, and adds this VM's view to the answer
+// wherever it is newer.
 func (v *Views) Handle(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
-	for _, theirs := range m.Groups {
-		if own, later := v.compare(theirs); later {
-			a.Groups = append(a.Groups, own)
+	for _, remote := range m.Groups {
+		if local, newer := v.merge(remote); newer {
+			a.Groups = append(a.Groups, local)
 		}
 	}
 }
 
-// HandleAnswer takes the views in an answer.
+// HandleAnswer merges the views in an answer.
 func (v *Views) HandleAnswer(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
-	for _, theirs := range a.Groups {
-		v.compare(theirs)
+	for _, remote := range a.Groups {
+		v.merge(remote)
 	}
 }
 
-// compare takes a view of another VM. It returns this VM's own view if that is
-// the later one.
-func (v *Views) compare(theirs peerapi.GroupView) (own peerapi.GroupView, later bool) {
-	v.driver.opts.Tables.Groups.With(theirs.Group, func(g *state.GroupState) { own = view(g) })
+// merge merges a view of another VM. It returns this VM's view and whether that has
+// the higher term.
+func (v *Views) merge(remote peerapi.GroupView) (local peerapi.GroupView, newer bool) {
+	v.driver.opts.Tables.Groups.With(remote.Group, func(g *state.GroupState) { local = view(g) })
 	switch {
-	case own.Term > theirs.Term:
-		return own, true
-	case own.Term < theirs.Term:
-		v.Announce(theirs)
-		v.driver.MergeView(theirs)
-	case theirs.Suspect && !own.Suspect:
-		v.driver.MergeView(theirs)
+	case local.Term > remote.Term:
+		return local, true
+	case local.Term < remote.Term:
+		v.Announce(remote)
+		v.driver.MergeView(remote)
+	case remote.Suspect && !local.Suspect:
+		v.driver.MergeView(remote)
 	}
-	return own, false
+	return local, false
 }
 
-// choose returns the changes that are still to be passed on, and some other
-// views in turn.
-func (v *Views) choose() []peerapi.GroupView {
+// selectViews returns the scheduled changes, followed by further views in round-robin
+// order.
+func (v *Views) selectViews() []peerapi.GroupView {
 	all := v.driver.Views()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var chosen []peerapi.GroupView
+	var selected []peerapi.GroupView
 	for _, g := range all {
-		if v.news[g.Group] == 0 || len(chosen) == newsPerMessage {
+		if v.pendingUpdates[g.Group] == 0 || len(selected) == maxUpdatesPerMessage {
 			continue
 		}
-		chosen = append(chosen, g)
-		v.news[g.Group]--
-		if v.news[g.Group] == 0 {
-			delete(v.news, g.Group)
+		selected = append(selected, g)
+		v.pendingUpdates[g.Group]--
+		if v.pendingUpdates[g.Group] == 0 {
+			delete(v.pendingUpdates, g.Group)
 		}
 	}
-	for range min(oldPerMessage, len(all)) {
-		v.turn++
-		chosen = append(chosen, all[v.turn%len(all)])
+	for range min(repairViewsPerMessage, len(all)) {
+		v.repairIndex++
+		selected = append(selected, all[v.repairIndex%len(all)])
 	}
-	return chosen
+	return selected
 }
