--- a/transport/groups/groups.go
+++ b/transport/groups/groups.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	// queueLimit is the number of queued events per group above which views from
-	// other VMs are dropped. Views are sent repeatedly, so a dropped one
-	// arrives again.
+	// queueLimit is the number of queued events per group from which on views from
+	// other VMs are dropped. Views are sent repeatedly, so a dropped one arrives
+	// again.
 	queueLimit = 64
 	// roleInterval is the interval at which the driver checks whether this VM has
-	// become the watcher of a group.
+	// become a watcher of a group.
 	roleInterval = time.Second
 )
 
@@ -168,7 +168,7 @@
 }
 
 // MergeView merges another VM's view of a group. Repeated and outdated views have
-// no effect.
+// no effect. A view is dropped if the group's queue is full.
 func (d *Driver) MergeView(v peerapi.GroupView) {
 	d.executor(v.Group).tryPost(func(g *state.GroupState, snap snapshot, out *effects) {
 		out.addFailover(failover.Merge(snap.input(g), v.Term, v.Primary, v.Suspect))
--- a/transport/pgbackend/backends.go
+++ b/transport/pgbackend/backends.go
@@ -28,7 +28,8 @@
 	NotGranted(id state.WaiterID, reason queueing.Reason)
 }
 
-// Options are the dependencies and settings of Backends. All fields are required.
+// Options are the dependencies and settings of Backends. The zero value of Queueing
+// selects the defaults; all other fields are required.
 type Options struct {
 	Tables      *state.Tables
 	Network     network.Network
--- a/transport/pgserver/pgserver.go
+++ b/transport/pgserver/pgserver.go
@@ -185,7 +185,7 @@
 	}
 	conn, backend, startup, err := s.receiveStartup(raw)
 	if err != nil {
-		s.Logger.WithError(err).Debug("session: start-up failed")
+		s.Logger.WithError(err).Debug("session: failed to read the start-up message")
 		return
 	}
 	if startup == nil {
@@ -193,7 +193,7 @@
 	}
 	login, err := readLogin(backend, startup)
 	if err != nil {
-		s.Logger.WithError(err).Debug("session: login failed")
+		s.Logger.WithError(err).Debug("session: failed to read the login")
 		return
 	}
 	if err := raw.SetDeadline(time.Time{}); err != nil {
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// acquire requests a connection to a backend server. A server that is no longer
-// configured counts as a refusal.
+// acquire requests a connection to a backend server. If the server is no longer
+// configured, the request is refused with queueing.QueueFull, the zero Reason.
 func (c *clientSession) acquire(e session.Acquire, now time.Time) {
 	cfg := c.sessions.Tables.Config.Current()
 	for _, g := range cfg.Groups {
--- a/transport/sessions/sessions.go
+++ b/transport/sessions/sessions.go
@@ -45,7 +45,7 @@
 	Advance(at time.Time)
 }
 
-// Options are the dependencies and settings of Sessions. All fields are required.
+// Options are the dependencies and settings of Sessions.
 type Options struct {
 	Pool    *pool.Pool
 	Tables  *state.Tables
@@ -144,13 +144,13 @@
 		c.sessions.metrics.outcome(*refused)
 		return refused
 	}
-	c.welcome()
+	c.sendLoginComplete()
 	c.idle <- struct{}{}
 	return nil
 }
 
-// welcome sends the messages that complete the client's start-up.
-func (c *clientSession) welcome() {
+// sendLoginComplete sends the messages that complete the client's start-up.
+func (c *clientSession) sendLoginComplete() {
 	messages := []pgproto3.BackendMessage{
 		&pgproto3.AuthenticationOk{},
 		&pgproto3.ParameterStatus{Name: "server_version", Value: "15.0"},
--- a/transport/sessions/settings.go
+++ b/transport/sessions/settings.go
@@ -49,7 +49,8 @@
 	return session.Outcome{Kind: session.Answered}
 }
 
-// set changes one of the proxy's settings.
+// set changes one of the proxy's settings. It returns a refusal if the name or the
+// value is invalid.
 func (c *clientSession) set(name, value string) session.Outcome {
 	invalid := session.Refused(session.ParameterInvalid)
 	switch name {
