--- a/standin/memnet/conn.go
+++ b/standin/memnet/conn.go
@@ -11,175 +11,176 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// link is a connection with its two ends.
-type link struct {
+// pipe is a connection with its two ends.
+type pipe struct {
 	net    *Network
 	hosts  [2]*Host
 	ends   [2]*Conn
 	delay  time.Duration
 	jitter time.Duration
 
-	mu      lockrank.Mutex // guards the fields below and the ends' mutable fields
-	changed *sync.Cond     // broadcast when a blocked call may go on
-	rng     *rand.Rand
-	to      [2]stream // to[i] carries data to ends[i]
-	held    bool
-	failed  bool
+	mu          lockrank.Mutex // guards the fields below and the ends' mutable fields
+	changed     *sync.Cond     // broadcast when a blocked call may be able to continue
+	rng         *rand.Rand
+	inbound     [2]stream // inbound[i] carries data to ends[i]
+	partitioned bool
+	failed      bool
 }
 
 // Conn is one end of a connection. It implements net.Conn.
 type Conn struct {
-	link          *link
+	pipe          *pipe
 	side          int
 	local, remote Addr
 
-	closed        bool      // guarded by link.mu
-	readDeadline  time.Time // guarded by link.mu
-	writeDeadline time.Time // guarded by link.mu
+	closed        bool      // guarded by pipe.mu
+	readDeadline  time.Time // guarded by pipe.mu
+	writeDeadline time.Time // guarded by pipe.mu
 }
 
-// arrival returns when data that is sent now arrives.
-func (k *link) arrival(now time.Time) time.Time {
-	at := now.Add(k.delay)
-	if k.jitter > 0 {
-		at = at.Add(time.Duration(k.rng.Int64N(int64(k.jitter))))
+// arrival returns the time at which data sent now arrives.
+func (p *pipe) arrival(now time.Time) time.Time {
+	at := now.Add(p.delay)
+	if p.jitter > 0 {
+		at = at.Add(time.Duration(p.rng.Int64N(int64(p.jitter))))
 	}
 	return at
 }
 
-// send puts a segment into transit to the given side.
-func (k *link) send(side int, g segment, now time.Time) {
-	g.arrives, g.held = k.arrival(now), k.held
-	k.to[side].put(g)
-	k.changed.Broadcast()
+// send puts a segment into transit to the given side. The caller holds p.mu.
+func (p *pipe) send(side int, seg segment, now time.Time) {
+	seg.arrives, seg.held = p.arrival(now), p.partitioned
+	p.inbound[side].push(seg)
+	p.changed.Broadcast()
 }
 
-func (k *link) setHeld(held bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if held == k.held {
+func (p *pipe) setPartitioned(partitioned bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if partitioned == p.partitioned {
 		return
 	}
-	k.held = held
+	p.partitioned = partitioned
 	now := time.Now()
-	for i := range k.to {
-		if held {
-			k.to[i].hold(now)
+	for i := range p.inbound {
+		if partitioned {
+			p.inbound[i].hold(now)
 		} else {
-			k.to[i].release(k.arrival(now))
+			p.inbound[i].release(p.arrival(now))
 		}
 	}
-	k.changed.Broadcast()
+	p.changed.Broadcast()
 }
 
-// fail breaks the connection at both ends.
-func (k *link) fail() {
-	k.markFailed()
-	k.net.forget(k)
+// fail resets the connection at both ends.
+func (p *pipe) fail() {
+	p.markFailed()
+	p.net.removePipe(p)
 }
 
-func (k *link) markFailed() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.failed = true
-	k.to[0].drop()
-	k.to[1].drop()
-	k.changed.Broadcast()
+func (p *pipe) markFailed() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failed = true
+	p.inbound[0].discard()
+	p.inbound[1].discard()
+	p.changed.Broadcast()
 }
 
-// wait blocks until something changes or the earliest of the given times that
-// is not zero. The caller holds k.mu.
-func (k *link) wait(times ...time.Time) {
+// wait blocks until the state of the connection changes or the earliest
+// deadline passes. Zero deadlines are ignored. The caller holds p.mu.
+func (p *pipe) wait(deadlines ...time.Time) {
 	var until time.Time
-	for _, t := range times {
-		if !t.IsZero() && (until.IsZero() || t.Before(until)) {
-			until = t
+	for _, deadline := range deadlines {
+		if !deadline.IsZero() && (until.IsZero() || deadline.Before(until)) {
+			until = deadline
 		}
 	}
 	if until.IsZero() {
-		k.changed.Wait()
+		p.changed.Wait()
 		return
 	}
-	timer := time.AfterFunc(time.Until(until), k.wake)
+	timer := time.AfterFunc(time.Until(until), p.wake)
 	defer timer.Stop()
-	k.changed.Wait()
+	p.changed.Wait()
 }
 
-// wake takes the lock so that a timer cannot fire before its caller waits.
-func (k *link) wake() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.changed.Broadcast()
+// wake broadcasts under the lock, so that the wake-up of a timer is not lost
+// between the creation of the timer and the wait.
+func (p *pipe) wake() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.changed.Broadcast()
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
-	c.link.mu.Lock()
-	defer c.link.mu.Unlock()
-	in := &c.link.to[c.side]
+	c.pipe.mu.Lock()
+	defer c.pipe.mu.Unlock()
+	in := &c.pipe.inbound[c.side]
 	for {
 		now := time.Now()
-		if err := c.fault(c.readDeadline, now); err != nil {
+		if err := c.ioError(c.readDeadline, now); err != nil {
 			return 0, opError("read", c.remote, err)
 		}
 		if len(b) == 0 {
 			return 0, nil
 		}
-		if n, err, ok := in.take(b, now); ok {
-			c.link.changed.Broadcast()
+		if n, err, ok := in.read(b, now); ok {
+			c.pipe.changed.Broadcast()
 			return n, err
 		}
-		c.link.wait(in.next(), c.readDeadline)
+		c.pipe.wait(in.nextArrival(), c.readDeadline)
 	}
 }
 
-// Write implements net.Conn. It blocks while the buffer is full. Data for an
-// end that has been closed is dropped; once the news of that has arrived, Write
-// fails.
+// Write implements net.Conn. It blocks while the buffer is full. Data for a
+// closed peer is dropped; after the peer's end of stream has arrived, Write
+// fails with EPIPE.
 func (c *Conn) Write(b []byte) (int, error) {
-	c.link.mu.Lock()
-	defer c.link.mu.Unlock()
+	c.pipe.mu.Lock()
+	defer c.pipe.mu.Unlock()
 	written := 0
 	for {
 		now := time.Now()
-		if err := c.writeFault(now); err != nil {
+		if err := c.writeError(now); err != nil {
 			return written, opError("write", c.remote, err)
 		}
-		written += c.write(b[written:], now)
+		written += c.enqueue(b[written:], now)
 		if written == len(b) {
 			return written, nil
 		}
-		c.link.wait(c.writeDeadline)
+		c.pipe.wait(c.writeDeadline)
 	}
 }
 
-func (c *Conn) write(b []byte, now time.Time) int {
+func (c *Conn) enqueue(b []byte, now time.Time) int {
 	peer := 1 - c.side
-	if c.link.ends[peer].closed {
+	if c.pipe.ends[peer].closed {
 		return len(b)
 	}
-	n := min(len(b), c.link.to[peer].room())
+	n := min(len(b), c.pipe.inbound[peer].free())
 	if n > 0 {
-		c.link.send(peer, segment{data: append([]byte(nil), b[:n]...)}, now)
+		c.pipe.send(peer, segment{data: append([]byte(nil), b[:n]...)}, now)
 	}
 	return n
 }
 
-func (c *Conn) writeFault(now time.Time) error {
-	if err := c.fault(c.writeDeadline, now); err != nil {
+func (c *Conn) writeError(now time.Time) error {
+	if err := c.ioError(c.writeDeadline, now); err != nil {
 		return err
 	}
-	if c.link.to[c.side].ended(now) {
+	if c.pipe.inbound[c.side].endArrived(now) {
 		return syscall.EPIPE
 	}
 	return nil
 }
 
-func (c *Conn) fault(deadline, now time.Time) error {
+func (c *Conn) ioError(deadline, now time.Time) error {
 	switch {
 	case c.closed:
 		return net.ErrClosed
-	case c.link.failed:
+	case c.pipe.failed:
 		return syscall.ECONNRESET
 	case !deadline.IsZero() && !now.Before(deadline):
 		return os.ErrDeadlineExceeded
@@ -187,34 +188,33 @@
 	return nil
 }
 
-// Close implements net.Conn. Data already written is still delivered.
+// Close implements net.Conn. The peer still receives data already written.
 func (c *Conn) Close() error {
-	last, err := c.close()
+	last, err := c.closeEnd()
 	if last {
-		c.link.net.forget(c.link)
+		c.pipe.net.removePipe(c.pipe)
 	}
 	return err
 }
 
-// close reports whether both ends are now closed.
-func (c *Conn) close() (last bool, err error) {
-	c.link.mu.Lock()
-	defer c.link.mu.Unlock()
+// closeEnd closes this end and reports whether both ends are now closed.
+func (c *Conn) closeEnd() (last bool, err error) {
+	c.pipe.mu.Lock()
+	defer c.pipe.mu.Unlock()
 	if c.closed {
 		return false, opError("close", c.local, net.ErrClosed)
 	}
 	c.closed = true
-	c.link.to[c.side].drop()
-	if !c.link.failed {
-		c.link.send(1-c.side, segment{end: true}, time.Now())
+	c.pipe.inbound[c.side].discard()
+	if !c.pipe.failed {
+		c.pipe.send(1-c.side, segment{end: true}, time.Now())
 	}
-	c.link.changed.Broadcast()
-	return c.link.ends[1-c.side].closed, nil
+	c.pipe.changed.Broadcast()
+	return c.pipe.ends[1-c.side].closed, nil
 }
 
-// Break makes the connection fail at both ends, as a reset does. Data in
-// transit is lost.
-func (c *Conn) Break() { c.link.fail() }
+// Break resets the connection at both ends. Data in transit or unread is lost.
+func (c *Conn) Break() { c.pipe.fail() }
 
 // LocalAddr implements net.Conn.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
@@ -238,12 +238,12 @@
 }
 
 func (c *Conn) setDeadlines(set func()) error {
-	c.link.mu.Lock()
-	defer c.link.mu.Unlock()
+	c.pipe.mu.Lock()
+	defer c.pipe.mu.Unlock()
 	if c.closed {
 		return opError("set", c.local, net.ErrClosed)
 	}
 	set()
-	c.link.changed.Broadcast()
+	c.pipe.changed.Broadcast()
 	return nil
 }
--- a/standin/memnet/host.go
+++ b/standin/memnet/host.go
@@ -14,7 +14,8 @@
 	Port int
 }
 
-// Network implements net.Addr. It says "tcp", as callers expect a stream.
+// Network implements net.Addr. It returns "tcp", because callers expect a stream
+// network.
 func (Addr) Network() string { return "tcp" }
 
 // String returns host:port.
@@ -25,25 +26,26 @@
 	if err != nil {
 		return Addr{}, err
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
 		return Addr{}, &net.AddrError{Err: "invalid port", Addr: address}
 	}
-	return Addr{Host: host, Port: int(number)}, nil
+	return Addr{Host: host, Port: int(portNumber)}, nil
 }
 
-// Host is one host's view of the network. It implements network.Network.
+// Host is one host of a network. It implements network.Network.
 type Host struct {
 	net  *Network
 	name string
 	zone string
 }
 
-// Name returns the host's name.
+// Name returns the name given to Network.Host, usually an IP address.
 func (h *Host) Name() string { return h.name }
 
-// Listen listens on a port of the host. The host part of the address is empty,
-// 0.0.0.0 or the host's name; port 0 picks a free port.
+// Listen listens on a port of the host. The host part of the address must be
+// empty, 0.0.0.0 or the host's name; otherwise Listen fails with EADDRNOTAVAIL.
+// Port 0 picks a free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	addr, err := parseAddr(address)
 	if err != nil {
@@ -56,7 +58,7 @@
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	if addr.Port == 0 {
-		addr.Port = h.net.port()
+		addr.Port = h.net.allocatePort()
 	}
 	if h.net.listeners[addr] != nil {
 		return nil, opError("listen", addr, syscall.EADDRINUSE)
@@ -66,62 +68,63 @@
 	return l, nil
 }
 
-// Dial connects to a listener. It takes a round trip. While the hosts are cut
-// off from each other it waits until the cut is healed or ctx ends. A host or
-// port without a listener refuses the connection.
+// Dial connects to a listener, which takes one round trip. While a partition
+// separates the hosts, it waits until the partition is healed or ctx ends. It
+// fails with EHOSTUNREACH for an unknown host, and with ECONNREFUSED for a port
+// without a listener or with a full backlog.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	addr, err := parseAddr(address)
 	if err != nil {
 		return nil, opError("dial", addr, err)
 	}
-	target := h.net.lookup(addr.Host)
+	target := h.net.findHost(addr.Host)
 	if target == nil {
 		return nil, opError("dial", addr, syscall.EHOSTUNREACH)
 	}
-	if err := h.net.travel(ctx, h, target); err != nil {
+	if err := h.net.waitTransit(ctx, h, target); err != nil {
 		return nil, opError("dial", addr, err)
 	}
-	k := h.net.offer(h, addr)
-	if err := h.net.travel(ctx, target, h); err != nil {
-		if k != nil {
-			k.fail()
+	p := h.net.openPipe(h, addr)
+	if err := h.net.waitTransit(ctx, target, h); err != nil {
+		if p != nil {
+			p.fail()
 		}
 		return nil, opError("dial", addr, err)
 	}
-	if k == nil {
+	if p == nil {
 		return nil, opError("dial", addr, syscall.ECONNREFUSED)
 	}
-	return k.ends[0], nil
+	return p.ends[0], nil
 }
 
-func (n *Network) lookup(host string) *Host {
+func (n *Network) findHost(host string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[host]
 }
 
-// offer hands a new connection to the listener at addr. It returns nil if there
-// is none or its backlog is full.
-func (n *Network) offer(from *Host, addr Addr) *link {
+// openPipe adds a new connection to the backlog of the listener at addr. It
+// returns nil if there is no listener or its backlog is full.
+func (n *Network) openPipe(from *Host, addr Addr) *pipe {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.listeners[addr]
 	if l == nil {
 		return nil
 	}
-	k := n.connect(from, l)
+	p := n.newPipe(from, l)
 	select {
-	case l.backlog <- k.ends[1]:
-		return k
+	case l.backlog <- p.ends[1]:
+		return p
 	default:
-		delete(n.links, k)
+		delete(n.pipes, p)
 		return nil
 	}
 }
 
-// travel waits for as long as a packet takes from one host to the other. A
-// packet that meets a cut is sent again after the cut is healed.
-func (n *Network) travel(ctx context.Context, from, to *Host) error {
+// waitTransit waits for the time that a packet takes from one host to the other.
+// A packet lost in a partition is sent again after the partition is healed.
+func (n *Network) waitTransit(ctx context.Context, from, to *Host) error {
 	for {
 		delay, healed := n.path(from, to)
 		if healed == nil {
@@ -140,12 +143,12 @@
 	}
 }
 
-// path returns the delay between two hosts and, if they are cut off from each
-// other, a channel that is closed when any cut is healed.
+// path returns the delay between two hosts or, if a partition separates them, a
+// channel that is closed when any partition is healed.
 func (n *Network) path(from, to *Host) (time.Duration, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cutBetween(from, to) {
+	if n.partitioned(from, to) {
 		return 0, n.healed
 	}
 	return n.delay(from, to), nil
--- a/standin/memnet/listener.go
+++ b/standin/memnet/listener.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// backlogLimit is the number of connections that wait to be accepted; more are
-// refused.
+// backlogLimit is the number of connections of a listener that may wait to be
+// accepted. Further connections are refused.
 const backlogLimit = 1024
 
 type listener struct {
-	host    *Host
-	addr    Addr
-	backlog chan *Conn // sent to under Network.mu, while the listener is registered
-	once    sync.Once
-	closed  chan struct{}
+	host      *Host
+	addr      Addr
+	backlog   chan *Conn // sent to only under Network.mu and while the listener is registered
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func newListener(h *Host, addr Addr) *listener {
@@ -41,12 +41,12 @@
 	}
 }
 
-// Close implements net.Listener. Connections that were not accepted break.
+// Close implements net.Listener. Connections that were not accepted are reset.
 func (l *listener) Close() error {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		l.unregister()
 		close(l.closed)
-		l.dropBacklog()
+		l.failBacklog()
 	})
 	return nil
 }
@@ -57,11 +57,11 @@
 	delete(l.host.net.listeners, l.addr)
 }
 
-func (l *listener) dropBacklog() {
+func (l *listener) failBacklog() {
 	for {
 		select {
 		case c := <-l.backlog:
-			c.link.fail()
+			c.pipe.fail()
 		default:
 			return
 		}
--- a/standin/memnet/memnet_test.go
+++ b/standin/memnet/memnet_test.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	near = time.Millisecond
-	far  = 10 * time.Millisecond
+	sameZoneDelay  = time.Millisecond
+	interZoneDelay = 10 * time.Millisecond
 )
 
 // pair is a connection from host a in zone east to host b in zone west.
@@ -35,12 +35,13 @@
 	dialed, peer net.Conn
 }
 
-// inBubble runs a test on a pair. The bubble fails it if a goroutine is left.
+// inBubble runs a test on a pair in a synctest bubble, which fails the test if a
+// goroutine is left.
 func inBubble(t *testing.T, test func(t *testing.T, p *pair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := New(7)
-		n.SetDefaultDelay(near, far)
+		n.SetDefaultDelay(sameZoneDelay, interZoneDelay)
 		p := &pair{t: t, net: n, a: n.Host("10.0.0.1", "east"), b: n.Host("10.0.0.2", "west")}
 		l, err := p.b.Listen(":80")
 		if err != nil {
@@ -78,12 +79,12 @@
 	return string(b), time.Since(start)
 }
 
-// Guards against delays that depend on the direction or are not those of the
-// two zones, and against an end of stream that overtakes data.
+// Guards against delays that are not the delay between the two zones, and
+// against an end of stream that overtakes data.
 func TestDelayAndEndOfStream(t *testing.T) {
 	inBubble(t, func(t *testing.T, p *pair) {
 		p.write("hello")
-		if text, took := p.read(5); text != "hello" || took != far {
+		if text, took := p.read(5); text != "hello" || took != interZoneDelay {
 			t.Fatalf("read %q after %v", text, took)
 		}
 		p.write("bye")
@@ -99,10 +100,10 @@
 }
 
 // Guards against jitter that reorders the data of a connection, and against a
-// full buffer that loses data instead of blocking the writer.
+// writer that is not blocked by a full buffer or loses data there.
 func TestOrderUnderJitterAndBackPressure(t *testing.T) {
 	inBubble(t, func(t *testing.T, p *pair) {
-		p.net.SetJitter(far)
+		p.net.SetJitter(interZoneDelay)
 		c, l := p.dialAgain()
 		const total = 3 * bufferLimit
 		go func() {
@@ -121,7 +122,7 @@
 			c.Close()
 		}()
 		synctest.Wait()
-		if held := c.(*Conn).link.to[1].size; held > bufferLimit {
+		if held := c.(*Conn).pipe.inbound[1].size; held > bufferLimit {
 			t.Fatalf("%d bytes buffered", held)
 		}
 		b, err := io.ReadAll(l)
@@ -136,7 +137,8 @@
 	})
 }
 
-// dialAgain opens another connection, to which later settings apply.
+// dialAgain opens another connection. Settings changed since the first one apply
+// to it.
 func (p *pair) dialAgain() (dialed, peer net.Conn) {
 	p.t.Helper()
 	l, err := p.b.Listen(":0")
@@ -152,14 +154,15 @@
 	return dialed, peer
 }
 
-// Guards against data that crosses a partition, or is lost or reordered by one
-// that heals, and against a partition that also withholds data that has arrived.
+// Guards against data that crosses a partition, or is lost or reordered when the
+// partition heals, and against a partition that holds back data that has already
+// arrived.
 func TestPartitionHoldsDataBack(t *testing.T) {
 	inBubble(t, func(t *testing.T, p *pair) {
 		p.write("1")
-		time.Sleep(far)
+		time.Sleep(interZoneDelay)
 		p.write("2")
-		cut := p.net.Partition(Zones("east"), Hosts("10.0.0.2"))
+		partition := p.net.Partition(Zones("east"), Hosts("10.0.0.2"))
 		p.write("3")
 		if text, took := p.read(1); text != "1" || took != 0 {
 			t.Fatalf("read %q after %v", text, took)
@@ -169,19 +172,19 @@
 			t.Fatalf("read across the partition: %v", err)
 		}
 		p.peer.SetReadDeadline(time.Time{})
-		cut.Heal()
+		partition.Heal()
 		p.write("4")
-		if text, took := p.read(3); text != "234" || took != far {
+		if text, took := p.read(3); text != "234" || took != interZoneDelay {
 			t.Fatalf("read %q after %v", text, took)
 		}
 	})
 }
 
-// Guards against dials that cross a partition, that do not end with their
-// context, or that miss the healing.
+// Guards against dials that cross a partition, do not end with their context, or
+// do not continue after the partition is healed.
 func TestDialWaitsForHealing(t *testing.T) {
 	inBubble(t, func(t *testing.T, p *pair) {
-		cut := p.net.Partition(Hosts("10.0.0.1"), All())
+		partition := p.net.Partition(Hosts("10.0.0.1"), All())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start := time.Now()
@@ -191,11 +194,11 @@
 		if took := time.Since(start); took != time.Second {
 			t.Fatalf("dial ended after %v", took)
 		}
-		time.AfterFunc(time.Minute, cut.Heal)
+		time.AfterFunc(time.Minute, partition.Heal)
 		if _, err := p.a.Dial(t.Context(), "10.0.0.2:80"); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(start); took != time.Second+time.Minute+2*far {
+		if took := time.Since(start); took != time.Second+time.Minute+2*interZoneDelay {
 			t.Fatalf("dial took %v", took)
 		}
 		if _, err := p.a.Dial(t.Context(), "10.0.0.2:81"); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -204,8 +207,8 @@
 	})
 }
 
-// Guards against a blocked call that a break, a close or a new deadline does
-// not wake.
+// Guards against a blocked read that is not woken by a reset, a close or a new
+// deadline.
 func TestBlockedReadsWake(t *testing.T) {
 	inBubble(t, func(t *testing.T, p *pair) {
 		errs := make(chan error)
@@ -227,10 +230,10 @@
 		if err := <-errs; !errors.Is(err, net.ErrClosed) {
 			t.Fatalf("close: %v", err)
 		}
-		cut := p.net.Partition(Hosts("10.0.0.1"), Hosts("10.0.0.2"))
+		partition := p.net.Partition(Hosts("10.0.0.1"), Hosts("10.0.0.2"))
 		go read(p.peer)
 		synctest.Wait()
-		cut.Break()
+		partition.Break()
 		if err := <-errs; !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("break: %v", err)
 		}
--- a/standin/memnet/network.go
+++ b/standin/memnet/network.go
@@ -1,11 +1,11 @@
-// Package memnet is an in-memory network for tests. It has hosts in zones,
-// one-way delays between zones, jitter, partitions and broken connections.
+// Package memnet is an in-memory network for tests. Hosts belong to zones;
+// delays between zones, jitter, partitions and connection resets can be set.
 //
 // It blocks on condition variables, channels and timers only, so it works in a
 // testing/synctest bubble, where its delays take no real time. It starts no
 // goroutine that outlives a call; timers run only while a call waits.
 //
-// Lock order: Network.mu, then link.mu.
+// Lock order: Network.mu, then pipe.mu.
 package memnet
 
 import (
@@ -16,53 +16,56 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Ranks of this package's locks. They are above those of the code that uses
-// the network, which may close a connection while it holds a lock.
+// Lock ranks of this package. They are above those of the code that uses the
+// network, because that code may close a connection while it holds a lock.
 const (
 	rankNetwork lockrank.Rank = 310
-	rankLink    lockrank.Rank = 320
+	rankPipe    lockrank.Rank = 320
 )
 
-// firstPort is the first port given to listeners on port 0 and to dialers.
+// firstPort is the lower bound of the ports allocated to listeners on port 0 and
+// to dialers.
 const firstPort = 32768
 
-// Network is a set of hosts that reach each other.
+// Network is an in-memory network of hosts. Its methods may be called from any
+// goroutine.
 type Network struct {
 	seed uint64
 
-	mu        lockrank.Mutex // guards the fields below
-	hosts     map[string]*Host
-	listeners map[Addr]*listener
-	links     map[*link]struct{}
-	cuts      map[*Cut]struct{}
-	healed    chan struct{} // closed and replaced when a cut is healed
-	between   map[zonePair]time.Duration
-	sameZone  time.Duration
-	elsewhere time.Duration
-	jitter    time.Duration
-	nextPort  int
-	nextLink  uint64
+	mu             lockrank.Mutex // guards the fields below
+	hosts          map[string]*Host
+	listeners      map[Addr]*listener
+	pipes          map[*pipe]struct{}
+	partitions     map[*Cut]struct{}
+	healed         chan struct{} // closed and replaced when a partition is healed
+	zoneDelays     map[zonePair]time.Duration
+	sameZoneDelay  time.Duration
+	interZoneDelay time.Duration
+	jitter         time.Duration
+	lastPort       int
+	lastPipe       uint64
 }
 
 // zonePair is an unordered pair of zones.
 type zonePair struct{ low, high string }
 
-func pairOf(a, b string) zonePair {
+func newZonePair(a, b string) zonePair {
 	return zonePair{low: min(a, b), high: max(a, b)}
 }
 
-// New returns a network without delays. The seed determines the jitter.
+// New returns a network without hosts, delays or jitter. The seed determines
+// the jitter of each connection.
 func New(seed uint64) *Network {
 	return &Network{
-		seed:      seed,
-		mu:        lockrank.New(rankNetwork),
-		hosts:     make(map[string]*Host),
-		listeners: make(map[Addr]*listener),
-		links:     make(map[*link]struct{}),
-		cuts:      make(map[*Cut]struct{}),
-		healed:    make(chan struct{}),
-		between:   make(map[zonePair]time.Duration),
-		nextPort:  firstPort,
+		seed:       seed,
+		mu:         lockrank.New(rankNetwork),
+		hosts:      make(map[string]*Host),
+		listeners:  make(map[Addr]*listener),
+		pipes:      make(map[*pipe]struct{}),
+		partitions: make(map[*Cut]struct{}),
+		healed:     make(chan struct{}),
+		zoneDelays: make(map[zonePair]time.Duration),
+		lastPort:   firstPort,
 	}
 }
 
@@ -84,19 +87,19 @@
 func (n *Network) SetDelay(zoneA, zoneB string, oneWay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.between[pairOf(zoneA, zoneB)] = oneWay
+	n.zoneDelays[newZonePair(zoneA, zoneB)] = oneWay
 }
 
-// SetDefaultDelay sets the one-way delays of pairs without a delay of their
-// own: within a zone, and between two zones. It applies to connections that are
+// SetDefaultDelay sets the one-way delays within a zone and between two zones
+// for pairs without a delay from SetDelay. It applies to connections that are
 // opened afterwards.
-func (n *Network) SetDefaultDelay(sameZone, elsewhere time.Duration) {
+func (n *Network) SetDefaultDelay(sameZone, interZone time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sameZone, n.elsewhere = sameZone, elsewhere
+	n.sameZoneDelay, n.interZoneDelay = sameZone, interZone
 }
 
-// SetJitter adds a random time below limit to each delay. Data of one
+// SetJitter adds a random time below limit to each delay. The data of a
 // connection stays in order. It applies to connections that are opened
 // afterwards.
 func (n *Network) SetJitter(limit time.Duration) {
@@ -105,24 +108,24 @@
 	n.jitter = limit
 }
 
-// Connections returns the number of connections of which an end is open.
+// Connections returns the number of connections with at least one open end.
 func (n *Network) Connections() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.links)
+	return len(n.pipes)
 }
 
-// Close closes all listeners and breaks all connections.
+// Close closes all listeners and resets all connections.
 func (n *Network) Close() {
-	for _, l := range n.allListeners() {
+	for _, l := range n.listenerList() {
 		l.Close()
 	}
-	for _, k := range n.linksAcross(All(), All()) {
-		k.fail()
+	for _, p := range n.pipesBetween(All(), All()) {
+		p.fail()
 	}
 }
 
-func (n *Network) allListeners() []*listener {
+func (n *Network) listenerList() []*listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var all []*listener
@@ -132,45 +135,46 @@
 	return all
 }
 
-// delay returns the one-way delay without jitter. The caller holds n.mu.
+// delay returns the one-way delay between two hosts without jitter. The caller
+// holds n.mu.
 func (n *Network) delay(a, b *Host) time.Duration {
-	if d, ok := n.between[pairOf(a.zone, b.zone)]; ok {
+	if d, ok := n.zoneDelays[newZonePair(a.zone, b.zone)]; ok {
 		return d
 	}
 	if a.zone == b.zone {
-		return n.sameZone
+		return n.sameZoneDelay
 	}
-	return n.elsewhere
+	return n.interZoneDelay
 }
 
-func (n *Network) port() int {
-	n.nextPort++
-	return n.nextPort
+func (n *Network) allocatePort() int {
+	n.lastPort++
+	return n.lastPort
 }
 
-// connect creates a connection from a port of the dialing host to the listener.
-// The caller holds n.mu.
-func (n *Network) connect(from *Host, l *listener) *link {
-	n.nextLink++
-	k := &link{
-		net:    n,
-		hosts:  [2]*Host{from, l.host},
-		mu:     lockrank.New(rankLink),
-		delay:  n.delay(from, l.host),
-		jitter: n.jitter,
-		rng:    rand.New(rand.NewPCG(n.seed, n.nextLink)),
-		held:   n.cutBetween(from, l.host),
+// newPipe creates a connection from a new port of the dialing host to the
+// listener. The caller holds n.mu.
+func (n *Network) newPipe(from *Host, l *listener) *pipe {
+	n.lastPipe++
+	p := &pipe{
+		net:         n,
+		hosts:       [2]*Host{from, l.host},
+		mu:          lockrank.New(rankPipe),
+		delay:       n.delay(from, l.host),
+		jitter:      n.jitter,
+		rng:         rand.New(rand.NewPCG(n.seed, n.lastPipe)),
+		partitioned: n.partitioned(from, l.host),
 	}
-	k.changed = sync.NewCond(&k.mu)
-	dialer := Addr{Host: from.name, Port: n.port()}
-	k.ends[0] = &Conn{link: k, side: 0, local: dialer, remote: l.addr}
-	k.ends[1] = &Conn{link: k, side: 1, local: l.addr, remote: dialer}
-	n.links[k] = struct{}{}
-	return k
+	p.changed = sync.NewCond(&p.mu)
+	dialer := Addr{Host: from.name, Port: n.allocatePort()}
+	p.ends[0] = &Conn{pipe: p, side: 0, local: dialer, remote: l.addr}
+	p.ends[1] = &Conn{pipe: p, side: 1, local: l.addr, remote: dialer}
+	n.pipes[p] = struct{}{}
+	return p
 }
 
-func (n *Network) forget(k *link) {
+func (n *Network) removePipe(p *pipe) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.links, k)
+	delete(n.pipes, p)
 }
--- a/standin/memnet/stream.go
+++ b/standin/memnet/stream.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// bufferLimit is the number of bytes in transit and unread in one direction
-// beyond which Write blocks.
+// bufferLimit is the number of bytes, in transit or unread in one direction, at
+// which Write blocks.
 const bufferLimit = 1 << 20
 
-// stream is one direction of a connection. Its link's lock guards it. Segments
-// are taken in the order in which they were put, so one that arrives early waits
-// for those before it.
+// stream is one direction of a connection, guarded by pipe.mu. Segments are read
+// in the order in which they were sent, so jitter never reorders data.
 type stream struct {
 	segments []segment
 	size     int // bytes in segments
 }
 
-// segment is the data of one Write, or the end of the stream.
+// segment is data of one Write, or the end of the stream.
 type segment struct {
 	data    []byte
 	arrives time.Time
-	held    bool // by a partition; arrives is then not yet known
+	held    bool // held back by a partition; arrives is not known yet
 	end     bool
 }
 
 func (s *segment) arrived(now time.Time) bool { return !s.held && !s.arrives.After(now) }
 
-func (s *stream) room() int { return max(bufferLimit-s.size, 0) }
+func (s *stream) free() int { return max(bufferLimit-s.size, 0) }
 
-func (s *stream) put(g segment) {
-	s.segments = append(s.segments, g)
-	s.size += len(g.data)
+func (s *stream) push(seg segment) {
+	s.segments = append(s.segments, seg)
+	s.size += len(seg.data)
 }
 
-// take copies arrived data into b. It reports false if none has arrived.
-func (s *stream) take(b []byte, now time.Time) (n int, err error, ok bool) {
+// read copies arrived data into b, or returns io.EOF at the end of the stream.
+// It reports false if nothing has arrived.
+func (s *stream) read(b []byte, now time.Time) (n int, err error, ok bool) {
 	for len(s.segments) > 0 && n < len(b) {
-		g := &s.segments[0]
-		if !g.arrived(now) {
+		seg := &s.segments[0]
+		if !seg.arrived(now) {
 			break
 		}
-		if g.end {
+		if seg.end {
 			if n > 0 {
 				break
 			}
 			return 0, io.EOF, true
 		}
-		copied := copy(b[n:], g.data)
+		copied := copy(b[n:], seg.data)
 		n += copied
 		s.size -= copied
-		g.data = g.data[copied:]
-		if len(g.data) == 0 {
+		seg.data = seg.data[copied:]
+		if len(seg.data) == 0 {
 			s.segments = s.segments[1:]
 		}
 	}
 	return n, nil, n > 0
 }
 
-// ended reports whether the end of the stream and all data before it have
+// endArrived reports whether the end of the stream and all data before it have
 // arrived.
-func (s *stream) ended(now time.Time) bool {
+func (s *stream) endArrived(now time.Time) bool {
 	for i := range s.segments {
 		if !s.segments[i].arrived(now) {
 			return false
@@ -69,15 +69,16 @@
 	return len(s.segments) > 0 && s.segments[len(s.segments)-1].end
 }
 
-// next returns when the next segment arrives; zero if that is not known.
-func (s *stream) next() time.Time {
+// nextArrival returns the time at which the first segment arrives, or zero if
+// there is none or it is held.
+func (s *stream) nextArrival() time.Time {
 	if len(s.segments) == 0 || s.segments[0].held {
 		return time.Time{}
 	}
 	return s.segments[0].arrives
 }
 
-// hold holds back what has not arrived.
+// hold holds back the segments that have not arrived.
 func (s *stream) hold(now time.Time) {
 	for i := range s.segments {
 		if !s.segments[i].arrived(now) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// release lets held segments arrive at the given time.
+// release makes held segments arrive at the given time.
 func (s *stream) release(arrives time.Time) {
 	for i := range s.segments {
 		if s.segments[i].held {
@@ -96,7 +97,7 @@
 	}
 }
 
-func (s *stream) drop() {
+func (s *stream) discard() {
 	s.segments = nil
 	s.size = 0
 }
