--- a/standin/dbgroup/control_statements.go
+++ b/standin/dbgroup/control_statements.go
@@ -7,7 +7,7 @@
 func (c *session) control(st *sqltext.Statement) (*result, *sqlError) {
 	switch st.Kind {
 	case sqltext.Begin:
-		c.begin(st.Mode)
+		c.begin(st.AccessMode)
 		return &result{tag: "BEGIN"}, nil
 	case sqltext.Commit:
 		return c.commitStatement()
@@ -15,7 +15,7 @@
 		c.rollback()
 		return &result{tag: "ROLLBACK"}, nil
 	case sqltext.SetTransaction:
-		c.tx.setMode(st.Mode)
+		c.tx.setMode(st.AccessMode)
 		return &result{tag: "SET"}, nil
 	case sqltext.Show:
 		return c.show(st)
--- a/standin/dbgroup/execute.go
+++ b/standin/dbgroup/execute.go
@@ -22,7 +22,7 @@
 		return []column{{"?column?", oidInt4}}
 	case sqltext.SelectSleep:
 		return []column{{"pg_sleep", oidText}}
-	case sqltext.SelectWrite:
+	case sqltext.SelectWriteKV:
 		return []column{{"write_kv", oidText}}
 	case sqltext.SelectLog:
 		return []column{{"entry", oidText}}
@@ -52,7 +52,7 @@
 		return selected(st, "1"), nil
 	case sqltext.SelectSleep:
 		return selected(st, ""), nil
-	case sqltext.SelectWrite:
+	case sqltext.SelectWriteKV:
 		tx.put(args[0], args[1])
 		return selected(st, args[1]), nil
 	case sqltext.SelectLog:
@@ -132,7 +132,7 @@
 func (c *session) countKeys() int {
 	var n int
 	c.server.node.read(func(l *translog.Log) {
-		n = l.Count()
+		n = l.KeyCount()
 		for key, v := range c.tx.values {
 			_, committed := l.Value(key)
 			switch {
--- a/standin/dbgroup/node.go
+++ b/standin/dbgroup/node.go
@@ -73,7 +73,7 @@
 		Position:    n.log.Position(),
 		Primary:     n.following,
 		SwitchingTo: n.draining,
-		History:     n.log.Latest(historyLength),
+		History:     n.log.LatestTerms(historyLength),
 		Truncations: n.log.Truncations(),
 	}
 }
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -109,7 +109,7 @@
 	if !n.stillFrom(from) {
 		return false
 	}
-	n.log.Truncate(translog.Common(n.log.Extent(), primary))
+	n.log.Truncate(translog.CommonPosition(n.log.Extent(), primary))
 	n.aligned = true
 	return true
 }
--- a/standin/dbgroup/sqltext/forms.go
+++ b/standin/dbgroup/sqltext/forms.go
@@ -5,85 +5,87 @@
 	"strings"
 )
 
-// form is a statement form: a pattern, and how its groups fill a statement.
-type form struct {
-	kind    Kind
-	pattern *regexp.Regexp
-	fill    func(s *Statement, groups []string)
+// statementForm maps statements that match a pattern to a kind. setFields sets
+// the fields of the statement from the groups of the pattern.
+type statementForm struct {
+	kind      Kind
+	pattern   *regexp.Regexp
+	setFields func(s *Statement, groups []string)
 }
 
-// Parts of patterns. A cast after an argument is ignored, as all values are
+// Parts of patterns. A cast after an argument is ignored, because all values are
 // text.
 const (
-	argument  = `('(?:[^']|'')*'|\$[1-9][0-9]*)(?:::[a-z]+)?`
-	seconds   = `([0-9]*\.?[0-9]+|'[0-9.]+'|\$[1-9][0-9]*)(?:::[a-z]+)?`
-	returning = `(\s+RETURNING\s+value)?`
-	columns   = `(?:\s*\(\s*key\s*,\s*value\s*\))?`
-	modes     = `((?:\s+|,)(?:\s*,?\s*(?:READ\s+ONLY|READ\s+WRITE|ISOLATION\s+LEVEL\s+(?:SERIALIZABLE|REPEATABLE\s+READ|READ\s+COMMITTED|READ\s+UNCOMMITTED)|(?:NOT\s+)?DEFERRABLE))+)?`
-	work      = `(?:\s+(?:WORK|TRANSACTION))?`
-	setting   = `([a-z_][a-z0-9_.]*)`
+	argPattern       = `('(?:[^']|'')*'|\$[1-9][0-9]*)(?:::[a-z]+)?`
+	secondsPattern   = `([0-9]*\.?[0-9]+|'[0-9.]+'|\$[1-9][0-9]*)(?:::[a-z]+)?`
+	returningPattern = `(\s+RETURNING\s+value)?`
+	columnsPattern   = `(?:\s*\(\s*key\s*,\s*value\s*\))?`
+	modesPattern     = `((?:\s+|,)(?:\s*,?\s*(?:READ\s+ONLY|READ\s+WRITE|ISOLATION\s+LEVEL\s+(?:SERIALIZABLE|REPEATABLE\s+READ|READ\s+COMMITTED|READ\s+UNCOMMITTED)|(?:NOT\s+)?DEFERRABLE))+)?`
+	workPattern      = `(?:\s+(?:WORK|TRANSACTION))?`
+	settingPattern   = `([a-z_][a-z0-9_.]*)`
 )
 
-var forms = []form{
-	{SelectValue, compile(`SELECT\s+value\s+FROM\s+kv\s+WHERE\s+key\s*=\s*` + argument), fillArgs},
-	{SelectCount, compile(`SELECT\s+count\(\*\)\s+FROM\s+kv`), fillArgs},
-	{SelectServer, compile(`SELECT\s+server\(\)`), fillArgs},
-	{SelectOne, compile(`SELECT\s+1`), fillArgs},
-	{SelectSleep, compile(`SELECT\s+pg_sleep\(\s*` + seconds + `\s*\)`), fillArgs},
-	{SelectWrite, compile(`SELECT\s+write_kv\(\s*` + argument + `\s*,\s*` + argument + `\s*\)`), fillArgs},
-	{SelectLog, compile(`SELECT\s+entry\s+FROM\s+log`), fillArgs},
-	{Insert, compile(`INSERT\s+INTO\s+kv` + columns + `\s+VALUES\s*\(\s*` + argument + `\s*,\s*` + argument + `\s*\)` + returning), fillReturning},
-	{Upsert, compile(`UPSERT\s+kv\s*\(\s*` + argument + `\s*,\s*` + argument + `\s*\)` + returning), fillReturning},
-	{Update, compile(`UPDATE\s+kv\s+SET\s+value\s*=\s*` + argument + `\s+WHERE\s+key\s*=\s*` + argument + returning), fillUpdate},
-	{Delete, compile(`DELETE\s+FROM\s+kv\s+WHERE\s+key\s*=\s*` + argument + returning), fillReturning},
-	{Append, compile(`APPEND\s+log\s+` + argument), fillArgs},
-	{Begin, compile(`BEGIN` + work + modes), fillMode},
-	{Begin, compile(`START\s+TRANSACTION` + modes), fillMode},
-	{Commit, compile(`(?:COMMIT|END)` + work), fillNothing},
-	{Rollback, compile(`(?:ROLLBACK|ABORT)` + work), fillNothing},
-	{SetTransaction, compile(`SET\s+TRANSACTION` + modes), fillMode},
-	{Set, compile(`SET\s+(SESSION\s+|LOCAL\s+)?` + setting + `\s*(?:=|\s+TO\s)\s*(.+)`), fillSet},
-	{ResetAll, compile(`RESET\s+ALL`), fillNothing},
-	{Reset, compile(`RESET\s+` + setting), fillName},
-	{Show, compile(`SHOW\s+` + setting), fillName},
-	{DiscardAll, compile(`DISCARD\s+ALL`), fillNothing},
+var forms = []statementForm{
+	{SelectValue, compile(`SELECT\s+value\s+FROM\s+kv\s+WHERE\s+key\s*=\s*` + argPattern), setArgs},
+	{SelectCount, compile(`SELECT\s+count\(\*\)\s+FROM\s+kv`), setArgs},
+	{SelectServer, compile(`SELECT\s+server\(\)`), setArgs},
+	{SelectOne, compile(`SELECT\s+1`), setArgs},
+	{SelectSleep, compile(`SELECT\s+pg_sleep\(\s*` + secondsPattern + `\s*\)`), setArgs},
+	{SelectWriteKV, compile(`SELECT\s+write_kv\(\s*` + argPattern + `\s*,\s*` + argPattern + `\s*\)`), setArgs},
+	{SelectLog, compile(`SELECT\s+entry\s+FROM\s+log`), setArgs},
+	{Insert, compile(`INSERT\s+INTO\s+kv` + columnsPattern + `\s+VALUES\s*\(\s*` + argPattern + `\s*,\s*` + argPattern + `\s*\)` + returningPattern), setArgsAndReturning},
+	{Upsert, compile(`UPSERT\s+kv\s*\(\s*` + argPattern + `\s*,\s*` + argPattern + `\s*\)` + returningPattern), setArgsAndReturning},
+	{Update, compile(`UPDATE\s+kv\s+SET\s+value\s*=\s*` + argPattern + `\s+WHERE\s+key\s*=\s*` + argPattern + returningPattern), setUpdate},
+	{Delete, compile(`DELETE\s+FROM\s+kv\s+WHERE\s+key\s*=\s*` + argPattern + returningPattern), setArgsAndReturning},
+	{Append, compile(`APPEND\s+log\s+` + argPattern), setArgs},
+	{Begin, compile(`BEGIN` + workPattern + modesPattern), setAccessMode},
+	{Begin, compile(`START\s+TRANSACTION` + modesPattern), setAccessMode},
+	{Commit, compile(`(?:COMMIT|END)` + workPattern), noFields},
+	{Rollback, compile(`(?:ROLLBACK|ABORT)` + workPattern), noFields},
+	{SetTransaction, compile(`SET\s+TRANSACTION` + modesPattern), setAccessMode},
+	{Set, compile(`SET\s+(SESSION\s+|LOCAL\s+)?` + settingPattern + `\s*(?:=|\s+TO\s)\s*(.+)`), setAssignment},
+	{ResetAll, compile(`RESET\s+ALL`), noFields},
+	{Reset, compile(`RESET\s+` + settingPattern), setName},
+	{Show, compile(`SHOW\s+` + settingPattern), setName},
+	{DiscardAll, compile(`DISCARD\s+ALL`), noFields},
 }
 
 func compile(pattern string) *regexp.Regexp {
 	return regexp.MustCompile(`(?is)^` + pattern + `$`)
 }
 
-func fillNothing(*Statement, []string) {}
+func noFields(*Statement, []string) {}
 
-func fillArgs(s *Statement, groups []string) {
+func setArgs(s *Statement, groups []string) {
 	for _, g := range groups {
-		s.Args = append(s.Args, argOf(g))
+		s.Args = append(s.Args, parseArg(g))
 	}
 }
 
-func fillReturning(s *Statement, groups []string) {
+func setArgsAndReturning(s *Statement, groups []string) {
 	last := len(groups) - 1
-	fillArgs(s, groups[:last])
+	setArgs(s, groups[:last])
 	s.Returning = groups[last] != ""
 }
 
-// fillUpdate puts the key in front of the value, as in the other statements.
-func fillUpdate(s *Statement, groups []string) {
-	fillReturning(s, groups)
+// setUpdate swaps the arguments of UPDATE, so that the key comes before the value
+// as in the other statements.
+func setUpdate(s *Statement, groups []string) {
+	setArgsAndReturning(s, groups)
 	s.Args[0], s.Args[1] = s.Args[1], s.Args[0]
 }
 
-func fillMode(s *Statement, groups []string) {
+func setAccessMode(s *Statement, groups []string) {
 	modes := strings.Join(strings.Fields(strings.ToUpper(groups[0])), " ")
 	switch {
 	case strings.Contains(modes, "READ ONLY"):
-		s.Mode = ReadOnly
+		s.AccessMode = ReadOnly
 	case strings.Contains(modes, "READ WRITE"):
-		s.Mode = ReadWrite
+		s.AccessMode = ReadWrite
 	}
 }
 
-func fillSet(s *Statement, groups []string) {
+func setAssignment(s *Statement, groups []string) {
 	s.Local = strings.EqualFold(strings.TrimSpace(groups[0]), "LOCAL")
 	s.Name = strings.ToLower(groups[1])
 	value := strings.TrimSpace(groups[2])
@@ -91,6 +93,6 @@
 	s.Value = unquote(value)
 }
 
-func fillName(s *Statement, groups []string) {
+func setName(s *Statement, groups []string) {
 	s.Name = strings.ToLower(groups[0])
 }
--- a/standin/dbgroup/sqltext/sqltext.go
+++ b/standin/dbgroup/sqltext/sqltext.go
@@ -1,4 +1,4 @@
-// Package sqltext parses the statements that a stand-in backend server knows.
+// Package sqltext parses the statements that a stand-in backend server supports.
 package sqltext
 
 import (
@@ -7,96 +7,99 @@
 	"strings"
 )
 
-// Kind is the form of a statement.
+// Kind identifies a supported statement.
 type Kind int
 
-// Kinds of statements.
+// Kinds of statements. Those before Begin read or change data; UsesData depends
+// on this order.
 const (
-	SelectValue  Kind = iota // SELECT value FROM kv WHERE key = $key
-	SelectCount              // SELECT count(*) FROM kv
-	SelectServer             // SELECT server()
-	SelectOne                // SELECT 1
-	SelectSleep              // SELECT pg_sleep(seconds)
-	SelectWrite              // SELECT write_kv('k', 'v')
-	SelectLog                // SELECT entry FROM log
-	Insert                   // INSERT INTO kv VALUES ('k', 'v') [RETURNING value]
-	Upsert                   // UPSERT kv ('k', 'v') [RETURNING value]
-	Update                   // UPDATE kv SET value = 'v' WHERE key = 'k' [RETURNING value]
-	Delete                   // DELETE FROM kv WHERE key = 'k' [RETURNING value]
-	Append                   // APPEND log 'entry'
-	Begin
-	Commit
-	Rollback
-	Set            // SET [SESSION | LOCAL] name = value
-	SetTransaction // SET TRANSACTION READ ONLY | READ WRITE
-	Reset          // RESET name
-	ResetAll
-	Show
-	DiscardAll
+	SelectValue    Kind = iota // SELECT value FROM kv WHERE key = $key
+	SelectCount                // SELECT count(*) FROM kv
+	SelectServer               // SELECT server()
+	SelectOne                  // SELECT 1
+	SelectSleep                // SELECT pg_sleep(seconds)
+	SelectWriteKV              // SELECT write_kv('k', 'v')
+	SelectLog                  // SELECT entry FROM log
+	Insert                     // INSERT INTO kv VALUES ('k', 'v') [RETURNING value]
+	Upsert                     // UPSERT kv ('k', 'v') [RETURNING value]
+	Update                     // UPDATE kv SET value = 'v' WHERE key = 'k' [RETURNING value]
+	Delete                     // DELETE FROM kv WHERE key = 'k' [RETURNING value]
+	Append                     // APPEND log 'entry'
+	Begin                      // BEGIN or START TRANSACTION
+	Commit                     // COMMIT or END
+	Rollback                   // ROLLBACK or ABORT
+	Set                        // SET [SESSION | LOCAL] name = value
+	SetTransaction             // SET TRANSACTION READ ONLY | READ WRITE
+	Reset                      // RESET name
+	ResetAll                   // RESET ALL
+	Show                       // SHOW name
+	DiscardAll                 // DISCARD ALL
 )
 
-// Mode is the access mode that a statement asks for.
-type Mode int
+// AccessMode is the transaction access mode that a statement requests.
+type AccessMode int
 
-// Access modes.
+// Access modes. UnspecifiedMode leaves the mode of the transaction as it is.
 const (
-	DefaultMode Mode = iota
+	UnspecifiedMode AccessMode = iota
 	ReadOnly
 	ReadWrite
 )
 
-// Arg is a literal, or a parameter if Param is above zero.
+// Arg is an argument of a statement: a literal or a parameter.
 type Arg struct {
-	Text  string
-	Param int
+	Text  string // the literal, without quotes
+	Param int    // number of the parameter from 1; zero for a literal
 }
 
-// Statement is a parsed statement.
+// Statement is a parsed statement. Fields that do not apply to its kind are zero.
 type Statement struct {
-	Kind      Kind
-	Text      string
-	Args      []Arg // key, value; entry; seconds
-	Returning bool  // RETURNING value
-	Name      string
-	Value     string
-	Default   bool // SET name TO DEFAULT
-	Local     bool // SET LOCAL
-	Mode      Mode // of Begin and SetTransaction
+	Kind       Kind
+	Text       string     // without leading comments and the semicolon
+	Args       []Arg      // the key, then the value if there is one; or the entry, or the seconds
+	Returning  bool       // RETURNING value
+	Name       string     // of the setting, in lower case
+	Value      string     // of Set
+	Default    bool       // SET name TO DEFAULT
+	Local      bool       // SET LOCAL
+	AccessMode AccessMode // of Begin and SetTransaction
 }
 
 // Writes reports whether the statement changes data.
 func (s *Statement) Writes() bool {
 	switch s.Kind {
-	case SelectWrite, Insert, Upsert, Update, Delete, Append:
+	case SelectWriteKV, Insert, Upsert, Update, Delete, Append:
 		return true
 	}
 	return false
 }
 
-// UsesData reports whether the statement reads or changes data, in contrast to
-// statements on transactions and settings.
+// UsesData reports whether the statement reads or changes data, unlike statements
+// on transactions and settings.
 func (s *Statement) UsesData() bool { return s.Kind < Begin }
 
-// EndsTransaction reports whether the statement is allowed in a transaction
-// that has failed.
+// EndsTransaction reports whether the statement ends a transaction. Only such
+// statements are allowed in a failed transaction.
 func (s *Statement) EndsTransaction() bool { return s.Kind == Commit || s.Kind == Rollback }
 
-// Command returns the first keyword, for messages.
+// Command returns the first keyword in upper case, for error messages.
 func (s *Statement) Command() string {
 	word, _, _ := strings.Cut(s.Text, " ")
 	return strings.ToUpper(word)
 }
 
-// Params returns the number of parameters.
+// Params returns the number of parameters that Bind needs: the highest parameter
+// number in the statement.
 func (s *Statement) Params() int {
-	n := 0
+	count := 0
 	for _, a := range s.Args {
-		n = max(n, a.Param)
+		count = max(count, a.Param)
 	}
-	return n
+	return count
 }
 
-// Bind returns the arguments with the parameters filled in.
+// Bind returns the arguments with the parameters substituted. It fails if a
+// parameter is missing.
 func (s *Statement) Bind(params []string) ([]string, error) {
 	args := make([]string, len(s.Args))
 	for i, a := range s.Args {
@@ -112,26 +115,26 @@
 	return args, nil
 }
 
-// Parse parses statements separated by semicolons. Empty statements are left
-// out.
+// Parse parses statements separated by semicolons and omits empty ones. It fails
+// if any statement is not supported.
 func Parse(text string) ([]*Statement, error) {
-	var all []*Statement
-	for _, part := range split(text) {
-		part = strings.TrimSpace(stripComments(part))
+	var statements []*Statement
+	for _, part := range splitStatements(text) {
+		part = strings.TrimSpace(stripLeadingComments(part))
 		if part == "" {
 			continue
 		}
-		s, err := parseOne(part)
+		statement, err := parseStatement(part)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, s)
+		statements = append(statements, statement)
 	}
-	return all, nil
+	return statements, nil
 }
 
-// split cuts the text at semicolons outside quotes.
-func split(text string) []string {
+// splitStatements splits the text at semicolons outside quotes.
+func splitStatements(text string) []string {
 	var parts []string
 	quoted := false
 	start := 0
@@ -147,8 +150,8 @@
 	return append(parts, text[start:])
 }
 
-// stripComments removes comments in front of a statement.
-func stripComments(text string) string {
+// stripLeadingComments removes the comments before a statement.
+func stripLeadingComments(text string) string {
 	for {
 		text = strings.TrimSpace(text)
 		switch {
@@ -162,19 +165,19 @@
 	}
 }
 
-func parseOne(text string) (*Statement, error) {
+func parseStatement(text string) (*Statement, error) {
 	for _, f := range forms {
 		if match := f.pattern.FindStringSubmatch(text); match != nil {
 			s := &Statement{Kind: f.kind, Text: text}
-			f.fill(s, match[1:])
+			f.setFields(s, match[1:])
 			return s, nil
 		}
 	}
 	return nil, fmt.Errorf("syntax error: statement not known to this server: %.80q", text)
 }
 
-// argOf reads a literal, a number or a parameter.
-func argOf(text string) Arg {
+// parseArg parses a string literal, a number or a parameter.
+func parseArg(text string) Arg {
 	switch {
 	case strings.HasPrefix(text, "$"):
 		n, _ := strconv.Atoi(text[1:])
--- a/standin/dbgroup/sqltext/sqltext_test.go
+++ b/standin/dbgroup/sqltext/sqltext_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Guards against forms that are taken for another one, arguments that lose
-// their quoting or order, and semicolons in literals.
+// Guards against statements parsed as another kind, arguments with wrong quoting
+// or in the wrong order, and a split at a semicolon in a literal.
 func TestParse(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text   string
 		params []string
 		kind   Kind
@@ -20,7 +20,7 @@
 		{"SELECT\n count(*) FROM kv", nil, SelectCount, nil, false},
 		{"/* route */ -- x\nSELECT 1", nil, SelectOne, nil, false},
 		{"SELECT pg_sleep(0.25)", nil, SelectSleep, []string{"0.25"}, false},
-		{"SELECT write_kv('k','v')", nil, SelectWrite, []string{"k", "v"}, true},
+		{"SELECT write_kv('k','v')", nil, SelectWriteKV, []string{"k", "v"}, true},
 		{"INSERT INTO kv (key, value) VALUES ($2, $1) RETURNING value", []string{"v", "k"}, Insert, []string{"k", "v"}, true},
 		{"UPSERT kv ('k', '')", nil, Upsert, []string{"k", ""}, true},
 		{"UPDATE kv SET value = 'v' WHERE key = 'k'", nil, Update, []string{"k", "v"}, true},
@@ -33,18 +33,18 @@
 		{"RESET ALL", nil, ResetAll, nil, false},
 		{"RESET all_of_it", nil, Reset, nil, false},
 	} {
-		all, err := Parse("; " + c.text + " ;")
-		if err != nil || len(all) != 1 {
-			t.Errorf("%s: %d statements, %v", c.text, len(all), err)
+		statements, err := Parse("; " + test.text + " ;")
+		if err != nil || len(statements) != 1 {
+			t.Errorf("%s: %d statements, %v", test.text, len(statements), err)
 			continue
 		}
-		s := all[0]
-		args, err := s.Bind(c.params)
-		if s.Kind != c.kind || err != nil || !slices.Equal(args, c.args) || s.Writes() != c.writes || s.Params() != len(c.params) {
-			t.Errorf("%s: kind %d, args %q, writes %v, %d params, %v", c.text, s.Kind, args, s.Writes(), s.Params(), err)
+		s := statements[0]
+		args, err := s.Bind(test.params)
+		if s.Kind != test.kind || err != nil || !slices.Equal(args, test.args) || s.Writes() != test.writes || s.Params() != len(test.params) {
+			t.Errorf("%s: kind %d, args %q, writes %v, %d params, %v", test.text, s.Kind, args, s.Writes(), s.Params(), err)
 		}
-		if s.Kind == Begin && s.Mode != ReadOnly {
-			t.Errorf("%s: mode %d", c.text, s.Mode)
+		if s.Kind == Begin && s.AccessMode != ReadOnly {
+			t.Errorf("%s: mode %d", test.text, s.AccessMode)
 		}
 	}
 	for _, text := range []string{"SELECT 2", "SELECT 1 x", "UPSERT kv ('k')", "APPEND log 'a' 'b'", "SELECT value FROM kv"} {
--- a/standin/dbgroup/transaction.go
+++ b/standin/dbgroup/transaction.go
@@ -58,7 +58,7 @@
 }
 
 // begin makes the open transaction an explicit one.
-func (c *session) begin(mode sqltext.Mode) {
+func (c *session) begin(mode sqltext.AccessMode) {
 	tx := c.transaction()
 	if tx.explicit {
 		c.answers.warning(codeActiveTx, "there is already a transaction in progress")
@@ -67,7 +67,7 @@
 	tx.setMode(mode)
 }
 
-func (tx *transaction) setMode(mode sqltext.Mode) {
+func (tx *transaction) setMode(mode sqltext.AccessMode) {
 	switch mode {
 	case sqltext.ReadOnly:
 		tx.readOnly = true
--- a/standin/dbgroup/translog/translog.go
+++ b/standin/dbgroup/translog/translog.go
@@ -1,5 +1,5 @@
-// Package translog holds the log of a stand-in backend server and the data that
-// follows from it. It is not safe for concurrent use.
+// Package translog implements the transaction log of a stand-in backend server
+// and the tables that its records produce. It is not safe for concurrent use.
 package translog
 
 import (
@@ -9,21 +9,21 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Op is one change to the data.
+// Op is one change that a transaction made to the tables kv and log.
 type Op struct {
 	Kind  OpKind
-	Key   string // of OpPut and OpDelete
-	Value string // of OpPut; the entry of OpAppend
+	Key   string // for OpPut and OpDelete
+	Value string // the value for OpPut, the entry for OpAppend
 }
 
-// OpKind is the kind of a change.
+// OpKind tells which table an Op changes, and how.
 type OpKind int
 
 // Kinds of changes.
 const (
-	OpPut OpKind = iota
-	OpDelete
-	OpAppend
+	OpPut    OpKind = iota // sets the value of a key in kv
+	OpDelete               // removes a key from kv
+	OpAppend               // adds an entry to log
 )
 
 // Record is one log record: the start of a term, or a committed transaction.
@@ -32,14 +32,14 @@
 	Position  uint64
 	TermStart bool
 	Ops       []Op
-	Committed time.Time // by the clock of the primary that wrote it
+	Committed time.Time // by the clock of the primary that wrote the record
 }
 
-// Log is a log and the data that its records produce. Positions start at 1 and
-// have no gaps.
+// Log is a transaction log and the tables that its records produce. Positions
+// start at 1 and have no gaps.
 type Log struct {
 	records     []Record
-	starts      []state.TermStart
+	termStarts  []state.TermStart
 	values      map[string]string
 	entries     []string
 	truncations uint64
@@ -48,13 +48,14 @@
 // New returns an empty log.
 func New() *Log { return &Log{values: make(map[string]string)} }
 
-// Append adds a record, which must have the next position.
+// Append adds a record and applies its changes. It panics if the record does not
+// have the next position.
 func (l *Log) Append(r Record) {
 	if r.Position != l.Position()+1 {
 		panic("translog: record does not have the next position")
 	}
 	if r.TermStart {
-		l.starts = append(l.starts, state.TermStart{Term: r.Term, Position: r.Position - 1})
+		l.termStarts = append(l.termStarts, state.TermStart{Term: r.Term, Position: r.Position - 1})
 	}
 	l.records = append(l.records, r)
 	l.apply(r.Ops)
@@ -73,8 +74,8 @@
 	}
 }
 
-// Truncate drops the records after the position and undoes their changes by
-// applying the rest of the log to empty data.
+// Truncate drops the records after the position. It undoes their changes by
+// rebuilding the tables from the remaining records.
 func (l *Log) Truncate(position uint64) {
 	if position >= l.Position() {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// Truncations returns how often a tail was dropped.
+// Truncations returns the number of calls of Truncate that dropped records.
 func (l *Log) Truncations() uint64 { return l.truncations }
 
 // Position returns the position of the last record; zero if there is none.
@@ -110,71 +111,74 @@
 }
 
 // DueAfter returns the records after the position that were committed by the
-// given time, and when the next one was committed; zero if there is none.
+// given time, and the commit time of the record that follows them, or zero if
+// there is none.
 func (l *Log) DueAfter(position uint64, committedBy time.Time) (due []Record, next time.Time) {
 	if position >= l.Position() {
 		return nil, time.Time{}
 	}
-	rest := l.records[position:]
-	n := 0
-	for n < len(rest) && !rest[n].Committed.After(committedBy) {
-		n++
+	remaining := l.records[position:]
+	count := 0
+	for count < len(remaining) && !remaining[count].Committed.After(committedBy) {
+		count++
 	}
-	if n < len(rest) {
-		next = rest[n].Committed
+	if count < len(remaining) {
+		next = remaining[count].Committed
 	}
-	return slices.Clone(rest[:n]), next
+	return slices.Clone(remaining[:count]), next
 }
 
-// Value returns the value of a key.
+// Value returns the value of a key in the table kv, and whether the key exists.
 func (l *Log) Value(key string) (string, bool) {
 	v, ok := l.values[key]
 	return v, ok
 }
 
-// Count returns the number of keys.
-func (l *Log) Count() int { return len(l.values) }
+// KeyCount returns the number of keys in the table kv.
+func (l *Log) KeyCount() int { return len(l.values) }
 
-// Entries returns a copy of the appended entries in order.
+// Entries returns a copy of the table log, in the order of the appends.
 func (l *Log) Entries() []string { return slices.Clone(l.entries) }
 
-// Latest returns the starts of the latest n terms, ascending.
-func (l *Log) Latest(n int) []state.TermStart {
-	return slices.Clone(l.starts[max(len(l.starts)-n, 0):])
+// LatestTerms returns the starts of at most n latest terms, in ascending order.
+func (l *Log) LatestTerms(n int) []state.TermStart {
+	return slices.Clone(l.termStarts[max(len(l.termStarts)-n, 0):])
 }
 
-// Extent says which terms a log holds and how far it reaches.
+// Extent describes which term each position of a log belongs to.
 type Extent struct {
-	Starts   []state.TermStart
-	Position uint64
+	TermStarts []state.TermStart // in ascending order
+	Position   uint64            // of the last record
 }
 
-// Extent returns the extent of the log.
+// Extent returns a copy of the term starts and the last position of the log, with
+// which CommonPosition compares it to another log.
 func (l *Log) Extent() Extent {
-	return Extent{Starts: slices.Clone(l.starts), Position: l.Position()}
+	return Extent{TermStarts: slices.Clone(l.termStarts), Position: l.Position()}
 }
 
-// Common returns the last position up to which two logs are the same. A term
-// has one primary, so records of the same term and position are the same.
-func Common(a, b Extent) uint64 {
-	var common uint64
-	for i := range min(len(a.Starts), len(b.Starts)) {
-		if a.Starts[i] != b.Starts[i] {
+// CommonPosition returns the last position up to which two logs are the same.
+// Only one primary writes records of a term, so records of the same term and
+// position are the same.
+func CommonPosition(a, b Extent) uint64 {
+	var position uint64
+	for i := range min(len(a.TermStarts), len(b.TermStarts)) {
+		if a.TermStarts[i] != b.TermStarts[i] {
 			break
 		}
-		endA, endB := a.end(i), b.end(i)
-		common = min(endA, endB)
+		endA, endB := a.termEnd(i), b.termEnd(i)
+		position = min(endA, endB)
 		if endA != endB {
 			break
 		}
 	}
-	return common
+	return position
 }
 
-// end returns the last position of the i-th term.
-func (e Extent) end(i int) uint64 {
-	if i+1 < len(e.Starts) {
-		return e.Starts[i+1].Position
+// termEnd returns the last position of the i-th term.
+func (e Extent) termEnd(i int) uint64 {
+	if i+1 < len(e.TermStarts) {
+		return e.TermStarts[i+1].Position
 	}
 	return e.Position
 }
--- a/standin/dbgroup/translog/translog_test.go
+++ b/standin/dbgroup/translog/translog_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a tail that is kept although the primary lacks it, and against
-// records dropped that both logs have. The logs branch off each other at random
-// places, as those of deposed primaries do.
-func TestCommonIsTheLongestSharedPrefix(t *testing.T) {
+// Guards against keeping a log tail that the primary lacks, and against dropping
+// records that both logs have. The logs branch off each other at random
+// positions, as the log of a deposed primary does.
+func TestCommonPositionIsTheLongestSharedPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		logs := []*Log{New()}
 		for term := uint64(1); term <= rapid.Uint64Range(1, 6).Draw(t, "terms"); term++ {
@@ -29,7 +29,7 @@
 		for int(want) < min(len(a.records), len(b.records)) && a.records[want].Term == b.records[want].Term {
 			want++
 		}
-		if got := Common(a.Extent(), b.Extent()); got != want {
+		if got := CommonPosition(a.Extent(), b.Extent()); got != want {
 			t.Fatalf("common position %d, want %d", got, want)
 		}
 	})
