--- a/standin/dbgroup/commit.go
+++ b/standin/dbgroup/commit.go
@@ -7,68 +7,69 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// writeClaim is a transaction's right to write, held from its first write until
-// it ends.
-type writeClaim struct {
-	run  uint64 // of the server, in which the session began
-	held bool
-	term uint64 // if held
+// writePermit allows a transaction to write. It is granted at the first write and
+// lasts until the transaction ends.
+type writePermit struct {
+	incarnation uint64 // of the server when the session began
+	granted     bool
+	term        uint64 // under which the permit was granted
 }
 
-// claimWrite gives a transaction the right to write, or confirms it. It is
-// called before each write runs.
-func (n *node) claimWrite(c *writeClaim) *sqlError {
+// acquireWrite grants a permit, or checks that a granted one is still valid. It is
+// called before each write executes.
+func (n *node) acquireWrite(p *writePermit) *sqlError {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.refusesWrite(c); err != nil || c.held {
+	if err := n.writeError(p); err != nil || p.granted {
 		return err
 	}
-	c.held, c.term = true, n.term
-	n.writers++
+	p.granted, p.term = true, n.term
+	n.openWriters++
 	return nil
 }
 
-// checkWrite reports whether claimWrite would fail now.
-func (n *node) checkWrite(c *writeClaim) *sqlError {
+// checkWrite returns the error that acquireWrite would return now.
+func (n *node) checkWrite(p *writePermit) *sqlError {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.refusesWrite(c)
+	return n.writeError(p)
 }
 
-// refusesWrite returns why a transaction may not write. During a switchover
-// only transactions that have written before may go on. The caller holds n.mu.
-func (n *node) refusesWrite(c *writeClaim) *sqlError {
+// writeError returns an error if a transaction may not write. During a switchover
+// only transactions that have already written may continue. The caller holds
+// n.mu.
+func (n *node) writeError(p *writePermit) *sqlError {
 	switch {
 	case n.role != state.Primary:
 		return errorf(codeReadOnly, "cannot write: server %s is not the primary", n.name)
-	case c.run != n.run:
+	case p.incarnation != n.incarnation:
 		return errorf(codeReadOnly, "cannot write: server %s has been stopped", n.name)
-	case c.held && c.term != n.term:
+	case p.granted && p.term != n.term:
 		return errorf(codeReadOnly, "cannot write: the term has changed")
-	case !c.held && n.draining != "":
-		return errorf(codeReadOnly, "cannot write: server %s hands over to %s", n.name, n.draining)
+	case !p.granted && n.switchoverTarget != "":
+		return errorf(codeReadOnly, "cannot write: server %s hands over to %s", n.name, n.switchoverTarget)
 	}
 	return nil
 }
 
-// releaseWrite ends a transaction's right to write.
-func (n *node) releaseWrite(c *writeClaim) {
+// releaseWrite returns the permit of a transaction that ends.
+func (n *node) releaseWrite(p *writePermit) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c.held && c.run == n.run {
-		n.writers--
+	if p.granted && p.incarnation == n.incarnation {
+		n.openWriters--
 	}
-	c.held = false
+	p.granted = false
 }
 
-// commit writes a transaction to the log. It fails if the server is no longer
-// primary of the term under which the transaction wrote, or has been stopped
-// since, and if a key that the transaction inserted exists by now.
-func (n *node) commit(c *writeClaim, tx *transaction, committed func(translog.Record)) *sqlError {
+// commit appends a transaction to the log. It fails if the server is no longer
+// primary of the term under which the transaction wrote, if it has been stopped
+// since, or if a key that the transaction inserted exists by now.
+func (n *node) commit(p *writePermit, tx *transaction, recordCommit func(translog.Record)) *sqlError {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.role != state.Primary || n.term != c.term || n.run != c.run {
-		return errorf(codeRolledBack, "the transaction was rolled back: server %s is no longer primary of term %d", n.name, c.term)
+	if n.role != state.Primary || n.term != p.term || n.incarnation != p.incarnation {
+		return errorf(codeSerializationFailure, "the transaction was rolled back: server %s is no longer primary of term %d", n.name, p.term)
 	}
 	for key := range tx.inserted {
 		if _, exists := n.log.Value(key); exists {
@@ -82,11 +83,11 @@
 		Committed: time.Now(),
 	}
 	n.log.Append(r)
-	committed(r)
+	recordCommit(r)
 	return nil
 }
 
-// read calls f with the committed data.
+// read calls f with the log and its committed data under the lock of the node.
 func (n *node) read(f func(log *translog.Log)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/dbgroup/control.go
+++ b/standin/dbgroup/control.go
@@ -10,39 +10,40 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// orderLimit is the greatest size of a control request in bytes.
-const orderLimit = 1 << 16
+// maxOrderBytes is the maximum size of the body of a control request.
+const maxOrderBytes = 1 << 16
 
-// controlServer serves the control interface until ctx ends.
+// controlServer returns an HTTP server for the control interface. Pending
+// requests are cancelled when ctx ends.
 func (s *Server) controlServer(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+groupapi.PathStatus, s.controlled(s.orderStatus))
-	mux.HandleFunc("POST "+groupapi.PathAdopt, s.controlled(s.orderAdopt))
-	mux.HandleFunc("POST "+groupapi.PathPromote, s.controlled(s.orderPromote))
-	mux.HandleFunc("POST "+groupapi.PathFollow, s.controlled(s.orderFollow))
-	mux.HandleFunc("POST "+groupapi.PathResume, s.controlled(s.orderResume))
-	mux.HandleFunc("POST "+groupapi.PathSwitchover, s.switchover)
+	mux.HandleFunc("POST "+groupapi.PathStatus, s.orderHandler(s.orderStatus))
+	mux.HandleFunc("POST "+groupapi.PathAdopt, s.orderHandler(s.orderAdopt))
+	mux.HandleFunc("POST "+groupapi.PathPromote, s.orderHandler(s.orderPromote))
+	mux.HandleFunc("POST "+groupapi.PathFollow, s.orderHandler(s.orderFollow))
+	mux.HandleFunc("POST "+groupapi.PathResume, s.orderHandler(s.orderResume))
+	mux.HandleFunc("POST "+groupapi.PathSwitchover, s.handleSwitchover)
 	return &http.Server{
 		Handler:     mux,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 	}
 }
 
-// controlled decodes an order, carries it out on the server's queue and answers
-// it.
-func (s *Server) controlled(carryOut func(groupapi.Order) (refused string)) http.HandlerFunc {
+// orderHandler returns a handler that decodes an order, executes it on the queue
+// of the server and sends the answer.
+func (s *Server) orderHandler(execute func(groupapi.Order) (refusal string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		order, ok := readOrder(w, r)
 		if !ok {
 			return
 		}
-		writeAnswer(w, s.decide(r.Context(), order, carryOut))
+		writeAnswer(w, s.executeOrder(r.Context(), order, execute))
 	}
 }
 
 func readOrder(w http.ResponseWriter, r *http.Request) (groupapi.Order, bool) {
 	var order groupapi.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, orderLimit)).Decode(&order); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return order, false
 	}
@@ -54,25 +55,25 @@
 	if answer.Refused != "" {
 		w.WriteHeader(http.StatusConflict)
 	}
-	_ = json.NewEncoder(w).Encode(answer) // a failed connection is the caller's concern
+	_ = json.NewEncoder(w).Encode(answer) // the client sees a failed connection itself
 }
 
-// decide runs a decision on a worker once the server is not paused. If the
-// request or the server ends first, it cuts the connection; a handler that
-// merely returned would answer with status 200.
-func (s *Server) decide(ctx context.Context, order groupapi.Order, carryOut func(groupapi.Order) string) groupapi.Answer {
+// executeOrder executes an order on a worker once the server is not paused. If
+// the request is cancelled or the server stops first, it aborts the connection,
+// because a handler that returned would send status 200.
+func (s *Server) executeOrder(ctx context.Context, order groupapi.Order, execute func(groupapi.Order) string) groupapi.Answer {
 	select {
 	case <-s.sessions.untilResumed():
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
-	answers := make(chan groupapi.Answer, 1)
+	answered := make(chan groupapi.Answer, 1)
 	s.queue.PostAlways(func() {
-		refused := carryOut(order)
-		answers <- groupapi.Answer{Refused: refused, Status: s.node.status()}
+		refusal := execute(order)
+		answered <- groupapi.Answer{Refused: refusal, Status: s.node.status()}
 	})
 	select {
-	case answer := <-answers:
+	case answer := <-answered:
 		return answer
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
@@ -81,66 +82,68 @@
 
 func (s *Server) orderStatus(groupapi.Order) string { return "" }
 
-func (s *Server) orderAdopt(o groupapi.Order) string { return s.changed(s.node.adopt(o.Term)) }
+func (s *Server) orderAdopt(o groupapi.Order) string { return s.notify(s.node.adopt(o.Term)) }
 
 func (s *Server) orderPromote(o groupapi.Order) string {
-	return s.changed(s.node.promote(o.Term, s.group.history.promoted))
+	return s.notify(s.node.promote(o.Term, s.group.history.recordTermStart))
 }
 
-func (s *Server) orderResume(o groupapi.Order) string { return s.changed(s.node.resume(o.Term)) }
+func (s *Server) orderResume(o groupapi.Order) string { return s.notify(s.node.resume(o.Term)) }
 
 func (s *Server) orderFollow(o groupapi.Order) string {
-	if reason := s.notAnother(o.Server); reason != "" {
-		return reason
+	if refusal := s.refusalUnlessOther(o.Server); refusal != "" {
+		return refusal
 	}
-	return s.changed(s.node.follow(o.Term, o.Server))
+	return s.notify(s.node.follow(o.Term, o.Server))
 }
 
-// notAnother returns why the name is not that of another server of the group.
-func (s *Server) notAnother(name string) string {
+// refusalUnlessOther returns the reason for refusing a name that is not that of
+// another server of the group, or an empty string.
+func (s *Server) refusalUnlessOther(name string) string {
 	if s.group.byName[name] == nil || name == s.Name() {
 		return "no other server of the group is named " + name
 	}
 	return ""
 }
 
-// changed lets replication and waiting orders take account of an order that was
-// carried out.
-func (s *Server) changed(refused string) string {
-	if refused == "" {
-		s.group.poke()
-		s.group.progress.notify()
+// notify schedules replication and wakes waiting switchovers after an order,
+// unless it was refused. It returns the refusal.
+func (s *Server) notify(refusal string) string {
+	if refusal == "" {
+		s.group.scheduleReplication()
+		s.group.notifier.notify()
 	}
-	return refused
+	return refusal
 }
 
-// switchover refuses writes and answers once the other server holds the whole
-// log, or the order is refused or given up.
-func (s *Server) switchover(w http.ResponseWriter, r *http.Request) {
+// handleSwitchover begins a switchover and answers once the target holds the
+// whole log, or once the switchover is refused or ended by another order.
+func (s *Server) handleSwitchover(w http.ResponseWriter, r *http.Request) {
 	order, ok := readOrder(w, r)
 	if !ok {
 		return
 	}
-	answer := s.decide(r.Context(), order, s.orderDrain)
+	answer := s.executeOrder(r.Context(), order, s.orderDrain)
 	for answer.Refused == "" {
-		changed := s.group.progress.next()
+		changed := s.group.notifier.nextChange()
 		done := false
-		answer = s.decide(r.Context(), order, func(o groupapi.Order) (refused string) {
-			done, refused = s.handedOver(o)
-			return refused
+		answer = s.executeOrder(r.Context(), order, func(o groupapi.Order) (refusal string) {
+			done, refusal = s.switchoverComplete(o)
+			return refusal
 		})
 		if done {
 			break
 		}
 		if answer.Refused == "" {
-			s.await(r.Context(), changed)
+			s.awaitChange(r.Context(), changed)
 		}
 	}
 	writeAnswer(w, answer)
 }
 
-// await waits for a change, or cuts the connection if the request ends first.
-func (s *Server) await(ctx context.Context, changed <-chan struct{}) {
+// awaitChange waits for a change. If the request is cancelled first, it aborts the
+// connection.
+func (s *Server) awaitChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-changed:
 	case <-ctx.Done():
@@ -149,18 +152,19 @@
 }
 
 func (s *Server) orderDrain(o groupapi.Order) string {
-	if reason := s.notAnother(o.Server); reason != "" {
-		return reason
+	if refusal := s.refusalUnlessOther(o.Server); refusal != "" {
+		return refusal
 	}
-	return s.changed(s.node.drain(o.Term, o.Server))
+	return s.notify(s.node.drain(o.Term, o.Server))
 }
 
-// handedOver reports whether the other server holds the whole log.
-func (s *Server) handedOver(o groupapi.Order) (done bool, refused string) {
-	drained, last, refused := s.node.drained(o.Term, o.Server)
-	if !drained || refused != "" {
-		return false, refused
+// switchoverComplete reports whether no writing transaction is open and the target
+// holds the whole log.
+func (s *Server) switchoverComplete(o groupapi.Order) (done bool, refusal string) {
+	drained, end, refusal := s.node.drainStatus(o.Term, o.Server)
+	if !drained || refusal != "" {
+		return false, refusal
 	}
 	other := s.group.byName[o.Server].node.status()
-	return last == state.Point{Term: other.LogTerm, Position: other.Position}, ""
+	return end == state.Point{Term: other.LogTerm, Position: other.Position}, ""
 }
--- a/standin/dbgroup/control_statements.go
+++ b/standin/dbgroup/control_statements.go
@@ -2,95 +2,95 @@
 
 import "github.com/chestnutdyke/chestnutdyke/standin/dbgroup/sqltext"
 
-// control executes a statement on the transaction or the settings. It takes no
-// slot and no time.
-func (c *session) control(st *sqltext.Statement) (*result, *sqlError) {
+// executeControl executes a statement on the transaction or the settings. Such
+// statements need no slot and no execution time.
+func (c *session) executeControl(st *sqltext.Statement) (*result, *sqlError) {
 	switch st.Kind {
 	case sqltext.Begin:
 		c.begin(st.AccessMode)
-		return &result{tag: "BEGIN"}, nil
+		return &result{commandTag: "BEGIN"}, nil
 	case sqltext.Commit:
-		return c.commitStatement()
+		return c.executeCommit()
 	case sqltext.Rollback:
 		c.rollback()
-		return &result{tag: "ROLLBACK"}, nil
+		return &result{commandTag: "ROLLBACK"}, nil
 	case sqltext.SetTransaction:
 		c.tx.setMode(st.AccessMode)
-		return &result{tag: "SET"}, nil
+		return &result{commandTag: "SET"}, nil
 	case sqltext.Show:
-		return c.show(st)
+		return c.executeShow(st)
 	case sqltext.DiscardAll:
-		return c.discardAll()
+		return c.executeDiscardAll()
 	default:
-		return c.changeSetting(st)
+		return c.executeSetting(st)
 	}
 }
 
-func (c *session) commitStatement() (*result, *sqlError) {
+func (c *session) executeCommit() (*result, *sqlError) {
 	if c.tx != nil && c.tx.failed {
 		c.rollback()
-		return &result{tag: "ROLLBACK"}, nil
+		return &result{commandTag: "ROLLBACK"}, nil
 	}
 	if c.tx == nil {
-		return &result{tag: "COMMIT"}, nil
+		return &result{commandTag: "COMMIT"}, nil
 	}
 	if err := c.commit(); err != nil {
 		return nil, err
 	}
-	return &result{tag: "COMMIT"}, nil
+	return &result{commandTag: "COMMIT"}, nil
 }
 
-func (c *session) changeSetting(st *sqltext.Statement) (*result, *sqlError) {
+func (c *session) executeSetting(st *sqltext.Statement) (*result, *sqlError) {
 	if st.Kind == sqltext.ResetAll {
-		c.restoreSettings(c.initial)
-		return &result{tag: "RESET"}, nil
+		c.restoreSettings(c.initialSettings)
+		return &result{commandTag: "RESET"}, nil
 	}
 	tag, value := "SET", st.Value
 	if st.Kind == sqltext.Reset {
 		tag = "RESET"
 	}
 	if st.Kind == sqltext.Reset || st.Default {
-		value = c.initial[st.Name]
+		value = c.initialSettings[st.Name]
 	}
-	if st.Name == settingTxReadOnly {
+	if st.Name == settingTransactionReadOnly {
 		return c.setTransactionMode(value)
 	}
 	if before := c.settings[st.Name]; st.Local {
-		c.tx.local[st.Name] = before
+		c.tx.settingsBeforeLocal[st.Name] = before
 	}
-	return &result{tag: tag}, c.setting(st.Name, value)
+	return &result{commandTag: tag}, c.setSetting(st.Name, value)
 }
 
 func (c *session) setTransactionMode(value string) (*result, *sqlError) {
 	on, ok := parseBool(value)
 	if !ok {
-		return nil, errorf(codeInvalidSetting, "parameter %q requires a Boolean value", settingTxReadOnly)
+		return nil, errorf(codeInvalidSetting, "parameter %q requires a Boolean value", settingTransactionReadOnly)
 	}
 	c.tx.readOnly = on
-	return &result{tag: "SET"}, nil
+	return &result{commandTag: "SET"}, nil
 }
 
-func (c *session) show(st *sqltext.Statement) (*result, *sqlError) {
+func (c *session) executeShow(st *sqltext.Statement) (*result, *sqlError) {
 	value, known := c.settings[st.Name]
-	if st.Name == settingTxReadOnly {
+	if st.Name == settingTransactionReadOnly {
 		known, value = true, "off"
 		if c.tx.readOnly {
 			value = "on"
 		}
 	}
 	if !known {
-		return nil, errorf(codeUnknownSetting, "unrecognized configuration parameter %q", st.Name)
+		return nil, errorf(codeUndefinedSetting, "unrecognized configuration parameter %q", st.Name)
 	}
-	return &result{columns: columnsOf(st), rows: [][]string{{value}}, tag: "SHOW"}, nil
+	return &result{columns: resultColumns(st), rows: [][]string{{value}}, commandTag: "SHOW"}, nil
 }
 
-// discardAll gives the session the state that it had at its start.
-func (c *session) discardAll() (*result, *sqlError) {
+// executeDiscardAll resets the session to its state after login.
+func (c *session) executeDiscardAll() (*result, *sqlError) {
 	if c.tx.explicit {
-		return nil, errorf(codeActiveTx, "DISCARD ALL cannot run inside a transaction block")
+		return nil, errorf(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block")
 	}
-	c.restoreSettings(c.initial)
-	clear(c.prepared)
+	c.restoreSettings(c.initialSettings)
+	clear(c.preparedStatements)
 	clear(c.portals)
-	return &result{tag: "DISCARD ALL"}, nil
+	return &result{commandTag: "DISCARD ALL"}, nil
 }
--- a/standin/dbgroup/errors.go
+++ b/standin/dbgroup/errors.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// SQLSTATE codes that the servers give.
+// SQLSTATE codes of errors and warnings that the servers send.
 const (
-	codeProtocol       = "08P01"
-	codeNotSupported   = "0A000"
-	codeInvalidSetting = "22023"
-	codeDuplicateKey   = "23505"
-	codeActiveTx       = "25001"
-	codeReadOnly       = "25006"
-	codeFailedTx       = "25P02"
-	codeNoStatement    = "26000"
-	codePassword       = "28P01"
-	codeNoPortal       = "34000"
-	codeRolledBack     = "40001"
-	codeSyntax         = "42601"
-	codeUnknownSetting = "42704"
-	codeDuplicateName  = "42P05"
-	codeNoParameter    = "42P02"
-	codeConnections    = "53300"
-	codeCancelled      = "57014"
+	codeProtocolViolation    = "08P01"
+	codeNotSupported         = "0A000"
+	codeInvalidSetting       = "22023"
+	codeDuplicateKey         = "23505"
+	codeActiveTransaction    = "25001"
+	codeReadOnly             = "25006"
+	codeFailedTransaction    = "25P02"
+	codeUndefinedStatement   = "26000"
+	codeInvalidPassword      = "28P01"
+	codeUndefinedPortal      = "34000"
+	codeSerializationFailure = "40001"
+	codeSyntaxError          = "42601"
+	codeUndefinedSetting     = "42704"
+	codeDuplicateStatement   = "42P05"
+	codeUndefinedParameter   = "42P02"
+	codeTooManyConnections   = "53300"
+	codeCancelled            = "57014"
 )
 
-// sqlError is an error that is reported to the client.
+// sqlError is an error that is sent to the client as ErrorResponse.
 type sqlError struct {
 	code    string
 	message string
-	fatal   bool // the connection is closed after it
+	fatal   bool // the connection is closed after the error is sent
 }
 
 func errorf(code, format string, args ...any) *sqlError {
--- a/standin/dbgroup/execute.go
+++ b/standin/dbgroup/execute.go
@@ -8,9 +8,9 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/dbgroup/translog"
 )
 
-// columnsOf returns the columns of a statement's result; none if it returns no
-// rows.
-func columnsOf(st *sqltext.Statement) []column {
+// resultColumns returns the result columns of a statement, or nil if it returns
+// no rows.
+func resultColumns(st *sqltext.Statement) []column {
 	switch st.Kind {
 	case sqltext.SelectValue:
 		return []column{{"value", oidText}}
@@ -35,90 +35,92 @@
 	return nil
 }
 
-// perform executes a statement on data. Changes stay in the transaction.
-func (c *session) perform(st *sqltext.Statement, args []string) (*result, *sqlError) {
+// executeData executes a statement that reads or changes data. Changes stay in
+// the transaction until it commits.
+func (c *session) executeData(st *sqltext.Statement, args []string) (*result, *sqlError) {
 	tx := c.transaction()
 	switch st.Kind {
 	case sqltext.SelectValue:
-		if v, ok := c.value(args[0]); ok {
-			return selected(st, v), nil
+		if v, ok := c.lookupValue(args[0]); ok {
+			return selectResult(st, v), nil
 		}
-		return selected(st), nil
+		return selectResult(st), nil
 	case sqltext.SelectCount:
-		return selected(st, strconv.Itoa(c.countKeys())), nil
+		return selectResult(st, strconv.Itoa(c.countKeys())), nil
 	case sqltext.SelectServer:
-		return selected(st, c.server.Name()), nil
+		return selectResult(st, c.server.Name()), nil
 	case sqltext.SelectOne:
-		return selected(st, "1"), nil
+		return selectResult(st, "1"), nil
 	case sqltext.SelectSleep:
-		return selected(st, ""), nil
+		return selectResult(st, ""), nil
 	case sqltext.SelectWriteKV:
 		tx.put(args[0], args[1])
-		return selected(st, args[1]), nil
+		return selectResult(st, args[1]), nil
 	case sqltext.SelectLog:
-		return selected(st, c.logEntries()...), nil
+		return selectResult(st, c.logEntries()...), nil
 	case sqltext.Append:
 		tx.append(args[0])
-		return &result{tag: "APPEND 1"}, nil
+		return &result{commandTag: "APPEND 1"}, nil
 	default:
-		return c.change(st, args)
+		return c.executeChange(st, args)
 	}
 }
 
-// change executes a statement on one key.
-func (c *session) change(st *sqltext.Statement, args []string) (*result, *sqlError) {
+// executeChange executes an INSERT, UPSERT, UPDATE or DELETE.
+func (c *session) executeChange(st *sqltext.Statement, args []string) (*result, *sqlError) {
 	key := args[0]
-	before, exists := c.value(key)
+	before, exists := c.lookupValue(key)
 	switch st.Kind {
 	case sqltext.Insert:
 		if exists {
 			return nil, duplicateKey(key)
 		}
 		c.tx.insert(key, args[1])
-		return changed(st, "INSERT 0", true, args[1]), nil
+		return changeResult(st, "INSERT 0", true, args[1]), nil
 	case sqltext.Upsert:
 		c.tx.put(key, args[1])
-		return changed(st, "UPSERT", true, args[1]), nil
+		return changeResult(st, "UPSERT", true, args[1]), nil
 	case sqltext.Update:
 		if exists {
 			c.tx.put(key, args[1])
 		}
-		return changed(st, "UPDATE", exists, args[1]), nil
+		return changeResult(st, "UPDATE", exists, args[1]), nil
 	case sqltext.Delete:
 		if exists {
 			c.tx.remove(key)
 		}
-		return changed(st, "DELETE", exists, before), nil
+		return changeResult(st, "DELETE", exists, before), nil
 	}
 	return nil, errorf(codeNotSupported, "statement is not supported")
 }
 
-// selected returns rows of one value each.
-func selected(st *sqltext.Statement, values ...string) *result {
-	r := &result{columns: columnsOf(st), tag: fmt.Sprintf("SELECT %d", len(values))}
+// selectResult returns a result with one row for each value.
+func selectResult(st *sqltext.Statement, values ...string) *result {
+	r := &result{columns: resultColumns(st), commandTag: fmt.Sprintf("SELECT %d", len(values))}
 	for _, v := range values {
 		r.rows = append(r.rows, []string{v})
 	}
 	return r
 }
 
-// changed returns the result of a change to one row or none.
-func changed(st *sqltext.Statement, command string, any bool, value string) *result {
-	r := &result{columns: columnsOf(st)}
+// changeResult returns the result of a statement that changed one row or none.
+func changeResult(st *sqltext.Statement, command string, affected bool, value string) *result {
+	r := &result{columns: resultColumns(st)}
 	count := 0
-	if any {
+	if affected {
 		count = 1
 	}
-	if any && st.Returning {
+	if affected && st.Returning {
 		r.rows = [][]string{{value}}
 	}
-	r.tag = fmt.Sprintf("%s %d", command, count)
+	r.commandTag = fmt.Sprintf("%s %d", command, count)
 	return r
 }
 
-// value returns the value of a key as the transaction sees it.
-func (c *session) value(key string) (value string, exists bool) {
-	if v, own := c.tx.values[key]; own {
+// lookupValue returns the value of a key, including uncommitted changes of the
+// transaction.
+func (c *session) lookupValue(key string) (value string, exists bool) {
+	if v, inTransaction := c.tx.changedValues[key]; inTransaction {
 		if v == nil {
 			return "", false
 		}
@@ -128,48 +130,49 @@
 	return value, exists
 }
 
-// countKeys returns the number of keys as the transaction sees it.
+// countKeys returns the number of keys, including uncommitted changes of the
+// transaction.
 func (c *session) countKeys() int {
-	var n int
+	var count int
 	c.server.node.read(func(l *translog.Log) {
-		n = l.KeyCount()
-		for key, v := range c.tx.values {
+		count = l.KeyCount()
+		for key, v := range c.tx.changedValues {
 			_, committed := l.Value(key)
 			switch {
 			case committed && v == nil:
-				n--
+				count--
 			case !committed && v != nil:
-				n++
+				count++
 			}
 		}
 	})
-	return n
+	return count
 }
 
 func (c *session) logEntries() []string {
 	var entries []string
 	c.server.node.read(func(l *translog.Log) { entries = l.Entries() })
-	return append(entries, c.tx.entries...)
+	return append(entries, c.tx.appendedEntries...)
 }
 
 func (tx *transaction) put(key, value string) {
-	tx.values[key] = &value
+	tx.changedValues[key] = &value
 	tx.ops = append(tx.ops, translog.Op{Kind: translog.OpPut, Key: key, Value: value})
 }
 
 func (tx *transaction) insert(key, value string) {
-	if _, own := tx.values[key]; !own {
+	if _, inTransaction := tx.changedValues[key]; !inTransaction {
 		tx.inserted[key] = true
 	}
 	tx.put(key, value)
 }
 
 func (tx *transaction) remove(key string) {
-	tx.values[key] = nil
+	tx.changedValues[key] = nil
 	tx.ops = append(tx.ops, translog.Op{Kind: translog.OpDelete, Key: key})
 }
 
 func (tx *transaction) append(entry string) {
-	tx.entries = append(tx.entries, entry)
+	tx.appendedEntries = append(tx.appendedEntries, entry)
 	tx.ops = append(tx.ops, translog.Op{Kind: translog.OpAppend, Value: entry})
 }
--- a/standin/dbgroup/extended.go
+++ b/standin/dbgroup/extended.go
@@ -2,32 +2,33 @@
 
 import "github.com/chestnutdyke/chestnutdyke/standin/dbgroup/sqltext"
 
-// prepared is a prepared statement. Its statement is nil if the text is empty.
-type prepared struct {
+// preparedStatement is a prepared statement. Its statement is nil if the text is
+// empty.
+type preparedStatement struct {
 	statement *sqltext.Statement
 }
 
-// portal is a prepared statement with parameters.
+// portal is a prepared statement with bound parameters.
 type portal struct {
-	prepared *prepared
+	prepared *preparedStatement
 	args     []string
-	binary   []bool
+	binary   []bool // result formats as in bindMessage
 }
 
-// extended handles a message of the extended protocol other than Sync.
-func (c *session) extended(m any) {
+// handleExtended handles a message of the extended protocol other than Sync.
+func (c *session) handleExtended(m any) {
 	var err *sqlError
 	switch m := m.(type) {
 	case parseMessage:
-		err = c.parse(m)
+		err = c.handleParse(m)
 	case bindMessage:
-		err = c.bind(m)
+		err = c.handleBind(m)
 	case describeMessage:
-		err = c.describe(m)
+		err = c.handleDescribe(m)
 	case closeMessage:
-		c.closeObject(m)
+		c.handleClose(m)
 	case executeMessage:
-		err = c.executePortal(m)
+		err = c.handleExecute(m)
 	case flushMessage:
 		c.flush()
 	}
@@ -36,124 +37,124 @@
 	}
 }
 
-// failExtended reports an error; messages up to the next Sync are skipped.
+// failExtended sends an error and skips the messages up to the next Sync.
 func (c *session) failExtended(err *sqlError) {
-	c.fail(err)
-	c.skipping = true
+	c.failStatement(err)
+	c.skipUntilSync = true
 }
 
-// sync ends the implicit transaction of a pipeline.
-func (c *session) sync() {
-	c.skipping = false
+// handleSync ends a pipeline and commits its implicit transaction.
+func (c *session) handleSync() {
+	c.skipUntilSync = false
 	if err := c.commitImplicit(); err != nil {
-		c.fail(err)
+		c.failStatement(err)
 	}
-	c.ready()
+	c.sendReady()
 }
 
-func (c *session) parse(m parseMessage) *sqlError {
+func (c *session) handleParse(m parseMessage) *sqlError {
 	statements, err := sqltext.Parse(m.text)
 	switch {
 	case err != nil:
-		return errorf(codeSyntax, "%s", err)
+		return errorf(codeSyntaxError, "%s", err)
 	case len(statements) > 1:
-		return errorf(codeSyntax, "cannot insert multiple commands into a prepared statement")
-	case m.name != "" && c.prepared[m.name] != nil:
-		return errorf(codeDuplicateName, "prepared statement %q already exists", m.name)
+		return errorf(codeSyntaxError, "cannot insert multiple commands into a prepared statement")
+	case m.name != "" && c.preparedStatements[m.name] != nil:
+		return errorf(codeDuplicateStatement, "prepared statement %q already exists", m.name)
 	}
-	p := &prepared{}
+	p := &preparedStatement{}
 	if len(statements) == 1 {
 		p.statement = statements[0]
 	}
-	c.prepared[m.name] = p
-	c.answers.parsed()
+	c.preparedStatements[m.name] = p
+	c.responses.parseComplete()
 	return nil
 }
 
-func (c *session) bind(m bindMessage) *sqlError {
-	p := c.prepared[m.statement]
+func (c *session) handleBind(m bindMessage) *sqlError {
+	p := c.preparedStatements[m.statement]
 	if p == nil {
-		return errorf(codeNoStatement, "prepared statement %q does not exist", m.statement)
+		return errorf(codeUndefinedStatement, "prepared statement %q does not exist", m.statement)
 	}
 	bound := &portal{prepared: p, binary: m.binary}
 	if p.statement != nil {
 		if len(m.params) != p.statement.Params() {
-			return errorf(codeProtocol, "bind message supplies %d parameters, but prepared statement %q requires %d",
+			return errorf(codeProtocolViolation, "bind message supplies %d parameters, but prepared statement %q requires %d",
 				len(m.params), m.statement, p.statement.Params())
 		}
 		args, err := p.statement.Bind(m.params)
 		if err != nil {
-			return errorf(codeNoParameter, "%s", err)
+			return errorf(codeUndefinedParameter, "%s", err)
 		}
 		bound.args = args
 	}
 	c.portals[m.portal] = bound
-	c.answers.bound()
+	c.responses.bindComplete()
 	return nil
 }
 
-func (c *session) describe(m describeMessage) *sqlError {
+func (c *session) handleDescribe(m describeMessage) *sqlError {
 	if m.portal {
-		o := c.portals[m.name]
-		if o == nil {
-			return noPortal(m.name)
+		target := c.portals[m.name]
+		if target == nil {
+			return unknownPortal(m.name)
 		}
-		c.answers.description(o.prepared.columns(), o.binary)
+		c.responses.rowDescription(target.prepared.columns(), target.binary)
 		return nil
 	}
-	p := c.prepared[m.name]
+	p := c.preparedStatements[m.name]
 	if p == nil {
-		return errorf(codeNoStatement, "prepared statement %q does not exist", m.name)
+		return errorf(codeUndefinedStatement, "prepared statement %q does not exist", m.name)
 	}
-	c.answers.parameters(p.params())
-	c.answers.description(p.columns(), nil)
+	c.responses.parameterDescription(p.params())
+	c.responses.rowDescription(p.columns(), nil)
 	return nil
 }
 
-func (p *prepared) columns() []column {
+func (p *preparedStatement) columns() []column {
 	if p.statement == nil {
 		return nil
 	}
-	return columnsOf(p.statement)
+	return resultColumns(p.statement)
 }
 
-func (p *prepared) params() int {
+func (p *preparedStatement) params() int {
 	if p.statement == nil {
 		return 0
 	}
 	return p.statement.Params()
 }
 
-func (c *session) closeObject(m closeMessage) {
+func (c *session) handleClose(m closeMessage) {
 	if m.portal {
 		delete(c.portals, m.name)
 	} else {
-		delete(c.prepared, m.name)
+		delete(c.preparedStatements, m.name)
 	}
-	c.answers.closed()
+	c.responses.closeComplete()
 }
 
-func (c *session) executePortal(m executeMessage) *sqlError {
-	o := c.portals[m.portal]
+func (c *session) handleExecute(m executeMessage) *sqlError {
+	target := c.portals[m.portal]
 	switch {
-	case o == nil:
-		return noPortal(m.portal)
+	case target == nil:
+		return unknownPortal(m.portal)
 	case m.maxRows > 0:
 		return errorf(codeNotSupported, "a row limit in Execute is not supported")
-	case o.prepared.statement == nil:
-		c.answers.empty()
+	case target.prepared.statement == nil:
+		c.responses.emptyQueryResponse()
 		return nil
 	}
-	c.run(o.prepared.statement, o.args, func(r *result, err *sqlError) {
+	c.runStatement(target.prepared.statement, target.args, func(r *result, err *sqlError) {
 		if err != nil {
 			c.failExtended(err)
 			return
 		}
-		c.answers.rows(r, o.binary)
+		c.responses.resultRows(r, target.binary)
 	})
 	return nil
 }
 
-func noPortal(name string) *sqlError {
-	return errorf(codeNoPortal, "portal %q does not exist", name)
+func unknownPortal(name string) *sqlError {
+	return errorf(codeUndefinedPortal, "portal %q does not exist", name)
 }
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -7,42 +7,43 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Moment is when a fault breaks a client connection.
+// Moment is the point of a statement or commit at which a client connection is
+// broken.
 type Moment int
 
-// Moments.
+// Points at which a connection is broken.
 const (
 	BeforeCommit Moment = iota + 1 // the transaction is rolled back
-	AfterCommit                    // the transaction is committed, and nothing of the answer is sent
-	MidAnswer                      // half of the bytes of the answer are sent
+	AfterCommit                    // the transaction is committed, but no response is sent
+	MidAnswer                      // the first half of the bytes of the response is sent
 )
 
-// Break is an order to break client connections. Without a Match, BeforeCommit
+// Break is a fault that closes client connections. Without a Match, BeforeCommit
 // and AfterCommit apply to commits of transactions that wrote, and MidAnswer to
 // statements that read or change data.
 type Break struct {
 	Moment Moment
-	Match  string // part of the statement; empty matches all
-	Count  int    // connections to break; zero means 1
+	Match  string // substring of the statement text, for a commit that of its latest write; empty matches all
+	Count  int    // number of connections to break; zero means 1
 }
 
-// answerFault is what happens to the answer to a statement.
-type answerFault struct {
-	delay time.Duration
-	half  bool
+// responseFault is a fault of the response to a statement.
+type responseFault struct {
+	delay    time.Duration
+	truncate bool // send only the first half of the bytes, then close the connection
 }
 
-// faultTable holds the faults that a test has ordered, and counts statements.
+// faultTable holds the pending faults that tests injected, and counts statements.
 type faultTable struct {
 	mu         lockrank.Mutex // guards the fields below
 	breaks     []Break
-	late       []time.Duration
+	delays     []time.Duration
 	statements uint64
 	reads      Reads
 }
 
-// Reads are the reads of data that a server executed outside of explicit
-// transactions, by its role at the time.
+// Reads counts the reads of data that a server executed outside explicit
+// transactions, by its role at the time of the read.
 type Reads struct {
 	Primary uint64
 	Replica uint64
@@ -50,54 +51,56 @@
 
 func newFaultTable() *faultTable { return &faultTable{mu: lockrank.New(rankFaults)} }
 
-func (t *faultTable) order(b Break) {
+func (t *faultTable) addBreak(b Break) {
 	b.Count = max(b.Count, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.breaks = append(t.breaks, b)
 }
 
-func (t *faultTable) delayNext(d time.Duration) {
+func (t *faultTable) addDelay(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.late = append(t.late, d)
+	t.delays = append(t.delays, d)
 }
 
 func (t *faultTable) clear() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breaks, t.late = nil, nil
+	t.breaks, t.delays = nil, nil
 }
 
-// executed counts a statement and returns what happens to its answer.
-func (t *faultTable) executed(text string, usesData bool) answerFault {
+// recordStatement counts a statement and returns the fault of its response. Faults
+// without a Match do not apply to statements that use no data.
+func (t *faultTable) recordStatement(text string, usesData bool) responseFault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !usesData {
-		return answerFault{half: t.take(MidAnswer, text, true)}
+		return responseFault{truncate: t.takeBreak(MidAnswer, text, true)}
 	}
 	t.statements++
-	var f answerFault
-	if len(t.late) > 0 {
-		f.delay, t.late = t.late[0], t.late[1:]
+	var f responseFault
+	if len(t.delays) > 0 {
+		f.delay, t.delays = t.delays[0], t.delays[1:]
 	}
-	f.half = t.take(MidAnswer, text, false)
+	f.truncate = t.takeBreak(MidAnswer, text, false)
 	return f
 }
 
-// committing reports whether the connection breaks at the given moment of a
-// commit.
-func (t *faultTable) committing(m Moment, text string) bool {
+// takeCommitBreak reports whether the connection must be broken at the given point
+// of a commit, and uses up the fault.
+func (t *faultTable) takeCommitBreak(m Moment, text string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.take(m, text, false)
+	return t.takeBreak(m, text, false)
 }
 
-// take uses up one break that applies. The caller holds t.mu.
-func (t *faultTable) take(m Moment, text string, onlyMatched bool) bool {
+// takeBreak uses up one count of the first break that applies, and reports whether
+// there was one. The caller holds t.mu.
+func (t *faultTable) takeBreak(m Moment, text string, requireMatch bool) bool {
 	for i := range t.breaks {
 		b := &t.breaks[i]
-		if b.Moment != m || onlyMatched && b.Match == "" || !strings.Contains(text, b.Match) {
+		if b.Moment != m || requireMatch && b.Match == "" || !strings.Contains(text, b.Match) {
 			continue
 		}
 		b.Count--
@@ -109,13 +112,13 @@
 	return false
 }
 
-func (t *faultTable) count() uint64 {
+func (t *faultTable) statementCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.statements
 }
 
-func (t *faultTable) read(asPrimary bool) {
+func (t *faultTable) countRead(asPrimary bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if asPrimary {
--- a/standin/dbgroup/faults_test.go
+++ b/standin/dbgroup/faults_test.go
@@ -8,11 +8,11 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/groupapi"
 )
 
-// Guards against faults that hit another moment than the one ordered: what is
-// committed must follow from the moment.
+// Guards against connections broken at the wrong point: whether the transaction
+// is committed depends on the Moment of the break.
 func TestBrokenConnections(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, w *world) {
-		a := w.group.Server("a")
+	inBubble(t, nil, func(t *testing.T, env *testEnv) {
+		a := env.group.Server("a")
 		for _, f := range []struct {
 			moment    Moment
 			committed bool
@@ -21,53 +21,53 @@
 			{AfterCommit, true},
 			{MidAnswer, true},
 		} {
-			c := w.mustConnect("a")
-			before := len(w.group.Commits())
+			c := env.mustConnect("a")
+			before := len(env.group.Commits())
 			a.BreakConnections(Break{Moment: f.moment, Match: "APPEND"})
-			w.mustExec(c, "UPSERT kv ('k', 'v')")
+			env.mustExec(c, "UPSERT kv ('k', 'v')")
 			if _, err := exec(c, "APPEND log 'x'"); err == nil {
 				t.Fatalf("moment %d: the statement was answered", f.moment)
 			}
-			if got := len(w.group.Commits()) - before - 1; (got == 1) != f.committed {
+			if got := len(env.group.Commits()) - before - 1; (got == 1) != f.committed {
 				t.Fatalf("moment %d: %d commits", f.moment, got)
 			}
 		}
-		w.mustExec(w.mustConnect("a"), "APPEND log 'y'")
+		env.mustExec(env.mustConnect("a"), "APPEND log 'y'")
 	})
 }
 
-// Guards against a late answer that also delays the effect, or hits more than
-// one statement.
-func TestLateAnswer(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, w *world) {
-		c := w.mustConnect("a")
-		w.group.Server("a").DelayNextAnswer(time.Second)
+// Guards against a delay of the response that also delays the commit, or that
+// applies to more than one statement.
+func TestDelayedResponse(t *testing.T) {
+	inBubble(t, nil, func(t *testing.T, env *testEnv) {
+		c := env.mustConnect("a")
+		env.group.Server("a").DelayNextAnswer(time.Second)
 		start := time.Now()
-		w.mustExec(c, "APPEND log '1'")
+		env.mustExec(c, "APPEND log '1'")
 		if took := time.Since(start); took < time.Second {
-			t.Fatalf("answered after %v", took)
+			t.Fatalf("response after %v", took)
 		}
-		if at := w.group.Commits()[0].At.Sub(start); at > 10*time.Millisecond {
+		if at := env.group.Commits()[0].At.Sub(start); at > 10*time.Millisecond {
 			t.Fatalf("committed after %v", at)
 		}
 		start = time.Now()
-		w.mustExec(c, "APPEND log '2'")
+		env.mustExec(c, "APPEND log '2'")
 		if took := time.Since(start); took > 10*time.Millisecond {
-			t.Fatalf("the next answer took %v", took)
+			t.Fatalf("the next response took %v", took)
 		}
 	})
 }
 
-// Guards against a paused server that answers, executes or replicates, and
-// against one that loses what it accepted during the pause.
+// Guards against a paused server that responds to orders or commits, and against
+// the loss of statements that it received during the pause.
 func TestPause(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, w *world) {
-		a := w.group.Server("a")
-		c := w.mustConnect("a")
+	inBubble(t, nil, func(t *testing.T, env *testEnv) {
+		a := env.group.Server("a")
+		c := env.mustConnect("a")
 		a.Pause()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if _, err := w.order(ctx, "a", groupapi.PathStatus, groupapi.Order{}); err == nil {
+		if _, err := env.order(ctx, "a", groupapi.PathStatus, groupapi.Order{}); err == nil {
 			t.Fatal("a paused server answered")
 		}
 		result := make(chan error)
@@ -76,53 +76,53 @@
 			result <- err
 		}()
 		time.Sleep(time.Second)
-		if len(w.group.Commits()) != 0 {
+		if len(env.group.Commits()) != 0 {
 			t.Fatal("a paused server committed")
 		}
 		a.Resume()
 		if err := <-result; err != nil {
 			t.Fatal(err)
 		}
-		w.replicate()
-		w.wantEntries("b", "1")
+		env.waitReplication()
+		env.wantEntries("b", "1")
 	})
 }
 
-// Guards against a restart that loses the log or the terms, or keeps
-// connections and open transactions, and against an empty answer to an order
-// that waits when its server stops.
+// Guards against a restart that loses the log or the terms or keeps connections
+// or open transactions, and against an empty response to an order that is pending
+// when the server stops.
 func TestStopAndStart(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, w *world) {
-		b := w.group.Server("b")
-		w.must("b", groupapi.PathAdopt, groupapi.Order{Term: 9})
-		c := w.mustConnect("a")
-		w.mustExec(c, "APPEND log '1'")
-		w.mustExec(c, "BEGIN; APPEND log '2'")
+	inBubble(t, nil, func(t *testing.T, env *testEnv) {
+		b := env.group.Server("b")
+		env.mustOrder("b", groupapi.PathAdopt, groupapi.Order{Term: 9})
+		c := env.mustConnect("a")
+		env.mustExec(c, "APPEND log '1'")
+		env.mustExec(c, "BEGIN; APPEND log '2'")
 		b.Pause()
-		ordered := make(chan error)
+		orderErr := make(chan error)
 		go func() {
-			_, err := w.order(context.Background(), "b", groupapi.PathStatus, groupapi.Order{})
-			ordered <- err
+			_, err := env.order(context.Background(), "b", groupapi.PathStatus, groupapi.Order{})
+			orderErr <- err
 		}()
 		time.Sleep(time.Second)
 		for _, s := range []string{"a", "b"} {
-			w.group.Server(s).Stop()
+			env.group.Server(s).Stop()
 		}
-		if err := <-ordered; err == nil {
+		if err := <-orderErr; err == nil {
 			t.Fatal("a stopped server answered an order")
 		}
 		if _, err := exec(c, "COMMIT"); err == nil {
 			t.Fatal("committed on a stopped server")
 		}
-		if _, err := w.connect("a"); err == nil {
+		if _, err := env.connect("a"); err == nil {
 			t.Fatal("connected to a stopped server")
 		}
 		for _, s := range []string{"a", "b"} {
-			if err := w.group.Server(s).Start(); err != nil {
+			if err := env.group.Server(s).Start(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.wantRows(w.mustExec(w.mustConnect("a"), "SELECT entry FROM log"), "1")
+		env.wantRows(env.mustExec(env.mustConnect("a"), "SELECT entry FROM log"), "1")
 		if b.Status().AdoptedTerm != 9 {
 			t.Fatal("the adopted term was forgotten")
 		}
--- a/standin/dbgroup/group.go
+++ b/standin/dbgroup/group.go
@@ -9,19 +9,22 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// Group is a running database group.
+// Group is a running database group. Its methods may be called from any
+// goroutine.
 type Group struct {
-	options  Options
-	pool     *pool.Pool
-	stopPool context.CancelFunc
-	running  sync.WaitGroup // goroutines of the group
-	servers  []*Server
-	byName   map[string]*Server
-	history  *history
-	progress *progress
+	options    Options
+	pool       *pool.Pool
+	stopPool   context.CancelFunc
+	goroutines sync.WaitGroup // all goroutines that the group started
+	servers    []*Server
+	byName     map[string]*Server
+	history    *history
+	notifier   *changeNotifier
 }
 
-// New starts a group whose servers hold nothing but the start of term 1.
+// New starts a group whose first server is primary of term 1 and whose logs hold
+// only the start of that term. It fails if there are no servers or an address
+// cannot be listened on.
 func New(options Options) (*Group, error) {
 	if len(options.Servers) == 0 {
 		return nil, fmt.Errorf("dbgroup: group %q has no servers", options.Name)
@@ -34,13 +37,13 @@
 		pool:     pool.New(options.Workers),
 		byName:   make(map[string]*Server),
 		history:  newHistory(),
-		progress: newProgress(),
+		notifier: newChangeNotifier(),
 	}
 	g.startPool()
-	first := options.Servers[0].Name
-	g.history.promoted(TermStart{Server: first, Term: initialTerm})
+	primary := options.Servers[0].Name
+	g.history.recordTermStart(TermStart{Server: primary, Term: initialTerm})
 	for _, o := range options.Servers {
-		g.addServer(o, first)
+		g.addServer(o, primary)
 	}
 	for _, s := range g.servers {
 		if err := s.Start(); err != nil {
@@ -54,7 +57,7 @@
 func (g *Group) startPool() {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.stopPool = cancel
-	g.running.Go(func() { _ = g.pool.Run(ctx) })
+	g.goroutines.Go(func() { _ = g.pool.Run(ctx) })
 }
 
 func (g *Group) addServer(o ServerOptions, primary string) {
@@ -70,20 +73,21 @@
 		s.Stop()
 	}
 	g.stopPool()
-	g.running.Wait()
+	g.goroutines.Wait()
 }
 
-// Name returns the group's name.
+// Name returns the name of the group from its options.
 func (g *Group) Name() string { return g.options.Name }
 
-// Server returns the named server; nil if there is none.
+// Server returns the server with the given name, or nil if there is none.
 func (g *Group) Server(name string) *Server { return g.byName[name] }
 
-// Servers returns all servers in the order of the options.
+// Servers returns all servers, running or stopped, in the order of the options.
+// The caller must not modify the slice.
 func (g *Group) Servers() []*Server { return g.servers }
 
-// Primary returns the server that accepts writes under the highest term, even
-// if it is stopped, paused or isolated; nil if there is none.
+// Primary returns the primary of the highest term, even if it is stopped, paused
+// or isolated. It returns nil if no server is primary.
 func (g *Group) Primary() *Server {
 	var primary *Server
 	var highest uint64
@@ -96,34 +100,35 @@
 }
 
 // Commits returns all commits in the order in which they happened, including
-// those whose records were dropped later.
-func (g *Group) Commits() []Commit { return g.history.commitsSeen() }
+// those whose records were truncated later.
+func (g *Group) Commits() []Commit { return g.history.copyCommits() }
 
-// TermStarts returns all promotions in the order in which they happened, after
-// the start of term 1. With Commits they give every log that a server ever held.
-func (g *Group) TermStarts() []TermStart { return g.history.termsSeen() }
+// TermStarts returns the start of term 1 and all promotions, in the order in which
+// they happened. Together with Commits it allows every log that a server ever
+// held to be reconstructed.
+func (g *Group) TermStarts() []TermStart { return g.history.copyTermStarts() }
 
-// Startups returns all startups in order, so that a test can search them for a
-// client's key.
-func (g *Group) Startups() []Startup { return g.history.startupsSeen() }
+// Startups returns what clients presented at each connection attempt, in order,
+// so that a test can check that a customer's key never reaches a backend server.
+func (g *Group) Startups() []Startup { return g.history.copyStartups() }
 
-// Survivors returns the commits whose records the log of the given server still
-// holds.
+// Survivors returns the commits whose records are in the log of the given
+// server, in the order in which they happened.
 func (g *Group) Survivors(server string) []Commit {
 	records := g.byName[server].Log()
-	var kept []Commit
+	var survivors []Commit
 	for _, c := range g.Commits() {
-		if c.Position <= uint64(len(records)) && holds(records[c.Position-1], c) {
-			kept = append(kept, c)
+		if c.Position <= uint64(len(records)) && isRecordOf(records[c.Position-1], c) {
+			survivors = append(survivors, c)
 		}
 	}
-	return kept
+	return survivors
 }
 
-func holds(r translog.Record, c Commit) bool { return r.Term == c.Term && !r.TermStart }
+func isRecordOf(r translog.Record, c Commit) bool { return r.Term == c.Term && !r.TermStart }
 
-// poke lets the servers fetch what the primary has written.
-func (g *Group) poke() {
+// scheduleReplication makes all servers check their primary for new log records.
+func (g *Group) scheduleReplication() {
 	for _, s := range g.servers {
 		s.queue.PostAlways(s.replicate)
 	}
--- a/standin/dbgroup/helpers_test.go
+++ b/standin/dbgroup/helpers_test.go
@@ -20,8 +20,9 @@
 	os.Exit(m.Run())
 }
 
-// world is a group of three servers a, b and c and a client host, in a bubble.
-type world struct {
+// testEnv is a group of three servers a, b and c and a client host in a synctest
+// bubble.
+type testEnv struct {
 	t      *testing.T
 	net    *memnet.Network
 	client *memnet.Host
@@ -30,9 +31,9 @@
 
 const replicationDelay = 5 * time.Millisecond
 
-// inBubble runs a test on a group in a synctest bubble and closes everything;
-// the bubble then fails the test if a goroutine is left.
-func inBubble(t *testing.T, adjust func(*Options), test func(t *testing.T, w *world)) {
+// inBubble runs a test on a group in a synctest bubble and then closes the group
+// and the network. The bubble fails the test if a goroutine is left.
+func inBubble(t *testing.T, adjust func(*Options), test func(t *testing.T, env *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(1)
@@ -54,36 +55,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		test(t, &world{t: t, net: n, client: n.Host("10.0.1.9", "dca"), group: g})
+		test(t, &testEnv{t: t, net: n, client: n.Host("10.0.1.9", "dca"), group: g})
 		g.Close()
 		n.Close()
 		synctest.Wait()
 	})
 }
 
-func (w *world) connect(server string) (*pgconn.PgConn, error) {
+func (env *testEnv) connect(server string) (*pgconn.PgConn, error) {
 	config, err := pgconn.ParseConfig("host=10.0.0.0 user=proxy password=proxy-password sslmode=disable")
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	config.LookupFunc = func(_ context.Context, host string) ([]string, error) { return []string{host}, nil }
 	config.DialFunc = func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return w.client.Dial(ctx, w.group.Server(server).Address())
+		return env.client.Dial(ctx, env.group.Server(server).Address())
 	}
-	return pgconn.ConnectConfig(w.t.Context(), config)
+	return pgconn.ConnectConfig(env.t.Context(), config)
 }
 
-func (w *world) mustConnect(server string) *pgconn.PgConn {
-	w.t.Helper()
-	c, err := w.connect(server)
+func (env *testEnv) mustConnect(server string) *pgconn.PgConn {
+	env.t.Helper()
+	c, err := env.connect(server)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close(context.Background()) })
+	env.t.Cleanup(func() { c.Close(context.Background()) })
 	return c
 }
 
-// exec runs a simple query and returns the rows of its last statement.
+// exec executes a simple query and returns the first column of the rows of its
+// last statement.
 func exec(c *pgconn.PgConn, sql string) ([]string, error) {
 	results, err := c.Exec(context.Background(), sql).ReadAll()
 	if err != nil {
@@ -96,31 +98,31 @@
 	return rows, nil
 }
 
-func (w *world) mustExec(c *pgconn.PgConn, sql string) []string {
-	w.t.Helper()
+func (env *testEnv) mustExec(c *pgconn.PgConn, sql string) []string {
+	env.t.Helper()
 	rows, err := exec(c, sql)
 	if err != nil {
-		w.t.Fatalf("%s: %v", sql, err)
+		env.t.Fatalf("%s: %v", sql, err)
 	}
 	return rows
 }
 
-func (w *world) wantCode(err error, code string) {
-	w.t.Helper()
+func (env *testEnv) wantCode(err error, code string) {
+	env.t.Helper()
 	var pg *pgconn.PgError
 	if !errors.As(err, &pg) || pg.Code != code {
-		w.t.Fatalf("got error %v, want SQLSTATE %s", err, code)
+		env.t.Fatalf("got error %v, want SQLSTATE %s", err, code)
 	}
 }
 
-func (w *world) wantRows(got []string, want ...string) {
-	w.t.Helper()
+func (env *testEnv) wantRows(got []string, want ...string) {
+	env.t.Helper()
 	if len(got) != len(want) {
-		w.t.Fatalf("got rows %q, want %q", got, want)
+		env.t.Fatalf("got rows %q, want %q", got, want)
 	}
 	for i := range got {
 		if got[i] != want[i] {
-			w.t.Fatalf("got rows %q, want %q", got, want)
+			env.t.Fatalf("got rows %q, want %q", got, want)
 		}
 	}
 }
--- a/standin/dbgroup/history.go
+++ b/standin/dbgroup/history.go
@@ -10,107 +10,77 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Commit is a transaction that wrote something and committed.
+// Commit is a committed transaction that changed data.
 type Commit struct {
-	Server   string
+	Server   string // primary that committed it
 	Term     uint64
-	Position uint64
-	Process  uint32 // backend process that the client was told of
+	Position uint64 // of its log record
+	Process  uint32 // process ID of the session, as sent to the client in BackendKeyData
 	User     string
 	Ops      []translog.Op
-	At       time.Time
+	At       time.Time // time of the commit
 }
 
-// TermStart is a promotion: the record that starts the term follows the record
-// at Base in the server's log.
+// TermStart is the promotion of a server. The record that starts the term follows
+// the record at Base in the log of the server.
 type TermStart struct {
 	Server string
 	Term   uint64
 	Base   state.Point // zero if the log was empty
 }
 
-// Startup is what a client presented when it connected.
+// Startup holds the credentials and parameters of a connection attempt.
 type Startup struct {
 	Server     string
 	User       string
 	Password   string
 	Parameters map[string]string // all startup parameters, including user and database
-	Accepted   bool
+	Accepted   bool              // false if the connection limit was reached or the credentials were wrong
 }
 
-// history records what happened, for the checks of tests.
+// history records commits, promotions and startups for tests to check.
 type history struct {
-	mu       lockrank.Mutex // guards the fields below
-	commits  []Commit
-	terms    []TermStart
-	startups []Startup
+	mu         lockrank.Mutex // guards the fields below
+	commits    []Commit
+	termStarts []TermStart
+	startups   []Startup
 }
 
 func newHistory() *history { return &history{mu: lockrank.New(rankHistory)} }
 
-func (h *history) committed(c Commit) {
+func (h *history) recordCommit(c Commit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.commits = append(h.commits, c)
 }
 
-func (h *history) promoted(t TermStart) {
+func (h *history) recordTermStart(t TermStart) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.terms = append(h.terms, t)
+	h.termStarts = append(h.termStarts, t)
 }
 
-func (h *history) started(s Startup) {
+func (h *history) recordStartup(s Startup) {
 	s.Parameters = maps.Clone(s.Parameters)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.startups = append(h.startups, s)
 }
 
-func (h *history) commitsSeen() []Commit {
+func (h *history) copyCommits() []Commit {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.commits)
 }
 
-func (h *history) termsSeen() []TermStart {
+func (h *history) copyTermStarts() []TermStart {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.terms)
+	return slices.Clone(h.termStarts)
 }
 
-func (h *history) startupsSeen() []Startup {
+func (h *history) copyStartups() []Startup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.startups)
 }
-
-// progress wakes goroutines that wait for a change of any server's log or term.
-type progress struct {
-	mu      lockrank.Mutex // guards changed
-	changed chan struct{}
-	waiting bool
-}
-
-func newProgress() *progress {
-	return &progress{mu: lockrank.New(rankProgress), changed: make(chan struct{})}
-}
-
-// next returns a channel that is closed at the next change.
-func (p *progress) next() <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.waiting = true
-	return p.changed
-}
-
-func (p *progress) notify() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.waiting {
-		return
-	}
-	close(p.changed)
-	p.changed = make(chan struct{})
-	p.waiting = false
-}
--- a/standin/dbgroup/messages.go
+++ b/standin/dbgroup/messages.go
@@ -6,8 +6,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// The messages that a session handles. They hold copies, because pgproto3
-// reuses its messages and buffers.
+// Messages that a session handles. They hold copies, because pgproto3 reuses its
+// messages and buffers.
 type (
 	startupMessage  struct{ parameters map[string]string }
 	passwordMessage struct{ password string }
@@ -30,16 +30,16 @@
 		portal bool
 		name   string
 	}
-	syncMessage  struct{}
-	flushMessage struct{}
-	endMessage   struct{} // the client ended the connection
-	badMessage   struct{ reason string }
+	syncMessage        struct{}
+	flushMessage       struct{}
+	disconnectMessage  struct{} // Terminate, or the end of the connection
+	unsupportedMessage struct{ reason string }
 )
 
-// objectPortal is the object type of a portal in Describe and Close.
-const objectPortal = 'P'
+// portalObjectType identifies a portal in Describe and Close.
+const portalObjectType = 'P'
 
-// copyMessage copies a message for a session.
+// copyMessage converts a message to the type that a session handles.
 func copyMessage(m pgproto3.FrontendMessage) any {
 	switch m := m.(type) {
 	case *pgproto3.PasswordMessage:
@@ -51,24 +51,24 @@
 	case *pgproto3.Bind:
 		return copyBind(m)
 	case *pgproto3.Describe:
-		return describeMessage{portal: m.ObjectType == objectPortal, name: m.Name}
+		return describeMessage{portal: m.ObjectType == portalObjectType, name: m.Name}
 	case *pgproto3.Execute:
 		return executeMessage{portal: m.Portal, maxRows: m.MaxRows}
 	case *pgproto3.Close:
-		return closeMessage{portal: m.ObjectType == objectPortal, name: m.Name}
+		return closeMessage{portal: m.ObjectType == portalObjectType, name: m.Name}
 	case *pgproto3.Sync:
 		return syncMessage{}
 	case *pgproto3.Flush:
 		return flushMessage{}
 	case *pgproto3.Terminate:
-		return endMessage{}
+		return disconnectMessage{}
 	default:
-		return badMessage{reason: fmt.Sprintf("message %T is not supported", m)}
+		return unsupportedMessage{reason: fmt.Sprintf("message %T is not supported", m)}
 	}
 }
 
-// copyBind copies a Bind. Parameters are text, whose binary format is the same
-// as its text format. A null parameter becomes an empty string.
+// copyBind converts a Bind. All parameters have type text, whose binary and text
+// formats are the same. A null parameter becomes an empty string.
 func copyBind(m *pgproto3.Bind) bindMessage {
 	b := bindMessage{portal: m.DestinationPortal, statement: m.PreparedStatement}
 	for _, p := range m.Parameters {
--- a/standin/dbgroup/options.go
+++ b/standin/dbgroup/options.go
@@ -1,20 +1,20 @@
 // Package dbgroup is a stand-in for a database group: backend servers with the
-// PostgreSQL wire protocol, asynchronous replication and the control interface
-// of protocol/groupapi, and faults that a test can cause.
+// PostgreSQL wire protocol, asynchronous replication, the control interface of
+// protocol/groupapi, and faults that tests can inject.
 //
-// It is built as the proxy is: reader goroutines frame messages and post events,
-// a pool of workers runs all decisions over shared tables, and writer
-// goroutines send answers. Each connection and each server has a queue whose
-// events run one at a time. No worker blocks; a statement that waits for a slot
-// or for its time to pass is continued by a later event.
+// It has the same structure as the proxy: reader goroutines read messages and
+// post events, a pool of workers makes all decisions over shared tables, and
+// writer goroutines send responses. Each connection and each server has a queue
+// whose events run one at a time. Workers never block; a statement that waits for
+// a slot or executes is continued by a later event.
 //
-// Lock order: sessionTable, node, slotTable, faultTable, history, progress,
-// output. Only one node is locked at a time.
+// Lock order: sessionTable, node, slotTable, faultTable, history,
+// changeNotifier, output. Only one node is locked at a time.
 //
-// A transaction's changes are kept aside until it commits, and reads see the
-// latest committed data. Concurrent transactions do not wait for each other:
-// the last to commit wins, except that two inserts of one key give 23505 to the
-// second commit.
+// The changes of a transaction are buffered until it commits, and its reads see
+// these changes and the latest committed data. Concurrent transactions do not
+// wait for each other: the last to commit wins, except that the second commit of
+// two inserts of the same key fails with SQLSTATE 23505.
 package dbgroup
 
 import (
@@ -24,48 +24,48 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// Ranks of this package's locks.
+// Lock ranks of this package.
 const (
 	rankSessions lockrank.Rank = 210
 	rankNode     lockrank.Rank = 220
 	rankSlots    lockrank.Rank = 230
 	rankFaults   lockrank.Rank = 240
 	rankHistory  lockrank.Rank = 250
-	rankProgress lockrank.Rank = 255
+	rankNotifier lockrank.Rank = 255
 	rankOutput   lockrank.Rank = 260
 )
 
-// Default limits.
+// Defaults of the options: slots and connections of a server, workers of a group.
 const (
 	defaultSlots       = 3
 	defaultConnections = 100
 	defaultWorkers     = 4
 )
 
-// initialTerm is the term of the first server, which is the first primary.
+// initialTerm is the term in which the first server of a new group is primary.
 const initialTerm = 1
 
-// Options describe a database group.
+// Options configure a database group.
 type Options struct {
-	Name     string
+	Name     string          // used in errors and by Group.Name only
 	Servers  []ServerOptions // the first is the primary of term 1
-	User     string          // required of the proxy; empty accepts any
-	Password string          // required of the proxy, in clear text; empty asks for none
-	Workers  int             // zero means 4
+	User     string          // user name required of clients; empty accepts any
+	Password string          // password required of clients, sent in clear text; empty requires none
+	Workers  int             // goroutines that run events; zero means 4
 }
 
-// ServerOptions describe a backend server.
+// ServerOptions configure a backend server.
 type ServerOptions struct {
-	Name             string
-	DataCentre       string
+	Name             string // unique within the group
+	DataCentre       string // reported by Server.DataCentre only
 	Network          network.Network
-	Address          string        // of the wire protocol; port 0 picks one
-	ControlAddress   string        // of the control interface; port 0 picks one
-	Slots            int           // statements that execute at once; zero means 3
-	Connections      int           // connections at once; zero means 100
-	ConnectCost      time.Duration // from the startup message to its answer
-	StatementCost    time.Duration // for which a statement holds a slot
-	ReplicationDelay time.Duration // from a commit on the primary to its record's arrival at this server
+	Address          string        // of the wire protocol; port 0 picks a free port
+	ControlAddress   string        // of the control interface; port 0 picks a free port
+	Slots            int           // statements that execute at the same time; zero means 3
+	Connections      int           // maximum number of connections; zero means 100
+	ConnectCost      time.Duration // from the startup message to its response
+	StatementCost    time.Duration // execution time of a statement, during which it holds a slot
+	ReplicationDelay time.Duration // from a commit on the primary until the record arrives at this server
 }
 
 func (o *ServerOptions) setDefaults() {
--- a/standin/dbgroup/output.go
+++ b/standin/dbgroup/output.go
@@ -7,20 +7,20 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// outputLimit is the number of unsent bytes beyond which the connection of a
-// client that does not read is closed.
+// outputLimit is the number of unsent bytes above which the connection is closed,
+// so that a client that does not read cannot exhaust memory.
 const outputLimit = 64 << 20
 
-// output sends answers to a client from a goroutine of its own, so that no
-// worker blocks.
+// output sends responses to a client from its own goroutine, so that no worker
+// blocks on a slow client.
 type output struct {
 	conn net.Conn
 
 	mu      lockrank.Mutex // guards the fields below
-	changed *sync.Cond     // signalled when there is something to do
+	changed *sync.Cond     // signalled when next may be able to return
 	pending []byte
-	closing bool // close once pending is sent
-	aborted bool // close at once
+	closing bool // close the connection once pending is sent
+	aborted bool // close the connection at once
 }
 
 func newOutput(conn net.Conn) *output {
@@ -29,7 +29,8 @@
 	return o
 }
 
-// write queues bytes.
+// write queues bytes for sending. It never blocks. Bytes written after close or
+// abort are dropped.
 func (o *output) write(b []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -41,7 +42,7 @@
 	o.changed.Signal()
 }
 
-// close closes the connection once everything queued is sent.
+// close closes the connection once all queued bytes are sent.
 func (o *output) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -49,20 +50,21 @@
 	o.changed.Signal()
 }
 
-// abort closes the connection at once.
+// abort closes the connection at once and drops queued bytes.
 func (o *output) abort() {
-	o.mark()
+	o.markAborted()
 	o.conn.Close()
 }
 
-func (o *output) mark() {
+func (o *output) markAborted() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.aborted = true
 	o.changed.Signal()
 }
 
-// run sends until the connection is to be closed or fails, then closes it.
+// run sends queued bytes until close, abort or an error, then closes the
+// connection.
 func (o *output) run() {
 	defer o.conn.Close()
 	for {
@@ -71,14 +73,13 @@
 			return
 		}
 		if _, err := o.conn.Write(b); err != nil {
-			o.mark()
+			o.markAborted()
 			return
 		}
 	}
 }
 
-// next waits for bytes to send. It returns nil when the connection is to be
-// closed.
+// next waits for bytes to send. It returns nil if the connection must be closed.
 func (o *output) next() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/dbgroup/query.go
+++ b/standin/dbgroup/query.go
@@ -2,62 +2,64 @@
 
 import "github.com/chestnutdyke/chestnutdyke/standin/dbgroup/sqltext"
 
-// query handles a simple query. Its statements run in one implicit transaction,
-// unless they begin or end transactions themselves.
-func (c *session) query(m queryMessage) {
+// handleQuery handles a simple query. Its statements execute in one implicit
+// transaction unless they begin or end transactions themselves.
+func (c *session) handleQuery(m queryMessage) {
 	statements, err := sqltext.Parse(m.text)
 	if err != nil {
-		c.fail(errorf(codeSyntax, "%s", err))
-		c.ready()
+		c.failStatement(errorf(codeSyntaxError, "%s", err))
+		c.sendReady()
 		return
 	}
 	if len(statements) == 0 {
-		c.answers.empty()
-		c.ready()
+		c.responses.emptyQueryResponse()
+		c.sendReady()
 		return
 	}
-	c.runAll(statements)
+	c.runStatements(statements)
 }
 
-// runAll executes the statements in order up to the first error. The implicit
-// transaction commits before the end of the last answer.
-func (c *session) runAll(statements []*sqltext.Statement) {
+// runStatements executes the statements in order up to the first error. The
+// implicit transaction commits before the response to the last statement, so that
+// this response can report an error of the commit.
+func (c *session) runStatements(statements []*sqltext.Statement) {
 	if len(statements) == 0 {
-		c.ready()
+		c.sendReady()
 		return
 	}
-	c.runLiteral(statements[0], func(r *result, err *sqlError) {
+	c.runWithoutParameters(statements[0], func(r *result, err *sqlError) {
 		if err == nil && len(statements) == 1 {
 			err = c.commitImplicit()
 		}
 		if err != nil {
-			c.fail(err)
-			c.ready()
+			c.failStatement(err)
+			c.sendReady()
 			return
 		}
 		if len(r.columns) > 0 {
-			c.answers.description(r.columns, nil)
+			c.responses.rowDescription(r.columns, nil)
 		}
-		c.answers.rows(r, nil)
-		c.runAll(statements[1:])
+		c.responses.resultRows(r, nil)
+		c.runStatements(statements[1:])
 	})
 }
 
-// runLiteral runs a statement without parameters.
-func (c *session) runLiteral(st *sqltext.Statement, done func(*result, *sqlError)) {
+// runWithoutParameters executes a statement of a simple query, which cannot have
+// parameters.
+func (c *session) runWithoutParameters(st *sqltext.Statement, done func(*result, *sqlError)) {
 	args, err := st.Bind(nil)
 	if err != nil {
-		done(nil, errorf(codeNoParameter, "%s", err))
+		done(nil, errorf(codeUndefinedParameter, "%s", err))
 		return
 	}
-	c.run(st, args, done)
+	c.runStatement(st, args, done)
 }
 
-// ready ends the answer to a request.
-func (c *session) ready() {
+// sendReady ends the response to a simple query or a pipeline and sends it.
+func (c *session) sendReady() {
 	if c.stage == stageEnded {
 		return
 	}
-	c.answers.ready(c.status())
+	c.responses.readyForQuery(c.transactionStatus())
 	c.flush()
 }
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -7,45 +7,48 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// replicate fetches the log records that are due from the followed primary. It
-// runs on the server's queue, and again when the next record is due.
+// replicate appends the log records of the followed primary that are due by the
+// replication delay, and schedules itself for the next one. It runs on the queue
+// of the server.
 func (s *Server) replicate() {
-	source, ok := s.node.source()
+	source, ok := s.node.replicationSource()
 	if !ok {
 		return
 	}
 	primary := s.group.byName[source.primary].node
 	if !source.aligned {
-		extent, ok := primary.offer(source.term)
+		extent, ok := primary.logExtent(source.term)
 		if !ok || !s.node.align(source, extent) {
 			return
 		}
 		source.position = s.node.status().Position
 	}
-	records, next, ok := primary.recordsAfter(source.term, source.position, time.Now().Add(-source.delay))
+	records, next, ok := primary.dueRecords(source.term, source.position, time.Now().Add(-source.delay))
 	if !ok {
 		return
 	}
-	if len(records) > 0 && s.node.receive(source, records) {
-		s.group.progress.notify()
+	if len(records) > 0 && s.node.appendRecords(source, records) {
+		s.group.notifier.notify()
 	}
 	if !next.IsZero() {
 		s.replicateAt(next.Add(source.delay))
 	}
 }
 
-// replicateAt arms the timer for the next record unless it is armed already.
+// replicateAt schedules replicate for the given time, unless it is already
+// scheduled for that time or earlier.
 func (s *Server) replicateAt(at time.Time) {
 	now := time.Now()
-	if s.replicateTimer.After(now) && !s.replicateTimer.After(at) {
+	if s.nextReplication.After(now) && !s.nextReplication.After(at) {
 		return
 	}
-	s.replicateTimer = at
+	s.nextReplication = at
 	time.AfterFunc(at.Sub(now), func() { s.queue.PostAlways(s.replicate) })
 }
 
-// source is what a replica fetches from, and the place in its log.
-type source struct {
+// replicationSource is the primary that a replica replicates from, with the state
+// of the replica at the time of the request.
+type replicationSource struct {
 	primary  string
 	term     uint64
 	position uint64
@@ -53,60 +56,65 @@
 	delay    time.Duration
 }
 
-// source returns where the server gets its log records; it reports false if it
-// receives none.
-func (n *node) source() (source, bool) {
+// replicationSource returns the source of the server's log records. It reports
+// false if the server cannot receive any.
+func (n *node) replicationSource() (replicationSource, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.receives() || n.following == "" {
-		return source{}, false
+	if !n.canReceive() || n.followedPrimary == "" {
+		return replicationSource{}, false
 	}
-	return source{
-		primary:  n.following,
+	return replicationSource{
+		primary:  n.followedPrimary,
 		term:     n.term,
 		position: n.log.Position(),
 		aligned:  n.aligned,
-		delay:    n.delay,
+		delay:    n.replicationDelay,
 	}, true
 }
 
-// receives reports whether log records can reach the server. It refuses those
-// of a primary whose term is below the adopted one. The caller holds n.mu.
-func (n *node) receives() bool {
-	return n.up && !n.paused && !n.isolated && !n.held && n.role == state.Replica && n.term == n.adopted
+// canReceive reports whether the server accepts log records. It does not accept
+// those of a primary whose term is below the adopted one. The caller holds n.mu.
+func (n *node) canReceive() bool {
+	return n.running && !n.paused && !n.isolated && !n.receiveHeld && n.role == state.Replica && n.term == n.adoptedTerm
 }
 
-// sends reports whether the server sends log records as primary of the term.
+// canSend reports whether the server sends log records as primary of the term.
 // The caller holds n.mu.
-func (n *node) sends(term uint64) bool {
-	return n.up && !n.paused && !n.isolated && n.role == state.Primary && n.term == term
+func (n *node) canSend(term uint64) bool {
+	return n.running && !n.paused && !n.isolated && n.role == state.Primary && n.term == term
 }
 
-// offer returns the extent of the log of a primary.
-func (n *node) offer(term uint64) (translog.Extent, bool) {
+// logExtent returns the extent of the log. It reports false if the server cannot
+// send log records as primary of the term.
+func (n *node) logExtent(term uint64) (translog.Extent, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.sends(term) {
+	if !n.canSend(term) {
 		return translog.Extent{}, false
 	}
 	return n.log.Extent(), true
 }
 
-func (n *node) recordsAfter(term, position uint64, committedBy time.Time) (due []translog.Record, next time.Time, ok bool) {
+// dueRecords returns the records after the position that were committed by the
+// given time, and the commit time of the next one, or zero if there is none. It
+// reports false if the server cannot send log records as primary of the term.
+func (n *node) dueRecords(term, position uint64, committedBy time.Time) (due []translog.Record, next time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.sends(term) {
+	if !n.canSend(term) {
 		return nil, time.Time{}, false
 	}
 	due, next = n.log.DueAfter(position, committedBy)
 	return due, next, true
 }
 
-// align drops the log tail that the followed primary does not have.
-func (n *node) align(from source, primary translog.Extent) bool {
+// align truncates the log tail that the followed primary does not have. It reports
+// false if the source has changed.
+func (n *node) align(from replicationSource, primary translog.Extent) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.stillFrom(from) {
+	if !n.stillFollows(from) {
 		return false
 	}
 	n.log.Truncate(translog.CommonPosition(n.log.Extent(), primary))
@@ -114,11 +122,12 @@
 	return true
 }
 
-// receive appends records that were fetched from the followed primary.
-func (n *node) receive(from source, records []translog.Record) bool {
+// appendRecords appends records of the followed primary. It reports false if the
+// source or the end of the log has changed.
+func (n *node) appendRecords(from replicationSource, records []translog.Record) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.stillFrom(from) || n.log.Position() != from.position {
+	if !n.stillFollows(from) || n.log.Position() != from.position {
 		return false
 	}
 	for _, r := range records {
@@ -127,8 +136,8 @@
 	return true
 }
 
-// stillFrom reports whether the server still follows what it followed when it
-// asked. The caller holds n.mu.
-func (n *node) stillFrom(from source) bool {
-	return n.receives() && n.following == from.primary && n.term == from.term
+// stillFollows reports whether the server still replicates from the given source.
+// The caller holds n.mu.
+func (n *node) stillFollows(from replicationSource) bool {
+	return n.canReceive() && n.followedPrimary == from.primary && n.term == from.term
 }
--- a/standin/dbgroup/session.go
+++ b/standin/dbgroup/session.go
@@ -8,69 +8,72 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// inboxLimit is the number of messages of a session that wait to be handled;
-// more stay with the transport.
+// inboxLimit is the highest number of received messages that wait in a session.
+// At the limit the session stops reading from its connection.
 const inboxLimit = 64
 
-// stage is how far a session has come.
+// stage is the protocol stage of a session.
 type stage int
 
 const (
-	stageStartup stage = iota
-	stagePassword
-	stageReady
+	stageStartup  stage = iota // before the startup message or its response
+	stagePassword              // waiting for the password
+	stageReady                 // accepting statements
 	stageEnded
 )
 
-// session is one client connection. Its events run one at a time on its queue.
+// session is one client connection. Its events run one at a time on its queue. An
+// event never blocks: a session that waits stores a continuation, which a later
+// event runs.
 type session struct {
-	server *Server
-	queue  *pool.Queue
-	out    *output
-	room   chan struct{} // one token per message in the queue or the inbox
-	ended  chan struct{} // closed when the session ends
-	finish func()        // closes ended
+	server      *Server
+	queue       *pool.Queue
+	out         *output
+	inboxTokens chan struct{} // one token per message in the queue or the inbox, at most inboxLimit
+	ended       chan struct{} // closed when the session ends
+	markEnded   func()        // closes ended
 
-	pid       uint32 // set once by sessionTable.admit
-	secret    []byte // set once by sessionTable.admit
-	serverRun uint64 // set once before the first event
+	pid               uint32 // set once by sessionTable.admit
+	secret            []byte // set once by sessionTable.admit
+	serverIncarnation uint64 // set once before the first event
 
 	// The fields below are used by events only.
-	stage      stage
-	inbox      []any
-	pending    func() // continues what the session waits for; nil if it waits for nothing
-	due        func() // continues what the session waited for
-	generation uint64 // of pending; a wake-up of an earlier one is ignored
-	answers    answers
-	fault      answerFault // of the answers that are collected
-	startup    map[string]string
-	settings   map[string]string
-	initial    map[string]string // settings at startup, restored by RESET ALL
-	tx         *transaction
-	running    *running // the statement that waits for a slot or executes
-	prepared   map[string]*prepared
-	portals    map[string]*portal
-	skipping   bool // until Sync, after an error in the extended protocol
+	stage              stage
+	inbox              []any
+	continuation       func() // to be run when the session is woken; nil unless it waits
+	runnable           func() // continuation of a session that has been woken; nil if there is none
+	generation         uint64 // of continuation; wake-ups of earlier generations are ignored
+	responses          responseBuffer
+	fault              responseFault // applies to the responses in the buffer
+	startupParameters  map[string]string
+	settings           map[string]string
+	initialSettings    map[string]string // settings after login, restored by RESET ALL
+	tx                 *transaction
+	execution          *execution // nil if no statement waits for a slot or executes
+	preparedStatements map[string]*preparedStatement
+	portals            map[string]*portal
+	skipUntilSync      bool // after an error in the extended protocol
 }
 
 func newSession(s *Server, conn net.Conn) *session {
 	c := &session{
-		server:   s,
-		queue:    s.group.pool.NewQueue(queueLimit),
-		out:      newOutput(conn),
-		room:     make(chan struct{}, inboxLimit),
-		ended:    make(chan struct{}),
-		prepared: make(map[string]*prepared),
-		portals:  make(map[string]*portal),
+		server:             s,
+		queue:              s.group.pool.NewQueue(queueLimit),
+		out:                newOutput(conn),
+		inboxTokens:        make(chan struct{}, inboxLimit),
+		ended:              make(chan struct{}),
+		preparedStatements: make(map[string]*preparedStatement),
+		portals:            make(map[string]*portal),
 	}
-	c.finish = sync.OnceFunc(func() { close(c.ended) })
+	c.markEnded = sync.OnceFunc(func() { close(c.ended) })
 	return c
 }
 
-// post queues an event of the session.
+// post appends an event to the queue of the session.
 func (c *session) post(event func()) { c.queue.PostAlways(event) }
 
-// receive handles a message, or keeps it until the session can.
+// receive adds a message to the inbox and handles it once the session is neither
+// waiting nor paused.
 func (c *session) receive(m any) {
 	if c.stage == stageEnded {
 		return
@@ -79,22 +82,23 @@
 	c.advance()
 }
 
-// advance does what can be done now. A paused server does nothing, nor does a
-// session that has been aborted.
+// advance runs the continuation and handles messages until the session waits or
+// has none left. It does nothing if the server is paused or the session has ended
+// or been aborted.
 func (c *session) advance() {
 	for !c.hasEnded() && !c.server.sessions.isPaused() {
 		switch {
-		case c.due != nil:
-			next := c.due
-			c.due = nil
+		case c.runnable != nil:
+			next := c.runnable
+			c.runnable = nil
 			next()
-		case c.pending != nil || len(c.inbox) == 0:
+		case c.continuation != nil || len(c.inbox) == 0:
 			return
 		default:
 			m := c.inbox[0]
 			c.inbox = c.inbox[1:]
-			<-c.room
-			c.handle(m)
+			<-c.inboxTokens
+			c.handleMessage(m)
 		}
 	}
 }
@@ -108,26 +112,27 @@
 	}
 }
 
-// suspend makes the session wait until wake is called, and then call next.
+// suspend makes the session wait until the returned function is called, and then
+// run next. The returned function may be called from any goroutine.
 func (c *session) suspend(next func()) (wake func()) {
 	c.generation++
 	generation := c.generation
-	c.pending = next
+	c.continuation = next
 	return func() {
 		c.post(func() { c.wake(generation) })
 	}
 }
 
 func (c *session) wake(generation uint64) {
-	if c.pending == nil || generation != c.generation {
+	if c.continuation == nil || generation != c.generation {
 		return
 	}
-	c.due, c.pending = c.pending, nil
+	c.runnable, c.continuation = c.continuation, nil
 	c.advance()
 }
 
-// after calls next once the duration has passed.
-func (c *session) after(d time.Duration, next func()) {
+// continueAfter runs next after the duration, or at once if it is zero.
+func (c *session) continueAfter(d time.Duration, next func()) {
 	if d <= 0 {
 		next()
 		return
@@ -135,14 +140,14 @@
 	time.AfterFunc(d, c.suspend(next))
 }
 
-func (c *session) handle(m any) {
+func (c *session) handleMessage(m any) {
 	switch m := m.(type) {
-	case endMessage:
+	case disconnectMessage:
 		c.end()
 	case startupMessage:
-		c.start(m)
+		c.handleStartup(m)
 	case passwordMessage:
-		c.password(m)
+		c.handlePassword(m)
 	default:
 		c.handleReady(m)
 	}
@@ -150,34 +155,35 @@
 
 func (c *session) handleReady(m any) {
 	if c.stage != stageReady {
-		c.refuse(fatalf(codeProtocol, "message before the end of the startup"))
+		c.endWithError(fatalf(codeProtocolViolation, "message before the end of the startup"))
 		return
 	}
 	switch m := m.(type) {
 	case syncMessage:
-		c.sync()
-	case badMessage:
-		c.refuse(fatalf(codeProtocol, "%s", m.reason))
+		c.handleSync()
+	case unsupportedMessage:
+		c.endWithError(fatalf(codeProtocolViolation, "%s", m.reason))
 	case queryMessage:
-		if !c.skipping {
-			c.query(m)
+		if !c.skipUntilSync {
+			c.handleQuery(m)
 		}
 	default:
-		if !c.skipping {
-			c.extended(m)
+		if !c.skipUntilSync {
+			c.handleExtended(m)
 		}
 	}
 }
 
-// start answers the startup message.
-func (c *session) start(m startupMessage) {
-	c.startup = m.parameters
+// handleStartup admits the connection, or refuses it if the connection limit is
+// reached.
+func (c *session) handleStartup(m startupMessage) {
+	c.startupParameters = m.parameters
 	if !c.server.sessions.admit(c) {
 		c.recordStartup("", false)
-		c.refuse(fatalf(codeConnections, "too many connections for server %s", c.server.Name()))
+		c.endWithError(fatalf(codeTooManyConnections, "too many connections for server %s", c.server.Name()))
 		return
 	}
-	c.after(c.server.options.ConnectCost, c.authenticate)
+	c.continueAfter(c.server.options.ConnectCost, c.authenticate)
 }
 
 func (c *session) authenticate() {
@@ -186,71 +192,73 @@
 		return
 	}
 	c.stage = stagePassword
-	c.answers.askPassword()
+	c.responses.passwordRequest()
 	c.flush()
 }
 
-func (c *session) password(m passwordMessage) {
+func (c *session) handlePassword(m passwordMessage) {
 	if c.stage != stagePassword {
-		c.refuse(fatalf(codeProtocol, "password was not asked for"))
+		c.endWithError(fatalf(codeProtocolViolation, "password was not asked for"))
 		return
 	}
 	c.login(m.password)
 }
 
-// login checks the credentials and the settings.
+// login checks the credentials and the startup settings, and makes the session
+// ready.
 func (c *session) login(password string) {
 	required := &c.server.group.options
-	user := c.startup["user"]
+	user := c.startupParameters["user"]
 	accepted := password == required.Password && (required.User == "" || user == required.User)
 	c.recordStartup(password, accepted)
 	if !accepted {
-		c.refuse(fatalf(codePassword, "password authentication failed for user %q", user))
+		c.endWithError(fatalf(codeInvalidPassword, "password authentication failed for user %q", user))
 		return
 	}
-	settings, err := sessionSettings(c.startup)
+	settings, err := sessionSettings(c.startupParameters)
 	if err != nil {
 		err.fatal = true
-		c.refuse(err)
+		c.endWithError(err)
 		return
 	}
-	c.initial = settings
+	c.initialSettings = settings
 	c.settings = settings
 	c.restoreSettings(settings)
 	c.stage = stageReady
-	c.answers.welcome(settings, c.pid, c.secret)
-	c.answers.ready(c.status())
+	c.responses.authenticationOK(settings, c.pid, c.secret)
+	c.responses.readyForQuery(c.transactionStatus())
 	c.flush()
 }
 
 func (c *session) recordStartup(password string, accepted bool) {
-	c.server.group.history.started(Startup{
+	c.server.group.history.recordStartup(Startup{
 		Server:     c.server.Name(),
-		User:       c.startup["user"],
+		User:       c.startupParameters["user"],
 		Password:   password,
-		Parameters: c.startup,
+		Parameters: c.startupParameters,
 		Accepted:   accepted,
 	})
 }
 
-// refuse reports a fatal error and ends the session.
-func (c *session) refuse(err *sqlError) {
-	c.answers.failure(err)
-	c.out.write(c.answers.takeAll())
+// endWithError sends a fatal error to the client and ends the session.
+func (c *session) endWithError(err *sqlError) {
+	c.responses.errorResponse(err)
+	c.out.write(c.responses.take())
 	c.end()
 }
 
-// flush sends the collected answers. A fault may delay them, or break the
-// connection in their middle.
+// flush sends the buffered responses, subject to the pending fault.
 func (c *session) flush() {
 	fault := c.fault
-	c.fault = answerFault{}
-	c.after(fault.delay, func() { c.send(fault.half) })
+	c.fault = responseFault{}
+	c.continueAfter(fault.delay, func() { c.send(fault.truncate) })
 }
 
-func (c *session) send(half bool) {
-	b := c.answers.takeAll()
-	if half {
+// send sends the buffered responses. If truncate is set it sends only the first
+// half of their bytes and ends the session.
+func (c *session) send(truncate bool) {
+	b := c.responses.take()
+	if truncate {
 		c.out.write(b[:len(b)/2])
 		c.end()
 		return
@@ -258,23 +266,25 @@
 	c.out.write(b)
 }
 
-// end closes the connection after what has been sent, and rolls back.
+// end rolls back the open transaction and closes the connection once the queued
+// output is sent.
 func (c *session) end() {
 	if c.stage == stageEnded {
 		return
 	}
 	c.stage = stageEnded
-	c.finish()
-	c.stopRunning()
-	c.abandon()
+	c.markEnded()
+	c.stopExecution()
+	c.discardTransaction()
 	c.server.sessions.remove(c)
 	c.out.close()
 	c.queue.Close()
 }
 
-// abort closes the connection at once. It may be called from any goroutine.
+// abort closes the connection at once and discards queued output. It may be called
+// from any goroutine.
 func (c *session) abort() {
 	c.out.abort()
-	c.finish()
+	c.markEnded()
 	c.post(c.end)
 }
--- a/standin/dbgroup/settings.go
+++ b/standin/dbgroup/settings.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// Names of settings that have an effect.
+// Settings that have an effect. All others are only stored.
 const (
-	settingReadOnly   = "default_transaction_read_only"
-	settingTxReadOnly = "transaction_read_only"
+	settingDefaultReadOnly     = "default_transaction_read_only"
+	settingTransactionReadOnly = "transaction_read_only"
 )
 
-// reportedSettings are those whose values are reported to the client.
+// reportedSettings are the settings whose values are sent to the client in
+// ParameterStatus.
 var reportedSettings = []string{
 	"server_version",
 	"server_encoding",
@@ -21,11 +22,11 @@
 	"timezone",
 	"integer_datetimes",
 	"standard_conforming_strings",
-	settingReadOnly,
+	settingDefaultReadOnly,
 }
 
-// defaultSettings are the settings of a server. Other names are known only if
-// they contain a dot.
+// defaultSettings are the settings of a server. Other names are accepted only if
+// they contain a dot, as custom settings of PostgreSQL do.
 var defaultSettings = map[string]string{
 	"server_version":                      "17.0",
 	"server_encoding":                     "UTF8",
@@ -35,7 +36,7 @@
 	"timezone":                            "UTC",
 	"integer_datetimes":                   "on",
 	"standard_conforming_strings":         "on",
-	settingReadOnly:                       "off",
+	settingDefaultReadOnly:                "off",
 	"default_transaction_isolation":       "read committed",
 	"extra_float_digits":                  "1",
 	"statement_timeout":                   "0",
@@ -45,11 +46,11 @@
 	"work_mem":                            "4MB",
 }
 
-// startupOnly are startup parameters that are not settings.
-var startupOnly = map[string]bool{"user": true, "database": true, "options": true, "replication": true}
+// nonSettingParameters are the startup parameters that are not settings.
+var nonSettingParameters = map[string]bool{"user": true, "database": true, "options": true, "replication": true}
 
-// sessionSettings returns the settings of a session with the given startup
-// parameters.
+// sessionSettings returns the initial settings of a session with the given startup
+// parameters. It fails for an unknown name or an invalid value.
 func sessionSettings(parameters map[string]string) (map[string]string, *sqlError) {
 	settings := maps.Clone(defaultSettings)
 	for name, value := range startupSettings(parameters) {
@@ -60,30 +61,30 @@
 	return settings, nil
 }
 
-// startupSettings joins the parameters with the settings given as "-c
-// name=value" in the parameter "options".
+// startupSettings returns the startup parameters that are settings, and the
+// settings given as "-c name=value" or "--name=value" in the parameter "options".
 func startupSettings(parameters map[string]string) map[string]string {
 	settings := make(map[string]string)
 	for name, value := range parameters {
-		if !startupOnly[name] && !strings.HasPrefix(name, "_pq_.") {
+		if !nonSettingParameters[name] && !strings.HasPrefix(name, "_pq_.") {
 			settings[name] = value
 		}
 	}
-	for _, word := range strings.Fields(parameters["options"]) {
-		word = strings.TrimPrefix(strings.TrimPrefix(word, "-c"), "--")
-		if name, value, ok := strings.Cut(word, "="); ok {
+	for _, option := range strings.Fields(parameters["options"]) {
+		option = strings.TrimPrefix(strings.TrimPrefix(option, "-c"), "--")
+		if name, value, ok := strings.Cut(option, "="); ok {
 			settings[name] = value
 		}
 	}
 	return settings
 }
 
-// assign sets a setting after checking its name and value.
+// assign checks the name and value of a setting and sets it.
 func assign(settings map[string]string, name, value string) *sqlError {
 	if _, known := defaultSettings[name]; !known && !strings.Contains(name, ".") {
-		return errorf(codeUnknownSetting, "unrecognized configuration parameter %q", name)
+		return errorf(codeUndefinedSetting, "unrecognized configuration parameter %q", name)
 	}
-	if name == settingReadOnly {
+	if name == settingDefaultReadOnly {
 		on, ok := parseBool(value)
 		if !ok {
 			return errorf(codeInvalidSetting, "parameter %q requires a Boolean value", name)
@@ -107,8 +108,9 @@
 	return false, false
 }
 
-// setting changes a setting of the session and reports it if needed.
-func (c *session) setting(name, value string) *sqlError {
+// setSetting changes a setting of the session and reports the change to the
+// client if needed.
+func (c *session) setSetting(name, value string) *sqlError {
 	before := c.settings[name]
 	if err := assign(c.settings, name, value); err != nil {
 		return err
@@ -117,7 +119,8 @@
 	return nil
 }
 
-// restoreSettings gives all settings the given values.
+// restoreSettings sets all settings to the given values and reports the changes to
+// the client.
 func (c *session) restoreSettings(settings map[string]string) {
 	before := c.settings
 	c.settings = maps.Clone(settings)
@@ -129,7 +132,7 @@
 func (c *session) reportSetting(name, before string) {
 	for _, reported := range reportedSettings {
 		if name == reported && c.settings[name] != before {
-			c.answers.setting(name, c.settings[name])
+			c.responses.parameterStatus(name, c.settings[name])
 		}
 	}
 }
--- a/standin/dbgroup/slots.go
+++ b/standin/dbgroup/slots.go
@@ -2,56 +2,58 @@
 
 import "github.com/chestnutdyke/chestnutdyke/state/lockrank"
 
-// slotTable holds the execution slots of a server and the statements that wait
-// for one, in order.
+// slotTable holds the execution slots of a server and the FIFO queue of
+// statements that wait for one.
 type slotTable struct {
-	mu      lockrank.Mutex // guards the fields below
-	free    int
-	waiting []*slotClaim
-	longest int // greatest number that waited at once
+	mu         lockrank.Mutex // guards the fields below
+	free       int
+	waiting    []*slotRequest
+	maxWaiting int // highest number of requests that waited at the same time
 }
 
-// slotClaim is a statement's claim to a slot.
-type slotClaim struct {
+// slotRequest is the request of a statement for a slot.
+type slotRequest struct {
 	granted bool   // guarded by slotTable.mu
-	notify  func() // posts an event; called when a slot becomes free
+	notify  func() // posts an event; called when a waiting request is granted its slot
 }
 
 func newSlotTable(slots int) *slotTable {
 	return &slotTable{mu: lockrank.New(rankSlots), free: slots}
 }
 
-// acquire reports whether the claim got a slot at once. Otherwise it waits, and
-// notify will be called.
-func (t *slotTable) acquire(c *slotClaim) bool {
+// acquire reports whether the request was granted a slot at once. Otherwise the
+// request is queued, and notify is called when it is granted.
+func (t *slotTable) acquire(r *slotRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.free > 0 {
 		t.free--
-		c.granted = true
+		r.granted = true
 		return true
 	}
-	t.waiting = append(t.waiting, c)
-	t.longest = max(t.longest, len(t.waiting))
+	t.waiting = append(t.waiting, r)
+	t.maxWaiting = max(t.maxWaiting, len(t.waiting))
 	return false
 }
 
-// release gives up a claim, whether or not it got its slot.
-func (t *slotTable) release(c *slotClaim) {
-	if next := t.pass(c); next != nil {
+// release returns the slot of a request, or withdraws the request if it has not
+// been granted.
+func (t *slotTable) release(r *slotRequest) {
+	if next := t.releaseOrWithdraw(r); next != nil {
 		next.notify()
 	}
 }
 
-// pass returns the claim that gets the slot, if there is one.
-func (t *slotTable) pass(c *slotClaim) *slotClaim {
+// releaseOrWithdraw updates the table for release. It returns the waiting request
+// to which the slot was passed on, or nil.
+func (t *slotTable) releaseOrWithdraw(r *slotRequest) *slotRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !c.granted {
-		t.remove(c)
+	if !r.granted {
+		t.removeWaiting(r)
 		return nil
 	}
-	c.granted = false
+	r.granted = false
 	if len(t.waiting) == 0 {
 		t.free++
 		return nil
@@ -62,18 +64,18 @@
 	return next
 }
 
-// remove takes a claim out of the queue. The caller holds t.mu.
-func (t *slotTable) remove(c *slotClaim) {
-	for i, w := range t.waiting {
-		if w == c {
+// removeWaiting removes a request from the queue. The caller holds t.mu.
+func (t *slotTable) removeWaiting(r *slotRequest) {
+	for i, other := range t.waiting {
+		if other == r {
 			t.waiting = append(t.waiting[:i:i], t.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-func (t *slotTable) longestQueue() int {
+func (t *slotTable) maxWaitingCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.longest
+	return t.maxWaiting
 }
--- a/standin/dbgroup/tcp_test.go
+++ b/standin/dbgroup/tcp_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a group that works on the in-memory network only, and against
-// answers in formats that the usual client does not decode.
+// result formats that pgx does not decode.
 func TestClientOverTCP(t *testing.T) {
 	g, err := New(Options{
 		Servers: []ServerOptions{{
--- a/standin/dbgroup/transaction.go
+++ b/standin/dbgroup/transaction.go
@@ -7,46 +7,47 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/dbgroup/translog"
 )
 
-// Transaction states in ReadyForQuery.
+// Transaction status codes of ReadyForQuery.
 const (
 	statusIdle   = 'I'
 	statusOpen   = 'T'
 	statusFailed = 'E'
 )
 
-// transaction is an open transaction of a session.
+// transaction is an open transaction of a session. Its changes are applied when
+// it commits.
 type transaction struct {
-	explicit bool // begun by BEGIN
-	readOnly bool
-	failed   bool
-	claim    writeClaim
-	text     string // of the latest statement that wrote
-	ops      []translog.Op
-	values   map[string]*string // changed keys; nil if deleted
-	inserted map[string]bool
-	entries  []string
-	settings map[string]string // at the begin, restored by a rollback
-	local    map[string]string // values to be restored after SET LOCAL
+	explicit            bool // begun by BEGIN rather than by a statement outside a transaction
+	readOnly            bool
+	failed              bool
+	permit              writePermit
+	writeText           string // of the latest statement that wrote
+	ops                 []translog.Op
+	changedValues       map[string]*string // by key; nil for a deleted key
+	inserted            map[string]bool
+	appendedEntries     []string
+	settingsAtBegin     map[string]string // restored by a rollback
+	settingsBeforeLocal map[string]string // values before SET LOCAL, restored by a commit
 }
 
-// transaction returns the open transaction; it begins an implicit one if there
-// is none.
+// transaction returns the open transaction. It begins an implicit one if there is
+// none.
 func (c *session) transaction() *transaction {
 	if c.tx == nil {
 		c.tx = &transaction{
-			readOnly: c.settings[settingReadOnly] == "on",
-			values:   make(map[string]*string),
-			inserted: make(map[string]bool),
-			claim:    writeClaim{run: c.serverRun},
-			settings: maps.Clone(c.settings),
-			local:    make(map[string]string),
+			readOnly:            c.settings[settingDefaultReadOnly] == "on",
+			changedValues:       make(map[string]*string),
+			inserted:            make(map[string]bool),
+			permit:              writePermit{incarnation: c.serverIncarnation},
+			settingsAtBegin:     maps.Clone(c.settings),
+			settingsBeforeLocal: make(map[string]string),
 		}
 	}
 	return c.tx
 }
 
-// status is the transaction state for ReadyForQuery.
-func (c *session) status() byte {
+// transactionStatus returns the status code for ReadyForQuery.
+func (c *session) transactionStatus() byte {
 	switch {
 	case c.tx == nil || !c.tx.explicit:
 		return statusIdle
@@ -57,11 +58,11 @@
 	}
 }
 
-// begin makes the open transaction an explicit one.
+// begin makes the open implicit transaction explicit.
 func (c *session) begin(mode sqltext.AccessMode) {
 	tx := c.transaction()
 	if tx.explicit {
-		c.answers.warning(codeActiveTx, "there is already a transaction in progress")
+		c.responses.warningNotice(codeActiveTransaction, "there is already a transaction in progress")
 	}
 	tx.explicit = true
 	tx.setMode(mode)
@@ -76,7 +77,7 @@
 	}
 }
 
-// commitImplicit commits a transaction that was not begun by BEGIN.
+// commitImplicit commits the open transaction if it is implicit.
 func (c *session) commitImplicit() *sqlError {
 	if c.tx == nil || c.tx.explicit {
 		return nil
@@ -84,7 +85,8 @@
 	return c.commit()
 }
 
-// commit ends the open transaction. On an error it has been rolled back.
+// commit commits the open transaction. On an error the transaction is rolled
+// back.
 func (c *session) commit() *sqlError {
 	tx := c.tx
 	if len(tx.ops) > 0 {
@@ -93,76 +95,78 @@
 			return err
 		}
 	}
-	for name, value := range tx.local {
-		_ = c.setting(name, value) // was a valid value before
+	for name, value := range tx.settingsBeforeLocal {
+		_ = c.setSetting(name, value) // was a valid value before
 	}
-	c.release()
+	c.endTransaction()
 	return nil
 }
 
-// commitOps writes the transaction to the log. Where a fault breaks the
-// connection, the session has ended, and nothing further reaches the client.
+// commitOps writes the transaction to the log. If a fault breaks the connection,
+// it ends the session and returns nil; no response reaches the client.
 func (c *session) commitOps(tx *transaction) *sqlError {
 	faults := c.server.faults
-	if faults.committing(BeforeCommit, tx.text) {
+	if faults.takeCommitBreak(BeforeCommit, tx.writeText) {
 		c.end()
 		return nil
 	}
-	err := c.server.node.commit(&tx.claim, tx, func(r translog.Record) {
-		c.server.group.history.committed(c.commitOf(r))
+	err := c.server.node.commit(&tx.permit, tx, func(r translog.Record) {
+		c.server.group.history.recordCommit(c.commitOfRecord(r))
 	})
 	if err != nil {
 		return err
 	}
-	c.server.group.poke()
-	c.server.group.progress.notify()
-	if faults.committing(AfterCommit, tx.text) {
+	c.server.group.scheduleReplication()
+	c.server.group.notifier.notify()
+	if faults.takeCommitBreak(AfterCommit, tx.writeText) {
 		c.end()
 	}
 	return nil
 }
 
-func (c *session) commitOf(r translog.Record) Commit {
+func (c *session) commitOfRecord(r translog.Record) Commit {
 	return Commit{
 		Server:   c.server.Name(),
 		Term:     r.Term,
 		Position: r.Position,
 		Process:  c.pid,
-		User:     c.startup["user"],
+		User:     c.startupParameters["user"],
 		Ops:      r.Ops,
 		At:       r.Committed,
 	}
 }
 
-// rollback undoes the open transaction.
+// rollback rolls back the open transaction, if there is one, with its settings.
 func (c *session) rollback() {
 	if c.tx == nil {
 		return
 	}
-	c.restoreSettings(c.tx.settings)
-	c.release()
+	c.restoreSettings(c.tx.settingsAtBegin)
+	c.endTransaction()
 }
 
-// abandon undoes the open transaction of a session that ends.
-func (c *session) abandon() {
+// discardTransaction drops the open transaction of a session that ends.
+func (c *session) discardTransaction() {
 	if c.tx != nil {
-		c.release()
+		c.endTransaction()
 	}
 }
 
-// release gives up what the transaction holds.
-func (c *session) release() {
-	if c.tx != nil && c.tx.claim.held {
-		c.server.node.releaseWrite(&c.tx.claim)
-		c.server.group.progress.notify()
+// endTransaction returns the write permit of the transaction and closes its
+// portals.
+func (c *session) endTransaction() {
+	if c.tx != nil && c.tx.permit.granted {
+		c.server.node.releaseWrite(&c.tx.permit)
+		c.server.group.notifier.notify()
 	}
 	c.tx = nil
 	clear(c.portals)
 }
 
-// fail reports an error of a statement and fails the transaction.
-func (c *session) fail(err *sqlError) {
-	c.answers.failure(err)
+// failStatement sends an error. It marks an explicit transaction as failed and
+// rolls back an implicit one.
+func (c *session) failStatement(err *sqlError) {
+	c.responses.errorResponse(err)
 	switch {
 	case c.tx == nil:
 	case c.tx.explicit:
--- a/standin/dbgroup/wire.go
+++ b/standin/dbgroup/wire.go
@@ -6,10 +6,10 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// noEncryption answers requests for TLS or GSS encryption.
-const noEncryption = "N"
+// encryptionRefused is the response to requests for TLS or GSS encryption.
+const encryptionRefused = "N"
 
-// accept serves the wire protocol until the listener closes.
+// accept accepts client connections until the listener is closed.
 func (s *Server) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -22,24 +22,24 @@
 			conn.Close()
 			continue
 		}
-		c.serverRun = s.node.currentRun()
-		s.group.running.Go(c.out.run)
-		s.group.running.Go(func() { c.readMessages(conn) })
+		c.serverIncarnation = s.node.currentIncarnation()
+		s.group.goroutines.Go(c.out.run)
+		s.group.goroutines.Go(func() { c.readMessages(conn) })
 	}
 }
 
-// readMessages frames messages and posts them as events until the connection
-// ends.
+// readMessages reads messages and posts them as events until the connection or
+// the session ends.
 func (c *session) readMessages(conn net.Conn) {
 	backend := pgproto3.NewBackend(conn, nil)
 	if !c.readStartup(backend) {
-		c.deliver(endMessage{})
+		c.deliver(disconnectMessage{})
 		return
 	}
 	for {
 		m, err := backend.Receive()
 		if err != nil {
-			c.deliver(endMessage{})
+			c.deliver(disconnectMessage{})
 			return
 		}
 		if !c.deliver(copyMessage(m)) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// readStartup reads up to the startup message. It reports false if the
-// connection was a cancel request or failed.
+// readStartup reads up to and including the startup message. It reports false if
+// the connection carried a cancel request or failed.
 func (c *session) readStartup(backend *pgproto3.Backend) bool {
 	for {
 		m, err := backend.ReceiveStartupMessage()
@@ -58,9 +58,9 @@
 		}
 		switch m := m.(type) {
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
-			c.out.write([]byte(noEncryption))
+			c.out.write([]byte(encryptionRefused))
 		case *pgproto3.CancelRequest:
-			c.server.cancel(m.ProcessID, append([]byte(nil), m.SecretKey...))
+			c.server.forwardCancel(m.ProcessID, append([]byte(nil), m.SecretKey...))
 			return false
 		case *pgproto3.StartupMessage:
 			return c.deliver(startupMessage{parameters: m.Parameters})
@@ -70,20 +70,21 @@
 	}
 }
 
-// deliver posts a message. It waits while the session has too many messages
-// that it has not handled, and reports false if the session has ended.
+// deliver posts a message to the session. It blocks while inboxLimit messages
+// wait to be handled, and reports false if the session has ended.
 func (c *session) deliver(m any) bool {
 	select {
-	case c.room <- struct{}{}:
+	case c.inboxTokens <- struct{}{}:
 	case <-c.ended:
 		return false
 	}
 	return c.queue.PostAlways(func() { c.receive(m) })
 }
 
-// cancel passes a cancel request to its session.
-func (s *Server) cancel(pid uint32, secret []byte) {
+// forwardCancel passes a cancel request to the session it refers to, if that
+// exists.
+func (s *Server) forwardCancel(pid uint32, secret []byte) {
 	if target := s.sessions.find(pid, secret); target != nil {
-		target.post(target.cancelled)
+		target.post(target.handleCancel)
 	}
 }
