--- a/protocol/adminapi/adminapi.go
+++ b/protocol/adminapi/adminapi.go
@@ -1,11 +1,11 @@
-// Package adminapi defines the status that a VM reports to operators: HTTP with
-// JSON on its admin address.
+// Package adminapi defines the status that a VM reports to operators, as JSON
+// over HTTP on its admin address.
 //
 //	GET /v1/status             a Status
 //	GET /v1/status?brief=true  a Status without the lists
 //
-// Tools ask every VM for the brief form, which stays small in a large fleet, and
-// ask for the lists where they need them.
+// The brief form does not grow with the fleet. Tools request it from every VM
+// and request the lists only from the VMs where they need them.
 package adminapi
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Path and query of the status.
+// Path and query parameter of the status.
 const (
 	PathStatus = "/v1/status"
-	QueryBrief = "brief" // "true" asks for the brief form
+	QueryBrief = "brief" // "true" requests the brief form
 )
 
-// Status is what a VM says of itself and of what it heard.
+// Status is a VM's report on itself and on its view of the fleet.
 type Status struct {
 	Name        string             `json:"name"`
 	DataCentre  string             `json:"data_centre"`
@@ -31,9 +31,9 @@
 	Config      Config             `json:"config"`
 	Sessions    Sessions           `json:"sessions"`
 
-	// The lists below are absent from the brief form.
-	VMs     []VM     `json:"vms,omitempty"`     // as listed in the ticket in force
-	Members []Member `json:"members,omitempty"` // VMs heard of
+	// The brief form omits the lists below.
+	VMs     []VM     `json:"vms,omitempty"`     // VMs in the configuration in force
+	Members []Member `json:"members,omitempty"` // VMs known from messages between VMs
 	Groups  []Group  `json:"groups,omitempty"`
 	Shares  []Share  `json:"shares,omitempty"`
 }
@@ -42,9 +42,9 @@
 type Config struct {
 	Ticket       uint64        `json:"ticket"` // zero if the VM has no configuration yet
 	Digest       string        `json:"digest"`
-	Applied      uint64        `json:"applied"`   // ticket that is fully applied
-	Confirmed    bool          `json:"confirmed"` // the store confirmed it at some time
-	Age          time.Duration `json:"age_ns"`    // since then
+	Applied      uint64        `json:"applied"`   // highest ticket that is fully applied
+	Confirmed    bool          `json:"confirmed"` // the store has confirmed the configuration at least once
+	Age          time.Duration `json:"age_ns"`    // since the last confirmation
 	StoreReached bool          `json:"store_reached"`
 	StoreDown    bool          `json:"store_down"` // no VM of any data centre reaches the store
 }
@@ -53,25 +53,25 @@
 type Sessions struct {
 	Open          int `json:"open"`
 	InTransaction int `json:"in_transaction"`
-	Waiting       int `json:"waiting"` // with a request that waits for a token, a position or a connection
+	Waiting       int `json:"waiting"` // with a request that waits for a rate token, a log position or a connection
 }
 
-// VM is an entry of the ticket's list of VMs.
+// VM is a VM listed in the configuration.
 type VM struct {
 	Name         string             `json:"name"`
 	DataCentre   string             `json:"data_centre"`
 	AdminAddress string             `json:"admin_address,omitempty"`
-	State        state.ServiceState `json:"state"` // out also if the data centre is
+	State        state.ServiceState `json:"state"` // also out if its data centre is out
 }
 
-// Member is what the VM heard of another one.
+// Member is the latest information that the VM has on another VM.
 type Member struct {
 	Name        string             `json:"name"`
 	DataCentre  string             `json:"data_centre"`
 	Incarnation uint64             `json:"incarnation"`
 	State       state.ServiceState `json:"state"`
-	Applied     uint64             `json:"applied"`
-	Age         time.Duration      `json:"age_ns"` // since it was heard itself, by whichever VM
+	Applied     uint64             `json:"applied"` // highest ticket that is fully applied
+	Age         time.Duration      `json:"age_ns"`  // since any VM last received a message from it
 }
 
 // Group is the VM's view of a database group.
@@ -81,19 +81,18 @@
 	Primary string `json:"primary"` // empty if unknown
 }
 
-// Share is what the VM may spend of a customer's rate.
+// Share is the part of a customer's rate limit that the VM may use.
 type Share struct {
 	Customer string  `json:"customer"`
-	Rate     float64 `json:"rate"`     // requests a second, with loans
-	Burst    float64 `json:"burst"`    // requests, with loans
-	Tokens   float64 `json:"tokens"`   // requests that can be spent now
-	Lent     float64 `json:"lent"`     // requests a second
-	Borrowed float64 `json:"borrowed"` // requests a second
-	Demand   float64 `json:"demand"`   // requests a second asked for lately
+	Rate     float64 `json:"rate"`     // requests per second, including loans
+	Burst    float64 `json:"burst"`    // requests, including loans
+	Tokens   float64 `json:"tokens"`   // requests available now
+	Lent     float64 `json:"lent"`     // requests per second
+	Borrowed float64 `json:"borrowed"` // requests per second
+	Demand   float64 `json:"demand"`   // recent demand in requests per second
 }
 
-// ListVMs returns the VMs of a configuration for a Status, by data centre and
-// name.
+// ListVMs returns the VMs of a configuration, sorted by data centre and name.
 func ListVMs(c *state.Config) []VM {
 	var vms []VM
 	for _, dc := range c.DataCentres {
