--- a/protocol/peerapi/codec.go
+++ b/protocol/peerapi/codec.go
@@ -12,11 +12,12 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Age is a time span that is sent in milliseconds, rounded up so that nothing
-// looks fresher than it is.
+// Age is a duration that is sent in milliseconds. It is rounded up, so that
+// information never appears fresher than it is.
 type Age time.Duration
 
-// AgeOf returns a non-zero Age for a time span; less than 1 ms counts as 1 ms.
+// AgeOf returns the Age of a duration, at least 1 ms. Zero means "not known" in
+// optional fields.
 func AgeOf(d time.Duration) Age { return Age(max(d, time.Millisecond)) }
 
 // MarshalJSON implements json.Marshaler.
@@ -25,20 +26,20 @@
 	return strconv.AppendInt(nil, int64(ms), 10), nil
 }
 
-// maxAge bounds received ages, which keeps sums of times from overflowing.
+// maxAge limits received ages so that arithmetic on times cannot overflow.
 const maxAge = 100 * 365 * 24 * time.Hour
 
 // UnmarshalJSON implements json.Unmarshaler. It refuses negative ages.
 func (a *Age) UnmarshalJSON(data []byte) error {
 	ms, err := strconv.ParseInt(string(data), 10, 64)
 	if err != nil || ms < 0 || ms > int64(maxAge/time.Millisecond) {
-		return eris.Errorf("age %.20s is no number of milliseconds in range", data)
+		return eris.Errorf("age %.20s is not a number of milliseconds in range", data)
 	}
 	*a = Age(time.Duration(ms) * time.Millisecond)
 	return nil
 }
 
-// MemberOf returns the message form of an entry.
+// MemberOf converts a membership entry to its wire format.
 func MemberOf(e membership.Entry) Member {
 	return Member{
 		Name:          e.Name,
@@ -46,13 +47,13 @@
 		Sequence:      e.Sequence,
 		DataCentre:    e.DataCentre,
 		Address:       e.Address,
-		State:         shortState(e.State),
+		State:         wireState(e.State),
 		AppliedTicket: e.AppliedTicket,
 		Age:           Age(e.Age),
 	}
 }
 
-// Entry returns the entry that the message form stands for.
+// Entry converts the wire format to a membership entry.
 func (m Member) Entry() membership.Entry {
 	return membership.Entry{
 		Name:          m.Name,
@@ -66,7 +67,7 @@
 	}
 }
 
-// SenderOf returns the message form of the sender's own entry.
+// SenderOf converts the sender's own entry to its wire format.
 func SenderOf(e membership.Entry) Sender {
 	return Sender{
 		Name:        e.Name,
@@ -74,11 +75,12 @@
 		Sequence:    e.Sequence,
 		DataCentre:  e.DataCentre,
 		Address:     e.Address,
-		State:       shortState(e.State),
+		State:       wireState(e.State),
 	}
 }
 
-// Entry returns what a message says of its sender.
+// Entry returns the membership entry of the sender, with an age of zero. applied
+// is the applied ticket in the message's ConfigDigest.
 func (s Sender) Entry(applied uint64) membership.Entry {
 	return Member{
 		Name:          s.Name,
@@ -91,18 +93,21 @@
 	}.Entry()
 }
 
-func shortState(s state.ServiceState) state.ServiceState {
+// wireState returns the state as sent: empty for InService, the usual state.
+func wireState(s state.ServiceState) state.ServiceState {
 	if s == state.InService {
 		return ""
 	}
 	return s
 }
 
-// Sections are the names of the parts of messages, for the count of bytes.
+// Sections are the JSON names of the message fields whose bytes are counted
+// separately.
 var Sections = []string{"sender", "config", "want", "heard", "lease", "loans", "groups", "members", "snapshot"}
 
-// SectionSizes returns the bytes that each section of a message takes,
-// including its name and separators.
+// SectionSizes returns the size of each section of an encoded message in bytes,
+// including its name and separators. It returns nil if the body is not a JSON
+// object.
 func SectionSizes(body []byte) map[string]int {
 	var sections map[string]json.RawMessage
 	if json.Unmarshal(body, &sections) != nil {
--- a/protocol/peerapi/codec_test.go
+++ b/protocol/peerapi/codec_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against an age that looks younger after it was sent, and against ages
-// that would move a contact into the future or overflow.
+// Guards against encoding that reduces an age, and against accepting ages that
+// are negative, and so place a contact in the future, or that overflow.
 func TestAge(t *testing.T) {
 	for _, d := range []time.Duration{0, 1, time.Millisecond, 1500 * time.Microsecond, time.Hour + 1} {
 		data, err := json.Marshal(Age(d))
@@ -19,15 +19,15 @@
 			t.Fatal(err)
 		}
 		if diff := time.Duration(got) - d; diff < 0 || diff >= time.Millisecond {
-			t.Errorf("%v arrives as %v", d, time.Duration(got))
+			t.Errorf("age %v decoded as %v", d, time.Duration(got))
 		}
 	}
 	if AgeOf(0) == 0 {
-		t.Error("an age just confirmed looks like none")
+		t.Error("AgeOf(0) is zero, which means that no age is known")
 	}
 	for _, data := range []string{"-1", "9223372036854775807", "1.5", `"1"`, "null"} {
 		if json.Unmarshal([]byte(data), new(Age)) == nil {
-			t.Errorf("%s was accepted", data)
+			t.Errorf("UnmarshalJSON accepted %s", data)
 		}
 	}
 }
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -1,8 +1,8 @@
-// Package peerapi defines the messages between VMs: HTTP with JSON. Bodies are
-// authenticated by an HMAC with the fleet's secret.
+// Package peerapi defines the messages between VMs, which are JSON over HTTP.
+// Bodies are authenticated by an HMAC with the fleet secret.
 //
-// A VM sends and receives about 40 messages a second within a budget of 21 KB a
-// second, so sections and fields that say nothing new are left out.
+// A VM sends and receives about 40 messages per second within a budget of
+// 21 KB/s, so sections and fields without new information are omitted.
 package peerapi
 
 import (
@@ -13,24 +13,24 @@
 
 // Paths of the peer interface.
 const (
-	PathExchange = "/v1/exchange" // an Exchange, answered by an ExchangeAnswer
-	PathConfig   = "/v1/config"   // a ConfigPush, answered by an empty object
-	PathCancel   = "/v1/cancel"   // a Cancel, answered by an empty object
+	PathExchange = "/v1/exchange" // request: Exchange; response: ExchangeAnswer
+	PathConfig   = "/v1/config"   // request: ConfigPush; response: empty object
+	PathCancel   = "/v1/cancel"   // request: Cancel; response: empty object
 )
 
-// Sender says who sent a message. The data centre and the address are left out
-// if the sender's configuration lists them, and the state if it is in service.
-// An answer leaves out the name, which its authentication proves.
+// Sender identifies the sender of a message. The data centre and the address are
+// omitted if the sender's configuration lists them, the state if it is
+// in_service. A response omits the name, because its HMAC proves it.
 type Sender struct {
 	Name        string             `json:"name,omitempty"`
 	Incarnation uint64             `json:"inc"`
-	Sequence    uint64             `json:"seq"` // grows with each message of the incarnation
+	Sequence    uint64             `json:"seq"` // increases with each message of the incarnation
 	DataCentre  string             `json:"data_centre,omitempty"`
 	Address     string             `json:"address,omitempty"`
 	State       state.ServiceState `json:"state,omitempty"` // of the process
 }
 
-// Member is an entry about a VM. Fields are left out as in Sender.
+// Member is a membership entry of a VM. Fields are omitted as in Sender.
 type Member struct {
 	Name          string             `json:"name"`
 	Incarnation   uint64             `json:"inc"`
@@ -39,11 +39,11 @@
 	Address       string             `json:"address,omitempty"`
 	State         state.ServiceState `json:"state,omitempty"`
 	AppliedTicket uint64             `json:"applied_ticket"`
-	Age           Age                `json:"age_ms"` // since the VM was heard
+	Age           Age                `json:"age_ms"` // since a message from the VM was last received
 }
 
-// Heard summarises what the sender knows of the listed VMs of a data centre;
-// membership.Digest explains the fields.
+// Heard summarises the sender's membership entries for the VMs that the
+// configuration lists in a data centre. membership.Digest explains the fields.
 type Heard struct {
 	DataCentre string         `json:"dc"`
 	List       uint32         `json:"list"`
@@ -52,22 +52,23 @@
 	Lags       map[int]uint64 `json:"lags,omitempty"`
 }
 
-// ConfigDigest says which configuration the sender has and how fresh it is. A
-// brief message carries the number only.
+// ConfigDigest identifies the sender's configuration and says how fresh it is.
+// A brief message carries only Number.
 type ConfigDigest struct {
 	Number       uint64 `json:"number"`
-	Digest       string `json:"digest,omitempty"`           // whole with a snapshot, otherwise its first DigestPrefix characters
-	Applied      uint64 `json:"applied,omitempty"`          // ticket that is fully applied; zero if none or not said
-	ConfirmedAge Age    `json:"confirmed_age_ms,omitempty"` // since the store confirmed it; zero if it never did or not said
-	StoreReached bool   `json:"store_reached,omitempty"`    // by the sender itself, as a relay
-	StoreMissed  bool   `json:"store_missed,omitempty"`     // the sender's data centre does not reach the store
+	Digest       string `json:"digest,omitempty"`           // complete with a snapshot, otherwise its first DigestPrefix characters
+	Applied      uint64 `json:"applied,omitempty"`          // ticket that is fully applied; zero if none or omitted
+	ConfirmedAge Age    `json:"confirmed_age_ms,omitempty"` // since the store confirmed it; zero if never or omitted
+	StoreReached bool   `json:"store_reached,omitempty"`    // the sender is a relay and reaches the store itself
+	StoreMissed  bool   `json:"store_missed,omitempty"`     // the sender finds that its data centre does not reach the store
 }
 
-// Brief reports whether the message says no more than the number of the ticket.
+// Brief reports whether the digest carries only the ticket number.
 func (d ConfigDigest) Brief() bool { return d.Number > 0 && d.Digest == "" }
 
-// DigestPrefix is the length to which a digest is cut in messages without a
-// snapshot. It suffices to notice two tickets with the same number.
+// DigestPrefix is the length in characters to which a digest is truncated in
+// messages without a snapshot. It is long enough to detect two different tickets
+// with the same number.
 const DigestPrefix = 8
 
 // GroupView announces the primary of a group.
@@ -75,25 +76,25 @@
 	Group   string `json:"group"`
 	Term    uint64 `json:"term"`
 	Primary string `json:"primary"`
-	Suspect bool   `json:"suspect,omitempty"` // the sender suspects that the primary of Term has failed
+	Suspect bool   `json:"suspect,omitempty"` // the sender suspects that the primary of Term failed
 }
 
-// Exchange is the regular message between two VMs.
+// Exchange is the periodic message between two VMs.
 type Exchange struct {
 	Sender  Sender              `json:"sender"`
 	Config  ConfigDigest        `json:"config"`
-	Want    bool                `json:"want,omitempty"` // asks for a snapshot if the receiver has a higher ticket number
+	Want    bool                `json:"want,omitempty"` // requests a snapshot if the receiver has a higher ticket number
 	Heard   []Heard             `json:"heard,omitempty"`
 	Lease   *lease.Query        `json:"lease,omitempty"`
-	Agreed  uint64              `json:"agreed,omitempty"` // highest ticket that all VMs are known to have applied
+	Agreed  uint64              `json:"agreed,omitempty"` // highest ticket known to be applied by all VMs
 	Loans   []share.LoanRequest `json:"loans,omitempty"`
 	Groups  []GroupView         `json:"groups,omitempty"`
 	Members []Member            `json:"members,omitempty"`
 }
 
-// ExchangeAnswer answers an Exchange. Snapshot is set if it was asked for and
-// the answering VM has a configuration with a higher ticket number than the
-// asking one. It is the encoded configuration, compressed by gzip.
+// ExchangeAnswer is the response to an Exchange. Snapshot is set if the request
+// has Want and the responding VM has a higher ticket number. It is the encoded
+// configuration, compressed with gzip.
 type ExchangeAnswer struct {
 	Sender   Sender             `json:"sender"`
 	Config   ConfigDigest       `json:"config"`
@@ -106,15 +107,15 @@
 	Snapshot []byte             `json:"snapshot,omitempty"`
 }
 
-// ConfigPush carries a configuration from a relay. Snapshot is compressed by
-// gzip.
+// ConfigPush carries a configuration from a relay. Snapshot is the encoded
+// configuration, compressed with gzip.
 type ConfigPush struct {
 	Sender   Sender       `json:"sender"`
 	Config   ConfigDigest `json:"config"`
 	Snapshot []byte       `json:"snapshot"`
 }
 
-// Cancel passes a client's cancel request on to the VM that holds its session.
+// Cancel forwards a client's cancel request to the VM that holds its session.
 type Cancel struct {
 	Sender  Sender `json:"sender"`
 	Session uint64 `json:"session"`
