--- a/protocol/token/token.go
+++ b/protocol/token/token.go
@@ -1,8 +1,9 @@
-// Package token encodes the session token that a client carries between VMs.
+// Package token encodes session tokens. A client passes its token to another VM
+// so that its reads there see its earlier writes.
 //
-// A token is base64url of a JSON body, a dot, and base64url of the body's
-// HMAC-SHA256 with the fleet's secret. The body names the customer, so that a
-// token of another customer is recognised.
+// A token is a JSON body in base64url, a dot, and the HMAC-SHA256 of the body
+// with the fleet secret in base64url. The body names the customer, so that a
+// token of another customer is detected.
 package token
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MaxLength is the longest token that is accepted, in bytes.
+// MaxLength is the length limit of an accepted token in bytes.
 const MaxLength = 8 << 10
 
 // Verdict is the result of decoding a token.
@@ -24,21 +25,23 @@
 // Verdicts.
 const (
 	Valid   Verdict = iota
-	Invalid         // not a token of this fleet: malformed or forged
-	Foreign         // a token of another customer
+	Invalid         // malformed, or not signed with the fleet secret
+	Foreign         // token of another customer
 )
 
+// body is the signed part of a token.
 type body struct {
 	Customer string           `json:"c"`
 	Points   map[string]point `json:"p,omitempty"`
 }
 
-// point is a term and a position.
+// point is a term and a log position.
 type point [2]uint64
 
 var encoding = base64.RawURLEncoding
 
-// Encode returns the customer's token for the given points.
+// Encode returns a token of the customer with the log point that reads of the
+// session must cover in each group.
 func Encode(secret []byte, customer string, t state.Token) string {
 	b := body{Customer: customer, Points: make(map[string]point, len(t))}
 	for group, p := range t {
@@ -51,8 +54,8 @@
 	return encoding.EncodeToString(raw) + "." + encoding.EncodeToString(sign(secret, raw))
 }
 
-// Decode returns the points of a token. An empty text is a valid token of a
-// session that has not written.
+// Decode verifies a token and returns its log points by group. An empty text is
+// a valid token of a session that has not written.
 func Decode(secret []byte, customer, text string) (state.Token, Verdict) {
 	if text == "" {
 		return state.Token{}, Valid
--- a/protocol/token/token_test.go
+++ b/protocol/token/token_test.go
@@ -10,6 +10,8 @@
 
 var secret = []byte("fleet secret")
 
+// Guards against accepting a token that was forged, modified, or issued to
+// another customer.
 func TestDecode(t *testing.T) {
 	points := state.Token{"ledger": {Term: 3, Position: 17}, "orders": {Term: 1 << 40, Position: 2}}
 	good := Encode(secret, "bindery", points)
@@ -40,7 +42,8 @@
 	}
 }
 
-// Guards against a crash or a wrong acceptance on what a client may send.
+// Guards against a panic on arbitrary input from a client, and against accepting
+// a token whose points do not survive re-encoding.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(secret, "bindery", state.Token{"ledger": {Term: 3, Position: 17}}))
 	f.Add("e30.e30")
