--- a/protocol/settings/check.go
+++ b/protocol/settings/check.go
@@ -22,7 +22,7 @@
 }
 
 func (c *checker) fail(at, format string, args ...any) {
-	c.doc.Error(strings.Split(at, "."), format, args...)
+	c.doc.AddError(strings.Split(at, "."), format, args...)
 }
 
 func (c *checker) check(s *Settings) {
@@ -114,14 +114,14 @@
 	for i, seed := range seeds {
 		at := yamldoc.Path{"seeds", strconv.Itoa(i)}
 		if err := ticket.CheckName(seed.VM); err != nil {
-			c.doc.Error(at, "seeds: %v", err)
+			c.doc.AddError(at, "seeds: %v", err)
 		}
 		if err := ticket.CheckAddress(seed.Address); err != nil {
-			c.doc.Error(at, "seeds: %v", err)
+			c.doc.AddError(at, "seeds: %v", err)
 		}
 		sameAddress := func(other Seed) bool { return other.Address == seed.Address }
 		if slices.IndexFunc(seeds, sameAddress) < i {
-			c.doc.Error(at, "seeds: %s appears twice", seed.Address)
+			c.doc.AddError(at, "seeds: %s appears twice", seed.Address)
 		}
 	}
 }
--- a/protocol/ticketfile/ticketfile.go
+++ b/protocol/ticketfile/ticketfile.go
@@ -102,7 +102,7 @@
 	converted := make(map[string]*S, len(objects))
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
 		converted[name] = toState(objects[name], name, func(err error, path ...string) {
-			doc.Invalid(append(yamldoc.Path{string(kind), name}, path...), "%v", err)
+			doc.AddInvalid(append(yamldoc.Path{string(kind), name}, path...), "%v", err)
 		})
 	}
 	return converted
@@ -177,9 +177,9 @@
 	doc := f.doc.Clone()
 	for _, p := range found {
 		if p.Warning {
-			doc.Warning(p.Path, "%s", p.Text)
+			doc.AddWarning(p.Path, "%s", p.Text)
 		} else {
-			doc.Error(p.Path, "%s", p.Text)
+			doc.AddError(p.Path, "%s", p.Text)
 		}
 	}
 	return doc
--- a/protocol/yamldoc/decode.go
+++ b/protocol/yamldoc/decode.go
@@ -16,23 +16,23 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxFile is the largest file that is decoded, in bytes.
-const MaxFile = 8 << 20
+// MaxFileBytes is the size limit of a file that Decode accepts.
+const MaxFileBytes = 8 << 20
 
-// maxShown is how much of a wrong value an error message quotes, in bytes.
-const maxShown = 40
+// maxQuotedBytes limits how much of an invalid value an error message quotes.
+const maxQuotedBytes = 40
 
-// Decode fills out, a pointer to a struct, from a file of one YAML document.
-// Fields are matched by their yaml tags. Values that are absent from the file
-// are left as they are, so out can hold defaults. name appears in messages.
+// Decode decodes a file with one YAML document into out, a pointer to a struct.
+// Fields are matched by their yaml tags. Fields that the file does not set are
+// unchanged, so out can hold defaults. name is the file name in messages.
 //
-// The kinds of fields supported are structs, pointers to structs, maps with
-// string keys, slices and scalars. Anchors and aliases are refused, because one
-// line would then describe several values.
+// Fields may be structs, pointers to structs, maps with string keys, slices and
+// scalars. Anchors and aliases are rejected, because one line would then stand
+// for several values.
 func Decode(name string, data []byte, out any) *Document {
 	d := &Document{name: name}
-	if len(data) > MaxFile {
-		d.problems = append(d.problems, Problem{Text: fmt.Sprintf("the file has %d bytes; at most %d are read", len(data), MaxFile)})
+	if len(data) > MaxFileBytes {
+		d.problems = append(d.problems, Problem{Text: fmt.Sprintf("the file has %d bytes; at most %d are read", len(data), MaxFileBytes)})
 		return d
 	}
 	d.root = d.parse(data)
@@ -47,7 +47,7 @@
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	switch err := decoder.Decode(&doc); {
 	case errors.Is(err, io.EOF):
-		d.fail(nil, 0, "the file is empty")
+		d.addFailure(nil, 0, "the file is empty")
 		return nil
 	case err != nil:
 		d.syntaxError(err)
@@ -61,26 +61,28 @@
 		d.problems = append(d.problems, Problem{Line: more.Line, Text: "the file must hold one YAML document"})
 	}
 	if doc.Kind != yaml.DocumentNode || len(doc.Content) != 1 {
-		d.fail(nil, 0, "the file is empty")
+		d.addFailure(nil, 0, "the file is empty")
 		return nil
 	}
 	return doc.Content[0]
 }
 
-// The parser names the line only in the text of its errors.
-var syntaxLine = regexp.MustCompile(`^yaml: line (\d+): `)
+// syntaxErrorLine matches the line number in the parser's errors, which have it
+// only in their text.
+var syntaxErrorLine = regexp.MustCompile(`^yaml: line (\d+): `)
 
 func (d *Document) syntaxError(err error) {
 	text, line := err.Error(), 0
-	if m := syntaxLine.FindStringSubmatch(text); m != nil {
+	if m := syntaxErrorLine.FindStringSubmatch(text); m != nil {
 		line, _ = strconv.Atoi(m[1])
 		text = text[len(m[0]):]
 	}
-	d.fail(nil, line, strings.TrimPrefix(text, "yaml: "))
+	d.addFailure(nil, line, strings.TrimPrefix(text, "yaml: "))
 }
 
-// fail records that the value at the path could not be decoded.
-func (d *Document) fail(path Path, line int, text string) {
+// addFailure records that the value at the path could not be decoded. Later
+// problems at or below the path are dropped.
+func (d *Document) addFailure(path Path, line int, text string) {
 	d.failed = append(d.failed, slices.Clone(path))
 	d.problems = append(d.problems, Problem{Line: line, Text: text})
 }
@@ -89,7 +91,7 @@
 
 func (d *Document) decode(n *yaml.Node, out reflect.Value, path Path) {
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		d.fail(path, n.Line, "anchors and aliases are not supported")
+		d.addFailure(path, n.Line, "anchors and aliases are not supported")
 		return
 	}
 	switch out.Kind() {
@@ -115,14 +117,14 @@
 func isNull(n *yaml.Node) bool { return n.Kind == yaml.ScalarNode && n.Tag == "!!null" }
 
 func (d *Document) decodeStruct(n *yaml.Node, out reflect.Value, path Path) {
-	fields := fieldsOf(out.Type())
-	d.eachEntry(n, path, func(key, value *yaml.Node, at Path) {
+	fields := yamlFields(out.Type())
+	d.forEachEntry(n, path, func(key, value *yaml.Node, entryPath Path) {
 		index, known := fields[key.Value]
 		if !known {
-			d.fail(at, key.Line, fmt.Sprintf("unknown field %q; the fields here are %s", key.Value, names(fields)))
+			d.addFailure(entryPath, key.Line, fmt.Sprintf("unknown field %q; the fields here are %s", key.Value, joinFieldNames(fields)))
 			return
 		}
-		d.decode(value, out.FieldByIndex(index), at)
+		d.decode(value, out.FieldByIndex(index), entryPath)
 	})
 }
 
@@ -130,34 +132,35 @@
 	if out.IsNil() {
 		out.Set(reflect.MakeMap(out.Type()))
 	}
-	d.eachEntry(n, path, func(key, value *yaml.Node, at Path) {
+	d.forEachEntry(n, path, func(key, value *yaml.Node, entryPath Path) {
 		element := reflect.New(out.Type().Elem()).Elem()
-		d.decode(value, element, at)
+		d.decode(value, element, entryPath)
 		out.SetMapIndex(reflect.ValueOf(key.Value), element)
 	})
 }
 
-// eachEntry calls f with the entries of a mapping, without the repeated ones.
-func (d *Document) eachEntry(n *yaml.Node, path Path, f func(key, value *yaml.Node, at Path)) {
+// forEachEntry calls f for each entry of a mapping. Entries that repeat a key are
+// recorded as problems and skipped.
+func (d *Document) forEachEntry(n *yaml.Node, path Path, f func(key, value *yaml.Node, entryPath Path)) {
 	if isNull(n) {
 		return
 	}
 	if n.Kind != yaml.MappingNode {
-		d.fail(path, n.Line, "expected fields, found "+describe(n))
+		d.addFailure(path, n.Line, "expected fields, found "+describeNode(n))
 		return
 	}
-	first := make(map[string]int)
+	firstLine := make(map[string]int) // by key
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
 		if key.Kind != yaml.ScalarNode {
-			d.fail(path, key.Line, "expected the name of a field, found "+describe(key))
+			d.addFailure(path, key.Line, "expected the name of a field, found "+describeNode(key))
 			continue
 		}
-		if line, repeated := first[key.Value]; repeated {
+		if line, repeated := firstLine[key.Value]; repeated {
 			d.problems = append(d.problems, Problem{Line: key.Line, Text: fmt.Sprintf("%q is already defined at line %d", key.Value, line)})
 			continue
 		}
-		first[key.Value] = key.Line
+		firstLine[key.Value] = key.Line
 		f(key, value, append(slices.Clone(path), key.Value))
 	}
 }
@@ -167,7 +170,7 @@
 		return
 	}
 	if n.Kind != yaml.SequenceNode {
-		d.fail(path, n.Line, "expected a list, found "+describe(n))
+		d.addFailure(path, n.Line, "expected a list, found "+describeNode(n))
 		return
 	}
 	list := reflect.MakeSlice(out.Type(), len(n.Content), len(n.Content))
@@ -179,24 +182,24 @@
 
 func (d *Document) decodeScalar(n *yaml.Node, out reflect.Value, path Path) {
 	if isNull(n) {
-		d.fail(path, n.Line, "the value is missing")
+		d.addFailure(path, n.Line, "the value is missing")
 		return
 	}
-	if n.Kind != yaml.ScalarNode || !wholeIfNeeded(n, out.Type()) || n.Decode(out.Addr().Interface()) != nil {
-		d.fail(path, n.Line, fmt.Sprintf("expected %s, found %s", expected(out.Type()), describe(n)))
+	if n.Kind != yaml.ScalarNode || !fitsIntegerType(n, out.Type()) || n.Decode(out.Addr().Interface()) != nil {
+		d.addFailure(path, n.Line, fmt.Sprintf("expected %s, found %s", describeType(out.Type()), describeNode(n)))
 	}
 }
 
-// wholeIfNeeded reports false for a fraction in place of a whole number, which
-// the library would round without an error.
-func wholeIfNeeded(n *yaml.Node, t reflect.Type) bool {
-	whole := t.Kind() == reflect.Int || t.Kind() == reflect.Uint64
-	return !whole || n.ShortTag() == "!!int"
+// fitsIntegerType reports whether the value is an integer if the type requires
+// one. The YAML library would round a fraction without an error.
+func fitsIntegerType(n *yaml.Node, t reflect.Type) bool {
+	integer := t.Kind() == reflect.Int || t.Kind() == reflect.Uint64
+	return !integer || n.ShortTag() == "!!int"
 }
 
-// fieldsOf maps the names of a struct's fields in YAML to their indices. Fields
-// of embedded structs count as fields of the struct itself.
-func fieldsOf(t reflect.Type) map[string][]int {
+// yamlFields maps the YAML names of a struct's fields to their indices. Fields of
+// embedded structs count as fields of the struct itself.
+func yamlFields(t reflect.Type) map[string][]int {
 	fields := make(map[string][]int)
 	for _, f := range reflect.VisibleFields(t) {
 		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
@@ -207,14 +210,16 @@
 	return fields
 }
 
-// names lists the fields in the order of the struct.
-func names(fields map[string][]int) string {
-	all := slices.Collect(maps.Keys(fields))
-	slices.SortFunc(all, func(a, b string) int { return slices.Compare(fields[a], fields[b]) })
-	return strings.Join(all, ", ")
+// joinFieldNames lists the field names, separated by commas, in the order of the
+// struct.
+func joinFieldNames(fields map[string][]int) string {
+	names := slices.Collect(maps.Keys(fields))
+	slices.SortFunc(names, func(a, b string) int { return slices.Compare(fields[a], fields[b]) })
+	return strings.Join(names, ", ")
 }
 
-func expected(t reflect.Type) string {
+// describeType names the expected kind of value for a scalar type in messages.
+func describeType(t reflect.Type) string {
 	switch {
 	case t == durationType:
 		return "a duration such as 250ms or 10s"
@@ -231,7 +236,9 @@
 	}
 }
 
-func describe(n *yaml.Node) string {
+// describeNode describes the value found in the file for messages. A scalar is
+// quoted.
+func describeNode(n *yaml.Node) string {
 	switch n.Kind {
 	case yaml.MappingNode:
 		return "fields"
@@ -241,8 +248,8 @@
 		return "an alias"
 	}
 	value := n.Value
-	if len(value) > maxShown {
-		value = strings.ToValidUTF8(value[:maxShown], "") + "..."
+	if len(value) > maxQuotedBytes {
+		value = strings.ToValidUTF8(value[:maxQuotedBytes], "") + "..."
 	}
 	return strconv.Quote(value)
 }
--- a/protocol/yamldoc/document.go
+++ b/protocol/yamldoc/document.go
@@ -1,10 +1,10 @@
-// Package yamldoc decodes YAML files strictly and reports every error at once,
+// Package yamldoc decodes YAML files strictly and reports all errors together,
 // each with its line.
 //
-// A file is decoded in two steps: Decode fills a Go value and records unknown
-// fields, repeated keys and values of the wrong type; the caller then checks
-// the values and adds what it finds by path. The document turns paths into
-// lines, and drops what follows from an error that is already recorded.
+// Decode fills a Go value and records unknown fields, repeated keys and values
+// of the wrong type. The caller then validates the values and adds further
+// problems by path. The document maps paths to lines and drops problems that
+// follow from an error already recorded.
 package yamldoc
 
 import (
@@ -16,39 +16,41 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Path leads to a value: keys of mappings, and indices of sequences as decimal
-// numbers.
+// Path is the location of a value: keys of mappings and decimal indices of
+// sequences, from the root.
 type Path []string
 
-// Problem is one error or warning. Line 0 means the file as a whole.
+// Problem is an error or a warning. Line 0 stands for the whole file.
 type Problem struct {
 	Line    int
 	Warning bool
 	Text    string
 }
 
-// Document is a decoded file with the problems found in it so far.
+// Document is a decoded file and the problems recorded for it.
 type Document struct {
 	name     string
-	root     *yaml.Node // nil if the file is empty or no YAML
+	root     *yaml.Node // nil if the file is empty or not valid YAML
 	failed   []Path     // values that could not be decoded
 	problems []Problem
 }
 
-// Error records an error at the path. It is dropped if the value at the path,
-// or one that contains it, could not be decoded.
-func (d *Document) Error(path Path, format string, args ...any) {
+// AddError records an error at the path. The error is dropped if the value at the
+// path, or a value that contains it, could not be decoded or was reported with
+// AddInvalid.
+func (d *Document) AddError(path Path, format string, args ...any) {
 	d.add(path, false, fmt.Sprintf(format, args...))
 }
 
-// Invalid records that the value at the path has the wrong form. Further
-// problems at the path are dropped.
-func (d *Document) Invalid(path Path, format string, args ...any) {
+// AddInvalid records an error at the path, under the same rule as AddError, and
+// drops all later problems at or below the path.
+func (d *Document) AddInvalid(path Path, format string, args ...any) {
 	d.add(path, false, fmt.Sprintf(format, args...))
 	d.failed = append(d.failed, slices.Clone(path))
 }
 
-// Clone returns a document to which problems can be added independently.
+// Clone returns a copy of the document. Problems added to the copy do not appear
+// in the original.
 func (d *Document) Clone() *Document {
 	c := *d
 	c.failed = slices.Clone(d.failed)
@@ -56,8 +58,8 @@
 	return &c
 }
 
-// Warning records a warning at the path, under the same rule as Error.
-func (d *Document) Warning(path Path, format string, args ...any) {
+// AddWarning records a warning at the path, under the same rule as AddError.
+func (d *Document) AddWarning(path Path, format string, args ...any) {
 	d.add(path, true, fmt.Sprintf(format, args...))
 }
 
@@ -71,26 +73,26 @@
 	d.problems = append(d.problems, Problem{Line: line, Warning: warning, Text: text})
 }
 
-// Line returns the line of the value at the path. If there is no such value it
-// returns the line of the innermost value on the way to it, and false.
+// Line returns the line of the value at the path. If the file has no such value,
+// it returns the line of the innermost existing value on the path, and false.
 func (d *Document) Line(path Path) (line int, exact bool) {
 	if d.root == nil {
 		return 0, len(path) == 0
 	}
 	n, line := d.root, d.root.Line
 	for _, element := range path {
-		key, value := child(n, element)
+		lineNode, value := child(n, element)
 		if value == nil {
 			return line, false
 		}
-		n, line = value, key.Line
+		n, line = value, lineNode.Line
 	}
 	return line, true
 }
 
-// child returns the value under a key or index, and the node whose line is
+// child returns the value under a key or index and the node whose line is
 // reported for it: the key in a mapping, the value itself in a sequence.
-func child(n *yaml.Node, element string) (at, value *yaml.Node) {
+func child(n *yaml.Node, element string) (lineNode, value *yaml.Node) {
 	switch n.Kind {
 	case yaml.MappingNode:
 		for i := 0; i+1 < len(n.Content); i += 2 {
@@ -107,16 +109,15 @@
 	return nil, nil
 }
 
-// Problems returns the errors and warnings found so far in the order of their
-// lines.
+// Problems returns the errors and warnings recorded so far, ordered by line.
 func (d *Document) Problems() []Problem {
 	sorted := slices.Clone(d.problems)
 	slices.SortStableFunc(sorted, func(a, b Problem) int { return a.Line - b.Line })
 	return sorted
 }
 
-// Err returns the errors found so far as an *Errors, or nil if there are only
-// warnings or nothing.
+// Err returns the errors recorded so far as an *Errors. It returns nil if there
+// are none; warnings do not count.
 func (d *Document) Err() error {
 	errs := slices.DeleteFunc(d.Problems(), func(p Problem) bool { return p.Warning })
 	if len(errs) == 0 {
@@ -125,13 +126,14 @@
 	return &Errors{File: d.name, Problems: errs}
 }
 
-// Errors are all errors of a file.
+// Errors is the error returned for an invalid file. It holds all errors of the
+// file, ordered by line.
 type Errors struct {
 	File     string
 	Problems []Problem
 }
 
-// Error gives one line per error: file, line and text.
+// Error implements error. Each problem is formatted on its own line.
 func (e *Errors) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -140,8 +142,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Format gives the problem as file, line and text, the form that editors
-// recognise.
+// Format returns the problem as FILE:LINE: TEXT, which editors recognise as a
+// location.
 func (p Problem) Format(file string) string {
 	kind := ""
 	if p.Warning {
