--- a/protocol/settings/reference.go
+++ b/protocol/settings/reference.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// Row describes one setting.
-type Row struct {
-	Name    string // path in the file, joined with dots
-	Type    string
-	Default string // "required" if there is none
-	Meaning string
+// ReferenceRow documents one setting.
+type ReferenceRow struct {
+	Name        string // path in the file, joined with dots
+	Type        string
+	Default     string // "required" if there is none
+	Description string
 }
 
-// required stands for a default in the rows of settings that have none.
+// required is the Default of settings that must be given.
 const required = "required"
 
-// Reference returns all settings in the order of the file.
-func Reference() []Row {
-	return []Row{
+// Reference returns the documentation of all settings, in the order of the fields
+// of Settings.
+func Reference() []ReferenceRow {
+	return []ReferenceRow{
 		{"vm", "name", required, "name of this VM, as listed in the ticket"},
 		{"data_centre", "name", required, "data centre that this VM runs in"},
 		{"addresses.clients", "host:port", required, "listens here for clients (PostgreSQL wire protocol)"},
@@ -49,13 +50,13 @@
 	}
 }
 
-// ReferenceTable returns the reference as a Markdown table, as it stands in
-// docs/OPERATIONS.md.
+// ReferenceTable returns the reference as a Markdown table. docs/OPERATIONS.md
+// contains this table.
 func ReferenceTable() string {
 	var b strings.Builder
 	b.WriteString("| setting | type | default | meaning |\n| --- | --- | --- | --- |\n")
 	for _, r := range Reference() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", r.Name, r.Type, r.Default, r.Meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", r.Name, r.Type, r.Default, r.Description)
 	}
 	return b.String()
 }
--- a/protocol/settings/settings.go
+++ b/protocol/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the settings of one VM from a YAML file. Everything
-// that all VMs share is in tickets instead; a VM's settings say only who it is,
-// where it listens and how it reaches the others.
+// Package settings reads the settings of one VM from a YAML file. They hold only
+// what differs per VM or is needed to join the fleet: its name, the addresses it
+// listens on, credentials and limits. Configuration that all VMs share is in
+// tickets.
 package settings
 
 import (
@@ -11,9 +12,9 @@
 	"time"
 )
 
-// Settings are the settings of one VM. Load and Parse return them only if they
-// are complete and valid. Fields without a default are required, unless their
-// comment says otherwise.
+// Settings holds the settings of one VM. Load and Parse return it only if it is
+// complete and valid. Fields without a default are required, unless their comment
+// says otherwise.
 type Settings struct {
 	// VM is the name of this VM, as listed in the ticket.
 	VM string `yaml:"vm"`
@@ -24,33 +25,35 @@
 	// Advertise is the host:port under which other VMs reach this one. Default
 	// addresses.peers, which must then name a host.
 	Advertise string `yaml:"advertise"`
-	// TLS is the certificate shown to clients. Without it clients connect in
-	// plain text.
+	// TLS is the certificate for client connections. Without it, client connections
+	// are not encrypted.
 	TLS TLS `yaml:"tls"`
-	// FleetSecret authenticates messages between VMs and session tokens. All VMs
-	// have the same.
+	// FleetSecret authenticates messages between VMs and session tokens. It must be
+	// the same on all VMs.
 	FleetSecret SecretSource `yaml:"fleet_secret"`
 	// Store is the host:port of the platform's object API.
 	Store string `yaml:"store"`
-	// Seeds are VMs that this one contacts first, when it knows no
-	// others. Default none; the VM then needs the store to start.
+	// Seeds are VMs that this VM contacts when it knows no others. Default none; the
+	// VM then needs the store to start.
 	Seeds []Seed `yaml:"seeds"`
-	// Backend are the credentials that the VM uses towards backend servers.
+	// Backend holds the credentials for backend servers.
 	Backend Backend `yaml:"backend"`
-	// Workers is the number of workers that run decisions. Default one per CPU.
+	// Workers is the size of the pool of workers that run decisions. Default one per
+	// CPU.
 	Workers int `yaml:"workers"`
-	// Limits bound what one VM holds at once.
+	// Limits bounds the resources of one VM.
 	Limits Limits `yaml:"limits"`
-	// Log says what is logged and how.
+	// Log sets the level and the format of the log.
 	Log Log `yaml:"log"`
-	// Trace says where traces go.
+	// Trace selects the exporter of traces.
 	Trace Trace `yaml:"trace"`
-	// Baselines switch parts of the system off for comparison measurements.
+	// Baselines disables parts of the system for comparison measurements.
 	Baselines Baselines `yaml:"baselines"`
 }
 
-// Seed is a VM to contact. Messages are addressed to a name, so that a VM which
-// took over an address refuses those of its predecessor.
+// Seed is a VM to contact. It includes the name, because messages are addressed
+// to a name: a VM that reuses the address of another VM refuses messages for that
+// VM.
 type Seed struct {
 	// VM is the name of the VM.
 	VM string `yaml:"vm"`
@@ -58,33 +61,32 @@
 	Address string `yaml:"address"`
 }
 
-// Addresses are host:port addresses to listen on. An empty host listens on all
+// Addresses holds the host:port addresses to listen on. An empty host means all
 // interfaces.
 type Addresses struct {
-	// Clients is for clients, in the PostgreSQL wire protocol.
+	// Clients is for clients, which use the PostgreSQL wire protocol.
 	Clients string `yaml:"clients"`
 	// Peers is for other VMs.
 	Peers string `yaml:"peers"`
-	// Admin is for operators: status, metrics and health over HTTP.
+	// Admin is for operators. It serves status, metrics and health checks over HTTP.
 	Admin string `yaml:"admin"`
 }
 
-// TLS names the files of a certificate. Either both are set or none.
+// TLS names the files of a certificate. Both must be set, or neither.
 type TLS struct {
-	// CertificateFile is a PEM file with the certificate and its chain. Default
-	// none.
+	// CertificateFile is a PEM file with the certificate and its chain. Default none.
 	CertificateFile string `yaml:"certificate_file"`
 	// KeyFile is a PEM file with the private key. Default none.
 	KeyFile string `yaml:"key_file"`
 
-	// Certificate is read from the files; nil without them.
+	// Certificate is loaded from the files. It is nil if they are not set.
 	Certificate *tls.Certificate `yaml:"-"`
 }
 
-// SecretSource is a secret, in a file of its own or inline. Exactly one of the
-// two is set.
+// SecretSource is a secret given in a separate file or inline. Exactly one of the
+// two must be set.
 type SecretSource struct {
-	// File holds the secret; one newline at its end is dropped. Default none.
+	// File contains the secret; one trailing newline is removed. Default none.
 	File string `yaml:"file"`
 	// Inline is the secret itself. Default none.
 	Inline Secret `yaml:"inline"`
@@ -93,69 +95,70 @@
 	Value Secret `yaml:"-"`
 }
 
-// Backend are credentials towards backend servers.
+// Backend holds the credentials for backend servers.
 type Backend struct {
-	// User is the user name.
+	// User is the name of the database user.
 	User string `yaml:"user"`
-	// PasswordFile holds the password; one newline at its end is dropped. Default
-	// none, for backend servers that ask for no password.
+	// PasswordFile contains the password; one trailing newline is removed. Default
+	// none, for backend servers that require no password.
 	PasswordFile string `yaml:"password_file"`
 
 	// Password is read from the file.
 	Password Secret `yaml:"-"`
 }
 
-// Limits bound what one VM holds at once. They are counts, except
+// Limits bounds the resources of one VM. The fields are counts, except
 // DefaultDeadline.
 type Limits struct {
-	// Sessions is the number of clients connected at once; more are refused with
-	// 53300. Default 4096, about twice the VM's part of the design target.
+	// Sessions is the maximum number of concurrent client connections; more are
+	// refused with SQLSTATE 53300. Default 4096, about twice the VM's share of the
+	// design target.
 	Sessions int `yaml:"sessions"`
-	// SessionQueue is the number of events that wait per session; the reader of
-	// the connection stops at a full queue. Default 32.
+	// SessionQueue is the maximum number of queued events per session. While the
+	// queue is full, the VM does not read from the client connection. Default 32.
 	SessionQueue int `yaml:"session_queue"`
-	// ServerWaiters is the number of requests per backend server that wait for a
-	// connection; more are refused with 53300. Default 512.
+	// ServerWaiters is the maximum number of requests per backend server that wait
+	// for a connection; more are refused with SQLSTATE 53300. Default 512.
 	ServerWaiters int `yaml:"server_waiters"`
-	// DefaultDeadline is the longest time from arrival to answer on routes that
-	// state none. Default 5s.
+	// DefaultDeadline is the time limit from the arrival of a request to the end of
+	// its answer, for routes without a deadline. Default 5s.
 	DefaultDeadline time.Duration `yaml:"default_deadline"`
 }
 
-// Log says what is logged and how.
+// Log sets the level and the format of the log.
 type Log struct {
-	// Level is the lowest level that is logged: debug, info, warn or error.
-	// Default info.
+	// Level is the minimum level that is logged: debug, info, warn or error. Default
+	// info.
 	Level string `yaml:"level"`
 	// Format is text or json. Default text.
 	Format string `yaml:"format"`
 }
 
-// Trace says where traces go.
+// Trace selects the exporter of traces.
 type Trace struct {
 	// Exporter is none, stdout or otlp. Default none.
 	Exporter string `yaml:"exporter"`
-	// Endpoint is the host:port of the OTLP receiver over HTTP; required for otlp,
-	// refused otherwise. Default none.
+	// Endpoint is the host:port of the OTLP/HTTP receiver. It is required for otlp
+	// and refused otherwise. Default none.
 	Endpoint string `yaml:"endpoint"`
 }
 
-// Baselines switch parts of the system off, so that measurements can show what
-// they contribute. Production systems leave all of them off.
+// Baselines disables parts of the system, so that measurements can show what each
+// part contributes. In production all fields are false.
 type Baselines struct {
 	// ReadsOnPrimary sends every read to the primary. Default false.
 	ReadsOnPrimary bool `yaml:"reads_on_primary"`
-	// StaticShares lends nothing between VMs. Default false.
+	// StaticShares disables loans of customers' rates between VMs. Default false.
 	StaticShares bool `yaml:"static_shares"`
 	// NoFairQueueing serves the requests for a backend server in order of arrival.
 	// Default false.
 	NoFairQueueing bool `yaml:"no_fair_queueing"`
-	// NoGroupCommit makes a position round of its own for every write. Default
-	// false.
+	// NoGroupCommit runs a separate position round for every write. Default false.
 	NoGroupCommit bool `yaml:"no_group_commit"`
 }
 
-// Defaults returns settings with every default in place and all else empty.
+// Defaults returns settings in which fields with a default are set and all others
+// are empty. Advertise is left empty; Parse sets it from addresses.peers.
 func Defaults() *Settings {
 	return &Settings{
 		Workers: runtime.NumCPU(),
@@ -170,17 +173,18 @@
 	}
 }
 
-// Secret is a text that no format verb prints.
+// Secret is a string that is redacted in formatted and encoded output.
 type Secret string
 
-// redacted stands in for a secret wherever one would be printed.
+// redacted replaces secrets in output.
 const redacted = "[redacted]"
 
-// Format implements fmt.Formatter, so that no verb prints the secret.
+// Format implements fmt.Formatter. It prints a placeholder for every verb.
 func (Secret) Format(f fmt.State, _ rune) { _, _ = io.WriteString(f, redacted) }
 
-// MarshalText keeps the secret out of JSON and structured logs.
+// MarshalText implements encoding.TextMarshaler. It returns a placeholder, which
+// keeps the secret out of JSON and structured logs.
 func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// Bytes returns the secret itself.
+// Bytes returns the secret in plain text.
 func (s Secret) Bytes() []byte { return []byte(s) }
