--- a/protocol/ticketfile/objects.go
+++ b/protocol/ticketfile/objects.go
@@ -11,10 +11,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// The types below are the form of the objects in files (YAML) and in the store
-// and in messages (JSON). An object's name is the key under which it stands.
+// The types below are the encodings of configuration objects: YAML in files, JSON
+// in the store and in messages. The name of an object is its key in the map.
 
-// objects are the objects of a ticket or of a configuration, by name.
+// objects holds the objects of a ticket or a configuration by name.
 type objects struct {
 	Customers   map[string]customer   `yaml:"customers,omitempty" json:"customers,omitempty"`
 	Groups      map[string]group      `yaml:"groups,omitempty" json:"groups,omitempty"`
@@ -36,7 +36,7 @@
 }
 
 type cutOff struct {
-	ServeFor string `yaml:"serve_for" json:"serve_for"` // duration or always
+	ServeFor string `yaml:"serve_for" json:"serve_for"` // duration, or serveAlways
 	Reason   string `yaml:"reason" json:"reason"`
 }
 
@@ -77,19 +77,19 @@
 	State        string `yaml:"state,omitempty" json:"state,omitempty"` // in_service if absent
 }
 
-// always is the value of serve_for that means no limit.
-const always = "always"
+// serveAlways is the value of serve_for for no time limit.
+const serveAlways = "always"
 
-// A failer receives what is wrong with a value that cannot be converted, with
-// the path to it inside the object.
-type failer func(err error, path ...string)
+// reportFunc reports that a value cannot be converted. path is the path of the
+// value inside the object.
+type reportFunc func(err error, path ...string)
 
-func (c customer) toState(name string, fail failer) *state.Customer {
+func (c customer) toState(name string, report reportFunc) *state.Customer {
 	s := &state.Customer{Name: name, Rate: c.Rate, Burst: c.Burst}
 	for i, k := range c.Keys {
-		hash, err := parseHash(k.SHA256)
+		hash, err := parseKeyHash(k.SHA256)
 		if err != nil {
-			fail(err, "keys", strconv.Itoa(i), "sha256")
+			report(err, "keys", strconv.Itoa(i), "sha256")
 		}
 		s.Keys = append(s.Keys, state.Key{ID: k.ID, Hash: hash, Revoked: k.Revoked})
 	}
@@ -98,10 +98,10 @@
 	}
 	s.CutOff = state.CutOffPolicy{Reason: c.WhenCutOff.Reason}
 	switch c.WhenCutOff.ServeFor {
-	case always:
+	case serveAlways:
 		s.CutOff.Always = true
 	default:
-		s.CutOff.ServeFor = parseDuration(c.WhenCutOff.ServeFor, fail, "when_cut_off", "serve_for")
+		s.CutOff.ServeFor = parseDuration(c.WhenCutOff.ServeFor, report, "when_cut_off", "serve_for")
 	}
 	return s
 }
@@ -113,7 +113,7 @@
 	}
 	switch {
 	case s.CutOff.Always:
-		c.WhenCutOff.ServeFor = always
+		c.WhenCutOff.ServeFor = serveAlways
 	case s.CutOff.ServeFor == 0:
 		c.WhenCutOff.ServeFor = "0s"
 	default:
@@ -122,17 +122,17 @@
 	return c
 }
 
-func (g group) toState(name string, _ failer) *state.Group {
+func (g group) toState(name string, _ reportFunc) *state.Group {
 	s := &state.Group{Name: name}
-	for _, one := range g.Servers {
+	for _, entry := range g.Servers {
 		s.Servers = append(s.Servers, state.BackendServer{
-			Name:           one.Name,
-			DataCentre:     one.DataCentre,
-			Address:        one.Address,
-			ControlAddress: one.ControlAddress,
-			Connections:    one.Connections,
-			Slots:          one.Slots,
-			State:          toServiceState(one.State),
+			Name:           entry.Name,
+			DataCentre:     entry.DataCentre,
+			Address:        entry.Address,
+			ControlAddress: entry.ControlAddress,
+			Connections:    entry.Connections,
+			Slots:          entry.Slots,
+			State:          parseServiceState(entry.State),
 		})
 	}
 	return s
@@ -140,21 +140,21 @@
 
 func fromGroup(s *state.Group) group {
 	var g group
-	for _, one := range s.Servers {
+	for _, entry := range s.Servers {
 		g.Servers = append(g.Servers, server{
-			Name:           one.Name,
-			DataCentre:     one.DataCentre,
-			Address:        one.Address,
-			ControlAddress: one.ControlAddress,
-			Connections:    one.Connections,
-			Slots:          one.Slots,
-			State:          fromServiceState(one.State),
+			Name:           entry.Name,
+			DataCentre:     entry.DataCentre,
+			Address:        entry.Address,
+			ControlAddress: entry.ControlAddress,
+			Connections:    entry.Connections,
+			Slots:          entry.Slots,
+			State:          formatServiceState(entry.State),
 		})
 	}
 	return g
 }
 
-func (r route) toState(name string, fail failer) *state.Route {
+func (r route) toState(name string, report reportFunc) *state.Route {
 	return &state.Route{
 		Name:         name,
 		Group:        r.Group,
@@ -162,8 +162,8 @@
 		Open:         r.Open,
 		ChargedTo:    r.ChargedTo,
 		Customers:    r.Customers,
-		MaxStaleness: parseOptionalDuration(r.MaxStaleness, fail, "max_staleness"),
-		Deadline:     parseOptionalDuration(r.Deadline, fail, "deadline"),
+		MaxStaleness: parseOptionalDuration(r.MaxStaleness, report, "max_staleness"),
+		Deadline:     parseOptionalDuration(r.Deadline, report, "deadline"),
 	}
 }
 
@@ -179,44 +179,46 @@
 	}
 }
 
-func (d dataCentre) toState(name string, _ failer) *state.DataCentre {
-	s := &state.DataCentre{Name: name, Region: d.Region, State: toServiceState(d.State)}
-	for _, one := range d.VMs {
+func (d dataCentre) toState(name string, _ reportFunc) *state.DataCentre {
+	s := &state.DataCentre{Name: name, Region: d.Region, State: parseServiceState(d.State)}
+	for _, entry := range d.VMs {
 		s.VMs = append(s.VMs, state.VM{
-			Name:         one.Name,
-			Address:      one.Address,
-			AdminAddress: one.AdminAddress,
-			State:        toServiceState(one.State),
+			Name:         entry.Name,
+			Address:      entry.Address,
+			AdminAddress: entry.AdminAddress,
+			State:        parseServiceState(entry.State),
 		})
 	}
 	return s
 }
 
 func fromDataCentre(s *state.DataCentre) dataCentre {
-	d := dataCentre{Region: s.Region, State: fromServiceState(s.State)}
-	for _, one := range s.VMs {
-		d.VMs = append(d.VMs, vm{one.Name, one.Address, one.AdminAddress, fromServiceState(one.State)})
+	d := dataCentre{Region: s.Region, State: formatServiceState(s.State)}
+	for _, entry := range s.VMs {
+		d.VMs = append(d.VMs, vm{entry.Name, entry.Address, entry.AdminAddress, formatServiceState(entry.State)})
 	}
 	return d
 }
 
-func toServiceState(s string) state.ServiceState {
+// parseServiceState returns the state for its text. An empty text is in_service.
+func parseServiceState(s string) state.ServiceState {
 	if s == "" {
 		return state.InService
 	}
 	return state.ServiceState(s)
 }
 
-func fromServiceState(s state.ServiceState) string {
+// formatServiceState returns the text for a state, empty for in_service.
+func formatServiceState(s state.ServiceState) string {
 	if s == state.InService {
 		return ""
 	}
 	return string(s)
 }
 
-// parseHash parses the SHA-256 hash of a key. An absent hash is left to the
-// validation of the ticket.
-func parseHash(text string) (hash state.KeyHash, err error) {
+// parseKeyHash parses the SHA-256 hash of a key. It accepts an empty text, because
+// the validation of the ticket reports missing hashes.
+func parseKeyHash(text string) (hash state.KeyHash, err error) {
 	if text == "" {
 		return hash, nil
 	}
@@ -228,23 +230,26 @@
 	return hash, nil
 }
 
-func parseDuration(text string, fail failer, path ...string) time.Duration {
+// parseDuration parses a duration. It reports an error with the name of the field,
+// which is the last element of path.
+func parseDuration(text string, report reportFunc, path ...string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		fail(eris.Errorf("%s must be a duration such as 250ms or 10s, not %q", path[len(path)-1], text), path...)
+		report(eris.Errorf("%s must be a duration such as 250ms or 10s, not %q", path[len(path)-1], text), path...)
 	}
 	return d
 }
 
-func parseOptionalDuration(text string, fail failer, path ...string) time.Duration {
+// parseOptionalDuration is parseDuration, except that an empty text is zero.
+func parseOptionalDuration(text string, report reportFunc, path ...string) time.Duration {
 	if text == "" {
 		return 0
 	}
-	return parseDuration(text, fail, path...)
+	return parseDuration(text, report, path...)
 }
 
-// formatDuration writes a duration as operators do: 15m, not 15m0s. Zero is
-// written as nothing.
+// formatDuration formats a duration as operators write it: 15m, not 15m0s. It
+// returns an empty text for zero.
 func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
--- a/protocol/ticketfile/size_test.go
+++ b/protocol/ticketfile/size_test.go
@@ -14,8 +14,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Sizes of the design target. The page states no number of customers; 200 with
-// 2 keys each are assumed.
+// Sizes of the design target. It does not include a number of customers; the test
+// assumes 200 with 2 keys each.
 const (
 	targetGroups      = 800
 	targetVMs         = 490
@@ -23,7 +23,9 @@
 	targetCustomers   = 200
 )
 
-func designTarget() *ticket.Object {
+// designTargetObject returns an object with a configuration of the design target's
+// size and the maximum number of records.
+func designTargetObject() *ticket.Object {
 	c := ticket.EmptyConfig()
 	c.Ticket = state.TicketID{Number: 518300, Digest: strings.Repeat("d", 64)}
 	dcName := func(i int) string { return fmt.Sprintf("region-%d-dc-%02d", i%3, i%targetDataCentres) }
@@ -64,10 +66,10 @@
 	return o
 }
 
-// Guards against an encoding that outgrows the store before the fleet reaches
-// the size it is designed for.
+// Guards against an encoding that exceeds the store's size limit at a fleet size
+// within the design target.
 func TestDesignTargetFitsStore(t *testing.T) {
-	o := designTarget()
+	o := designTargetObject()
 	object, err := EncodeObject(o)
 	if err != nil {
 		t.Fatal(err)
--- a/protocol/ticketfile/stored.go
+++ b/protocol/ticketfile/stored.go
@@ -14,11 +14,11 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// formatVersion is the version of the encodings below. A higher one is refused:
-// it would be misunderstood.
+// formatVersion is the version of the encodings below. Higher versions are
+// rejected, because their meaning is not known.
 const formatVersion = 1
 
-// storedConfig is the JSON of a state.Config.
+// storedConfig is the JSON encoding of a state.Config.
 type storedConfig struct {
 	Format uint64 `json:"format"`
 	Number uint64 `json:"number"`
@@ -26,7 +26,8 @@
 	objects
 }
 
-// storedObject is the JSON of the store's object that holds the configuration.
+// storedObject is the JSON encoding of a ticket.Object, the value of the store's
+// configuration object.
 type storedObject struct {
 	Config  json.RawMessage `json:"config"`
 	Records []storedRecord  `json:"records,omitempty"`
@@ -42,18 +43,18 @@
 	ChangedMore int       `json:"changed_more,omitempty"`
 }
 
-// EncodeConfig returns the configuration as JSON, for messages between VMs. It
-// fails if the value is above storeapi.MaxValue.
+// EncodeConfig encodes a configuration as JSON for messages between VMs. It fails
+// if the result is longer than storeapi.MaxValue.
 func EncodeConfig(c *state.Config) ([]byte, error) {
 	data, err := json.Marshal(storedConfig{
 		Format: formatVersion,
 		Number: c.Ticket.Number,
 		Digest: c.Ticket.Digest,
 		objects: objects{
-			Customers:   each(c.Customers, fromCustomer),
-			Groups:      each(c.Groups, fromGroup),
-			Routes:      each(c.Routes, fromRoute),
-			DataCentres: each(c.DataCentres, fromDataCentre),
+			Customers:   convertAll(c.Customers, fromCustomer),
+			Groups:      convertAll(c.Groups, fromGroup),
+			Routes:      convertAll(c.Routes, fromRoute),
+			DataCentres: convertAll(c.DataCentres, fromDataCentre),
 		},
 	})
 	if err != nil {
@@ -62,8 +63,8 @@
 	return checkSize(data)
 }
 
-// EncodeObject returns the value of the store's object. It fails if the value
-// is above storeapi.MaxValue.
+// EncodeObject encodes the value of the store's configuration object. It fails if
+// the result is longer than storeapi.MaxValue.
 func EncodeObject(o *ticket.Object) ([]byte, error) {
 	config, err := EncodeConfig(o.Config)
 	if err != nil {
@@ -89,26 +90,26 @@
 	return data, nil
 }
 
-// DecodeConfig reads what EncodeConfig wrote. Unknown fields are ignored, so
-// that a VM can follow tickets written by a newer release.
+// DecodeConfig decodes the result of EncodeConfig. It ignores unknown fields, so
+// that a VM can apply tickets written by a newer release.
 func DecodeConfig(data []byte) (*state.Config, error) {
 	return decodeConfig(data, false)
 }
 
-// DecodeObject reads what EncodeObject wrote. Unknown fields are ignored.
+// DecodeObject decodes the result of EncodeObject. It ignores unknown fields.
 func DecodeObject(data []byte) (*ticket.Object, error) {
 	return decodeObject(data, false)
 }
 
-// DecodeObjectForUpdate is DecodeObject for a caller that writes the object
-// back. It refuses unknown fields, since writing would lose them.
+// DecodeObjectForUpdate is DecodeObject for callers that write the object back. It
+// rejects unknown fields, because writing the object back would lose them.
 func DecodeObjectForUpdate(data []byte) (*ticket.Object, error) {
 	return decodeObject(data, true)
 }
 
 func decodeObject(data []byte, strict bool) (*ticket.Object, error) {
 	var stored storedObject
-	if err := unmarshal(data, &stored, strict); err != nil {
+	if err := unmarshalJSON(data, &stored, strict); err != nil {
 		return nil, err
 	}
 	config, err := decodeConfig(stored.Config, strict)
@@ -131,7 +132,7 @@
 
 func decodeConfig(data []byte, strict bool) (*state.Config, error) {
 	var stored storedConfig
-	if err := unmarshal(data, &stored, strict); err != nil {
+	if err := unmarshalJSON(data, &stored, strict); err != nil {
 		return nil, err
 	}
 	if stored.Format < 1 || stored.Format > formatVersion {
@@ -140,10 +141,10 @@
 	var invalid error
 	c := &state.Config{
 		Ticket:      state.TicketID{Number: stored.Number, Digest: stored.Digest},
-		Customers:   fromStored(stored.Customers, customer.toState, &invalid),
-		Groups:      fromStored(stored.Groups, group.toState, &invalid),
-		Routes:      fromStored(stored.Routes, route.toState, &invalid),
-		DataCentres: fromStored(stored.DataCentres, dataCentre.toState, &invalid),
+		Customers:   convertFromStore(stored.Customers, customer.toState, &invalid),
+		Groups:      convertFromStore(stored.Groups, group.toState, &invalid),
+		Routes:      convertFromStore(stored.Routes, route.toState, &invalid),
+		DataCentres: convertFromStore(stored.DataCentres, dataCentre.toState, &invalid),
 	}
 	if invalid != nil {
 		return nil, eris.Wrap(invalid, "the configuration cannot be read")
@@ -151,7 +152,9 @@
 	return c, nil
 }
 
-func fromStored[W, S any](objects map[string]W, toState func(W, string, failer) *S, invalid *error) map[string]*S {
+// convertFromStore converts objects of one kind from their JSON encoding. If some
+// cannot be converted, it sets invalid to the error of one of them.
+func convertFromStore[W, S any](objects map[string]W, toState func(W, string, reportFunc) *S, invalid *error) map[string]*S {
 	converted := make(map[string]*S, len(objects))
 	for name, o := range objects {
 		converted[name] = toState(o, name, func(err error, _ ...string) { *invalid = eris.Wrapf(err, "object %q", name) })
@@ -159,7 +162,9 @@
 	return converted
 }
 
-func unmarshal(data []byte, out any, strict bool) error {
+// unmarshalJSON decodes data, which must be exactly one JSON value. strict rejects
+// unknown fields.
+func unmarshalJSON(data []byte, out any, strict bool) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	if strict {
 		d.DisallowUnknownFields()
--- a/protocol/ticketfile/ticketfile.go
+++ b/protocol/ticketfile/ticketfile.go
@@ -1,15 +1,15 @@
-// Package ticketfile reads and writes tickets and configurations: tickets as
-// YAML files that are kept under version control, configurations as JSON in the
-// store and in messages between VMs.
+// Package ticketfile encodes and decodes tickets and configurations: tickets as
+// YAML files that operators keep under version control, configurations as JSON in
+// the store and in messages between VMs.
 //
-// A ticket:
+// An example of a ticket:
 //
 //	ticket: 42
 //	operator: amina
 //	reason: New key for the bindery on Rue Talaa, the old one is revoked.
 //	customers:
 //	  talaa:
-//	    rate: 200          # requests a second
+//	    rate: 200          # requests per second
 //	    burst: 400
 //	    keys:
 //	      - id: "2026-11"
@@ -23,9 +23,8 @@
 //	remove:
 //	  routes: [archive]
 //
-// groups, routes and data_centres are written in the same way. Each object
-// stands there with its whole new state; objects that are not named stay as they
-// are.
+// groups, routes and data_centres have the same form. A ticket contains the
+// complete new state of each object that it names; other objects are unchanged.
 package ticketfile
 
 import (
@@ -44,9 +43,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// file is the form of a ticket. The digest is taken over its JSON, so the order
-// of the fields must not change.
-type file struct {
+// ticketDocument is the YAML encoding of a ticket. The digest is computed from its
+// JSON encoding, so the order of the fields must not change.
+type ticketDocument struct {
 	Ticket   uint64 `yaml:"ticket" json:"ticket"`
 	Operator string `yaml:"operator" json:"operator"`
 	Reason   string `yaml:"reason" json:"reason"`
@@ -70,35 +69,35 @@
 	}
 }
 
-// File is a ticket as read from a file.
+// File is a ticket read from a file, with the problems found in it.
 type File struct {
 	Name   string
 	Ticket *ticket.Ticket
 	doc    *yamldoc.Document
 }
 
-// Parse reads a ticket. It always returns a File; Problems and Err say what is
-// wrong with it. name appears in messages.
+// Parse decodes a ticket. It always returns a File, whose Problems and Err report
+// what is wrong with it. name is the file name in messages.
 func Parse(name string, data []byte) *File {
-	var raw file
-	doc := yamldoc.Decode(name, data, &raw)
+	var decoded ticketDocument
+	doc := yamldoc.Decode(name, data, &decoded)
 	t := &ticket.Ticket{
-		ID:          state.TicketID{Number: raw.Ticket},
-		Operator:    raw.Operator,
-		Reason:      raw.Reason,
-		Customers:   convert(raw.Customers, customer.toState, doc, ticket.Customers),
-		Groups:      convert(raw.Groups, group.toState, doc, ticket.Groups),
-		Routes:      convert(raw.Routes, route.toState, doc, ticket.Routes),
-		DataCentres: convert(raw.DataCentres, dataCentre.toState, doc, ticket.DataCentres),
-		Remove:      raw.Remove.toTicket(),
+		ID:          state.TicketID{Number: decoded.Ticket},
+		Operator:    decoded.Operator,
+		Reason:      decoded.Reason,
+		Customers:   convertFromFile(decoded.Customers, customer.toState, doc, ticket.Customers),
+		Groups:      convertFromFile(decoded.Groups, group.toState, doc, ticket.Groups),
+		Routes:      convertFromFile(decoded.Routes, route.toState, doc, ticket.Routes),
+		DataCentres: convertFromFile(decoded.DataCentres, dataCentre.toState, doc, ticket.DataCentres),
+		Remove:      decoded.Remove.toTicket(),
 	}
 	t.ID.Digest = digest(t)
 	return &File{Name: name, Ticket: t, doc: doc}
 }
 
-// convert turns one kind of objects into their form in package state. What
-// cannot be converted is recorded in the document.
-func convert[W, S any](objects map[string]W, toState func(W, string, failer) *S, doc *yamldoc.Document, kind ticket.Kind) map[string]*S {
+// convertFromFile converts objects of one kind from their YAML encoding. Values
+// that cannot be converted are recorded in the document.
+func convertFromFile[W, S any](objects map[string]W, toState func(W, string, reportFunc) *S, doc *yamldoc.Document, kind ticket.Kind) map[string]*S {
 	converted := make(map[string]*S, len(objects))
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
 		converted[name] = toState(objects[name], name, func(err error, path ...string) {
@@ -108,27 +107,27 @@
 	return converted
 }
 
-// digest identifies the content of a ticket. It does not depend on the layout
-// of the file or the order of its objects.
+// digest returns the SHA-256 hash of a ticket's content in hexadecimal. It does not
+// depend on the layout of the file or the order of its objects.
 func digest(t *ticket.Ticket) string {
 	data, err := json.Marshal(fromTicket(t))
 	if err != nil {
-		return "" // a rate of infinity, which validation refuses
+		return "" // JSON cannot encode an infinite rate or NaN; validation rejects both
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-func fromTicket(t *ticket.Ticket) file {
-	return file{
+func fromTicket(t *ticket.Ticket) ticketDocument {
+	return ticketDocument{
 		Ticket:   t.ID.Number,
 		Operator: t.Operator,
 		Reason:   t.Reason,
 		objects: objects{
-			Customers:   each(t.Customers, fromCustomer),
-			Groups:      each(t.Groups, fromGroup),
-			Routes:      each(t.Routes, fromRoute),
-			DataCentres: each(t.DataCentres, fromDataCentre),
+			Customers:   convertAll(t.Customers, fromCustomer),
+			Groups:      convertAll(t.Groups, fromGroup),
+			Routes:      convertAll(t.Routes, fromRoute),
+			DataCentres: convertAll(t.DataCentres, fromDataCentre),
 		},
 		Remove: removals{
 			Customers:   slices.Sorted(slices.Values(t.Remove[ticket.Customers])),
@@ -139,7 +138,8 @@
 	}
 }
 
-func each[S, W any](objects map[string]*S, from func(*S) W) map[string]W {
+// convertAll converts objects of one kind to their encoding.
+func convertAll[S, W any](objects map[string]*S, from func(*S) W) map[string]W {
 	converted := make(map[string]W, len(objects))
 	for name, o := range objects {
 		converted[name] = from(o)
@@ -147,33 +147,35 @@
 	return converted
 }
 
-// Format writes a ticket as a YAML file that Parse reads back.
+// Format encodes a ticket as a YAML file that Parse decodes to the same ticket.
 func Format(t *ticket.Ticket) ([]byte, error) {
 	var b bytes.Buffer
 	e := yaml.NewEncoder(&b)
-	e.SetIndent(indent)
+	e.SetIndent(indentSpaces)
 	if err := e.Encode(fromTicket(t)); err != nil {
 		return nil, eris.Wrap(err, "ticket cannot be written")
 	}
 	return b.Bytes(), nil
 }
 
-// indent is the number of spaces per level of a written ticket.
-const indent = 2
+// indentSpaces is the indentation per level in files written by Format.
+const indentSpaces = 2
 
-// Problems returns everything that is wrong with the file, by line. found is
-// the result of ticket.Check, or of ticket.CheckAlone if there is no
-// configuration to compare the ticket with.
+// Problems returns the problems of the file, ordered by line: those found while
+// decoding it and the given ones. found is the result of ticket.Check, or of
+// ticket.CheckAlone if there is no configuration to compare the ticket with.
 func (f *File) Problems(found []ticket.Problem) []yamldoc.Problem {
-	return f.with(found).Problems()
+	return f.withProblems(found).Problems()
 }
 
-// Err returns the errors among the problems as a *yamldoc.Errors, or nil.
+// Err returns the errors among the Problems as a *yamldoc.Errors. It returns nil if
+// there are none; warnings do not count.
 func (f *File) Err(found []ticket.Problem) error {
-	return f.with(found).Err()
+	return f.withProblems(found).Err()
 }
 
-func (f *File) with(found []ticket.Problem) *yamldoc.Document {
+// withProblems returns a copy of the document to which the problems are added.
+func (f *File) withProblems(found []ticket.Problem) *yamldoc.Document {
 	doc := f.doc.Clone()
 	for _, p := range found {
 		if p.Warning {
