--- a/protocol/pgwire/answer.go
+++ b/protocol/pgwire/answer.go
@@ -8,46 +8,48 @@
 	"github.com/chestnutdyke/chestnutdyke/coordination/session"
 )
 
-// failedTransaction is the SQLSTATE of statements in a transaction that has
-// failed. Statements cannot be prepared there; the request that follows gets
-// the same error.
-const failedTransaction = "25P02"
+// sqlstateInFailedTransaction is the SQLSTATE of statements in a failed transaction.
+// Preparing a statement there fails with it, and the request that follows gets the
+// same error.
+const sqlstateInFailedTransaction = "25P02"
 
-// maxPartBytes is the size at which a part of an answer is passed on.
+// maxPartBytes is the size at which a part of an answer is complete even if more
+// messages of its kind follow.
 const maxPartBytes = 32 << 10
 
-// Part is a run of encoded messages of one kind.
+// Part is a sequence of consecutive encoded messages of one kind.
 type Part struct {
 	Kind  session.PartKind
 	Bytes []byte
 }
 
 // Answer collects the messages of a backend server's answer to one request.
-// Messages that answer the proxy's own preparation are left out.
+// Answers to the messages that Connection.Prepare adds are dropped.
 type Answer struct {
-	skip     int // ReadyForQuery messages that belong to the preparation
-	part     Part
-	end      session.End
-	prepared int
-	done     int  // completed statements
-	tainted  bool // a part of the preparation was refused
+	pendingPreparations int // ReadyForQuery messages that belong to the preparation
+	part                Part
+	end                 session.End
+	prepared            int
+	completed           int  // completed statements
+	preparationRefused  bool // a part of the preparation was refused
 }
 
-// NewAnswer returns a collector for the answer to a request whose preparation
-// is answered by the given number of ReadyForQuery messages.
-func NewAnswer(preparations int) *Answer { return &Answer{skip: preparations} }
+// NewAnswer returns an Answer for a request that follows a preparation.
+// preparations is the number of ReadyForQuery messages that answer it, as in
+// Prepared.Preparations.
+func NewAnswer(preparations int) *Answer { return &Answer{pendingPreparations: preparations} }
 
-// Step is the effect of a message on an answer.
+// Step is the result of adding a message to an Answer.
 type Step struct {
-	Parts []Part // parts that are complete
-	Ended bool   // the answer has ended
-	Fault string // the connection cannot be used any more; empty if it can
+	Parts []Part // parts that the message completed
+	Ended bool   // the answer is complete
+	Fault string // why the connection must be closed; empty if it can be used
 }
 
-// Add takes the next message. more says that further messages are at hand, so
-// that parts can be gathered.
+// Add adds the next message. more reports that further messages have already been
+// received, so that the current part can wait for them.
 func (a *Answer) Add(msg pgproto3.BackendMessage, more bool) Step {
-	if a.skip > 0 {
+	if a.pendingPreparations > 0 {
 		return a.skipPreparation(msg)
 	}
 	var step Step
@@ -58,49 +60,53 @@
 		step.Ended = true
 	case *pgproto3.ErrorResponse:
 		a.end.ErrorCode = m.Code
-		a.add(&step, session.PartError, msg)
+		a.appendMessage(&step, session.PartError, msg)
 	case *pgproto3.CommandComplete:
-		a.done++
+		a.completed++
 		a.end.Committed = a.end.Committed || string(m.CommandTag) == "COMMIT"
-		a.end.RolledBack = a.done == 1 && string(m.CommandTag) == "ROLLBACK"
-		a.add(&step, session.PartCompletion, msg)
+		a.end.RolledBack = a.completed == 1 && string(m.CommandTag) == "ROLLBACK"
+		a.appendMessage(&step, session.PartCompletion, msg)
 	case *pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
-		a.add(&step, session.PartCompletion, msg)
+		a.appendMessage(&step, session.PartCompletion, msg)
 	case *pgproto3.ParseComplete:
 		a.prepared++
-		a.add(&step, session.PartLead, msg)
+		a.appendMessage(&step, session.PartLead, msg)
 	case *pgproto3.BindComplete, *pgproto3.ParameterDescription, *pgproto3.RowDescription, *pgproto3.NoData:
-		a.add(&step, session.PartLead, msg)
+		a.appendMessage(&step, session.PartLead, msg)
 	case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
 		step.Fault = "COPY is not supported"
 	case *pgproto3.ParameterStatus, *pgproto3.NotificationResponse:
-		// Settings of the pooled connection and notifications to it are not the client's.
+		// These concern the pooled connection, not the client's session.
 	default:
-		a.add(&step, session.PartData, msg)
+		a.appendMessage(&step, session.PartData, msg)
 	}
 	if step.Ended || !more || len(a.part.Bytes) >= maxPartBytes {
-		a.flush(&step)
+		a.flushPart(&step)
 	}
 	return step
 }
 
+// skipPreparation drops a message that answers the preparation. An error there is
+// a fault, except in a failed transaction.
 func (a *Answer) skipPreparation(msg pgproto3.BackendMessage) Step {
 	switch m := msg.(type) {
 	case *pgproto3.ErrorResponse:
-		if m.Code == failedTransaction {
-			a.tainted = true
+		if m.Code == sqlstateInFailedTransaction {
+			a.preparationRefused = true
 			return Step{}
 		}
 		return Step{Fault: fmt.Sprintf("preparation of the connection failed: %s (%s)", m.Message, m.Code)}
 	case *pgproto3.ReadyForQuery:
-		a.skip--
+		a.pendingPreparations--
 	}
 	return Step{}
 }
 
-func (a *Answer) add(step *Step, kind session.PartKind, msg pgproto3.BackendMessage) {
+// appendMessage appends a message to the current part. If the part is of another
+// kind, it is completed and a new one is started.
+func (a *Answer) appendMessage(step *Step, kind session.PartKind, msg pgproto3.BackendMessage) {
 	if a.part.Kind != kind {
-		a.flush(step)
+		a.flushPart(step)
 	}
 	a.part.Kind = kind
 	raw, err := msg.Encode(a.part.Bytes)
@@ -111,19 +117,20 @@
 	a.part.Bytes = raw
 }
 
-func (a *Answer) flush(step *Step) {
+// flushPart completes the current part.
+func (a *Answer) flushPart(step *Step) {
 	if len(a.part.Bytes) > 0 {
 		step.Parts = append(step.Parts, a.part)
 	}
 	a.part = Part{}
 }
 
-// End returns how the answer ended.
+// End returns the result of the answer. It is valid once Add has reported Ended.
 func (a *Answer) End() session.End { return a.end }
 
-// Prepared returns the number of Parse messages that succeeded.
+// Prepared returns the number of the request's Parse messages that succeeded.
 func (a *Answer) Prepared() int { return a.prepared }
 
-// Tainted reports whether a part of the preparation was refused, so that the
-// state of the connection is not known.
-func (a *Answer) Tainted() bool { return a.tainted }
+// Tainted reports whether the backend server refused a part of the preparation. The
+// settings and prepared statements of the connection are then unknown.
+func (a *Answer) Tainted() bool { return a.preparationRefused }
--- a/protocol/pgwire/batch.go
+++ b/protocol/pgwire/batch.go
@@ -1,5 +1,6 @@
-// Package pgwire translates between the PostgreSQL wire protocol (version 3)
-// and the requests and answers that decisions work with. It opens no socket.
+// Package pgwire translates between the PostgreSQL wire protocol (version 3) and
+// the requests and answers that package session decides on. It does no network
+// I/O.
 package pgwire
 
 import (
@@ -12,55 +13,58 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MaxBatchBytes is the largest request that is accepted, in bytes.
+// MaxBatchBytes is the size limit of a request. Larger ones are refused.
 const MaxBatchBytes = 16 << 20
 
 // Batch is one request of a client: a simple query, or the messages of the
 // extended protocol up to a Sync.
 type Batch struct {
 	Messages []pgproto3.FrontendMessage
-	// Unsynced says that the Sync of the refused batch is still to come, so that
-	// the refusal is not followed by a ReadyForQuery.
+	// Unsynced reports that the batch ends with a Flush, which is refused, and that
+	// its Sync follows later. The refusal is not followed by a ReadyForQuery.
 	Unsynced bool
-	// OnlySync says that the batch is a Sync and nothing else.
+	// OnlySync reports that the batch consists of a single Sync.
 	OnlySync bool
 
 	// The fields below are set by Statements.Analyse.
 
 	Class state.Class
-	// MayCommit says that the batch has several statements, of which one may end
+	// MayCommit reports that the batch has several statements, one of which may end
 	// a transaction.
 	MayCommit bool
-	// OnlyBegins says that the batch begins a transaction and otherwise at most
-	// ends one, so that outside of a transaction it does nothing else.
+	// OnlyBegins reports that the batch begins a transaction and does nothing else,
+	// except that it may end an earlier transaction first.
 	OnlyBegins bool
 	Hints      Hints
-	// Unsupported says why the batch must be refused; empty if it may run.
+	// Unsupported is the reason why the batch must be refused. It is empty if the
+	// batch may run.
 	Unsupported string
-	// Setting is set if the batch is a single SET, RESET or SHOW of a session
-	// setting.
+	// Setting is set if the only statement of the batch sets or resets a session
+	// setting, or if the batch is a simple query that shows one of the proxy's
+	// settings.
 	Setting *Setting
-	// Parsed are the statements that the batch prepares, in order.
+	// Parsed lists the statements that the batch prepares, in order.
 	Parsed []*pgproto3.Parse
-	// Used are the names of prepared statements that the batch refers to and
-	// does not itself prepare first.
+	// Used lists the names of prepared statements that the batch refers to without
+	// having prepared them first.
 	Used []string
-	// Closed are the names of prepared statements that the batch closes.
+	// Closed lists the names of prepared statements that the batch closes.
 	Closed []string
 }
 
-// Framer gathers the messages of one client into batches.
+// Framer groups the messages of one client into batches.
 type Framer struct {
-	batch    *Batch
-	size     int
-	skipping bool // the batch was refused; skip to its Sync
+	batch    *Batch // incomplete batch; nil if none
+	size     int    // encoded size of batch in bytes
+	skipping bool   // the batch was refused; discard messages up to its Sync
 }
 
-// Add takes a message, which must not be reused by the caller. It returns a
-// batch when the message completes one. It fails if the batch is too large.
+// Add adds a message, whose encoded size is given in bytes. The caller must not
+// reuse the message. Add returns the batch that the message completes, or nil. It
+// fails if the batch is larger than MaxBatchBytes.
 func (f *Framer) Add(msg pgproto3.FrontendMessage, size int) (*Batch, error) {
 	if f.skipping {
-		return f.skip(msg), nil
+		return f.skipToSync(msg), nil
 	}
 	if _, ok := msg.(*pgproto3.Query); ok {
 		return &Batch{Messages: []pgproto3.FrontendMessage{msg}}, nil
@@ -80,7 +84,7 @@
 		b.OnlySync = len(b.Messages) == 1
 		return b, nil
 	case *pgproto3.Flush:
-		// The client waits for an answer before it sends the Sync.
+		// The client waits for the answers to its messages before it sends the Sync.
 		b.Unsynced = true
 		f.batch, f.skipping = nil, true
 		return b, nil
@@ -88,7 +92,9 @@
 	return nil, nil
 }
 
-func (f *Framer) skip(msg pgproto3.FrontendMessage) *Batch {
+// skipToSync discards messages up to the Sync of a refused batch. It returns the
+// Sync as a batch of its own.
+func (f *Framer) skipToSync(msg pgproto3.FrontendMessage) *Batch {
 	if _, ok := msg.(*pgproto3.Sync); !ok {
 		return nil
 	}
@@ -99,7 +105,7 @@
 // Statements are the prepared statements of a session by name.
 type Statements map[string]*pgproto3.Parse
 
-// Prepared tells that the first n Parse messages of a batch succeeded.
+// Prepared records that the first n Parse messages of a batch succeeded.
 func (s Statements) Prepared(b *Batch, n int) {
 	for _, name := range b.Closed {
 		delete(s, name)
@@ -109,51 +115,53 @@
 	}
 }
 
-// Analyse finds out what a batch does, as far as its first keywords tell.
+// Analyse sets the fields of a batch that describe what it does. It looks only at
+// the first keywords of each statement.
 func (s Statements) Analyse(b *Batch) {
 	if q, ok := b.Messages[0].(*pgproto3.Query); ok {
-		analyseQuery(b, q.String)
+		analyseSimpleQuery(b, q.String)
 		return
 	}
 	a := analysis{batch: b, session: s, parsed: make(Statements)}
 	b.Class = state.ClassRead
 	for _, msg := range b.Messages {
-		a.add(msg)
+		a.addMessage(msg)
 	}
 }
 
-func analyseQuery(b *Batch, sql string) {
+func analyseSimpleQuery(b *Batch, sql string) {
 	st := classify(sql)
 	b.Class, b.Unsupported = st.class, st.unsupported
-	b.Hints = hintsIn(sql)
-	if severalStatements(sql) {
-		// What follows the first statement is not classified. It may commit, so
-		// even a batch that begins a transaction must not be repeated.
+	b.Hints = parseHints(sql)
+	if mayHaveSeveralStatements(sql) {
+		// Only the first statement is classified. The others may commit, so even a
+		// batch that begins a transaction must not be retried.
 		b.Class = state.ClassWrite
-		b.MayCommit = mentionsEnd(sql)
-		b.OnlyBegins = onlyBegins(sql)
+		b.MayCommit = mayEndTransaction(sql)
+		b.OnlyBegins = onlyBeginsTransaction(sql)
 		return
 	}
 	if st.class == state.ClassLocal {
 		b.Class = state.ClassWrite
-		b.Setting = settingOf(sql, st)
+		b.Setting = parseSetting(sql, st)
 		return
 	}
 	b.OnlyBegins = st.class == state.ClassBegin
-	b.Setting = showOf(sql)
+	b.Setting = parseShow(sql)
 }
 
-// severalStatements reports whether the text may hold more than one statement.
-// A semicolon in a literal counts too; that only costs the use of a replica.
-func severalStatements(sql string) bool {
+// mayHaveSeveralStatements reports whether the text may contain more than one
+// statement. It also counts semicolons in literals; such a read runs on the primary
+// instead of a replica, which is correct but slower.
+func mayHaveSeveralStatements(sql string) bool {
 	i := strings.IndexByte(sql, ';')
 	return i >= 0 && skipSpace(sql[i+1:]) != ""
 }
 
-// onlyBegins reports whether the statements of the text only end and begin
-// transactions, and the last one begins one. A semicolon in a literal or a
-// comment separates what is not such a statement.
-func onlyBegins(sql string) bool {
+// onlyBeginsTransaction reports whether all statements of the text begin or end
+// transactions and the last one begins one. A semicolon in a literal or a comment
+// also splits the text; pieces that are not such statements make the result false.
+func onlyBeginsTransaction(sql string) bool {
 	last := state.ClassRead
 	for _, statement := range strings.Split(strings.TrimSuffix(strings.TrimSpace(sql), ";"), ";") {
 		switch last = classify(statement).class; last {
@@ -165,10 +173,10 @@
 	return last == state.ClassBegin
 }
 
-// mentionsEnd reports whether the text may hold a statement that ends a
-// transaction. The words count in literals and names too; that only makes a
-// statement about a lost transaction less certain.
-func mentionsEnd(sql string) bool {
+// mayEndTransaction reports whether the text may contain a statement that ends a
+// transaction. It also counts the keywords in literals and identifiers; then a lost
+// transaction is reported with an unknown outcome instead of as rolled back.
+func mayEndTransaction(sql string) bool {
 	words := strings.FieldsFunc(strings.ToUpper(sql), func(r rune) bool {
 		return !unicode.IsLetter(r) && !unicode.IsDigit(r) && r != '_'
 	})
@@ -183,23 +191,23 @@
 
 // analysis is the state of Analyse for a batch of the extended protocol.
 type analysis struct {
-	batch   *Batch
-	session Statements
-	parsed  Statements // prepared by the batch itself
-	bound   int        // statements bound so far
+	batch      *Batch
+	session    Statements
+	parsed     Statements // prepared by the batch itself
+	boundCount int        // statements bound so far
 }
 
-func (a *analysis) add(msg pgproto3.FrontendMessage) {
+func (a *analysis) addMessage(msg pgproto3.FrontendMessage) {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
 		a.batch.Parsed = append(a.batch.Parsed, m)
 		a.parsed[m.Name] = m
-		a.refuse(classify(m.Query).unsupported)
+		a.markUnsupported(classify(m.Query).unsupported)
 	case *pgproto3.Bind:
-		a.bind(m)
+		a.addBind(m)
 	case *pgproto3.Describe:
 		if m.ObjectType == 'S' {
-			a.use(m.Name)
+			a.resolveStatement(m.Name)
 		}
 	case *pgproto3.Close:
 		if m.ObjectType == 'S' {
@@ -207,38 +215,38 @@
 		}
 	case *pgproto3.Execute, *pgproto3.Sync:
 	case *pgproto3.Flush:
-		a.refuse("Flush before Sync")
+		a.markUnsupported("Flush before Sync")
 	default:
-		a.refuse(fmt.Sprintf("message %T", msg))
+		a.markUnsupported(fmt.Sprintf("message %T", msg))
 	}
 }
 
-// bind adds the class of the bound statement to that of the batch.
-func (a *analysis) bind(m *pgproto3.Bind) {
-	p := a.use(m.PreparedStatement)
+// addBind combines the class of the bound statement with that of the batch.
+func (a *analysis) addBind(m *pgproto3.Bind) {
+	p := a.resolveStatement(m.PreparedStatement)
 	if p == nil {
 		return
 	}
 	b, st := a.batch, classify(p.Query)
-	a.bound++
+	a.boundCount++
 	if st.class == state.ClassLocal {
 		st.class = state.ClassWrite
-		b.Setting = settingOf(p.Query, st)
+		b.Setting = parseSetting(p.Query, st)
 	}
-	if a.bound == 1 {
+	if a.boundCount == 1 {
 		b.Class = st.class
 		b.OnlyBegins = st.class == state.ClassBegin
-		b.Hints = hintsIn(p.Query)
+		b.Hints = parseHints(p.Query)
 		return
 	}
 	b.Setting, b.Hints, b.OnlyBegins = nil, Hints{}, false
-	b.Class = combine(b.Class, st.class)
+	b.Class = combineClasses(b.Class, st.class)
 	b.MayCommit = b.Class == state.ClassEnd || b.Class == state.ClassRollback
 }
 
-// use returns the prepared statement of the given name and notes that the batch
-// needs it.
-func (a *analysis) use(name string) *pgproto3.Parse {
+// resolveStatement returns the prepared statement with the given name, or nil. If
+// the batch did not prepare it, the name is added to Used.
+func (a *analysis) resolveStatement(name string) *pgproto3.Parse {
 	if p := a.parsed[name]; p != nil {
 		return p
 	}
@@ -246,14 +254,16 @@
 	return a.session[name]
 }
 
-func (a *analysis) refuse(why string) {
+// markUnsupported marks the batch as unsupported. The first reason is kept; an empty
+// one has no effect.
+func (a *analysis) markUnsupported(reason string) {
 	if a.batch.Unsupported == "" {
-		a.batch.Unsupported = why
+		a.batch.Unsupported = reason
 	}
 }
 
-// combine returns the class of a batch with statements of both classes.
-func combine(a, b state.Class) state.Class {
+// combineClasses returns the class of a batch that has statements of both classes.
+func combineClasses(a, b state.Class) state.Class {
 	if a == b {
 		return a
 	}
@@ -262,7 +272,7 @@
 			continue
 		}
 		if c == state.ClassBeginRO {
-			return state.ClassBegin // it also does other things
+			return state.ClassBegin // the other statement may write
 		}
 		return c
 	}
--- a/protocol/pgwire/batch_test.go
+++ b/protocol/pgwire/batch_test.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Guards against a write that is routed as a read by its first words, and
-// against statements whose effect outlives their transaction on a pooled
-// connection.
+// Guards against routing a write as a read because of its first words, and against
+// accepting statements whose effect on a pooled connection outlives their
+// transaction.
 func TestAnalyseSimpleQuery(t *testing.T) {
 	tests := []struct {
 		sql         string
@@ -45,13 +45,13 @@
 			b := &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: tt.sql}}}
 			Statements{}.Analyse(b)
 			if b.Class != tt.class || (b.Unsupported != "") != tt.unsupported {
-				t.Errorf("class %d, unsupported %q", b.Class, b.Unsupported)
+				t.Errorf("got class %d, unsupported %q", b.Class, b.Unsupported)
 			}
 		})
 	}
 }
 
-// Guards against a batch that is routed by one of its statements only.
+// Guards against routing a batch by only one of its statements.
 func TestAnalyseExtendedBatch(t *testing.T) {
 	session := Statements{"read": {Name: "read", Query: "SELECT 1"}}
 	tests := []struct {
@@ -76,7 +76,7 @@
 			b := &Batch{Messages: tt.messages}
 			session.Analyse(b)
 			if b.Class != tt.class {
-				t.Errorf("class %d, want %d", b.Class, tt.class)
+				t.Errorf("got class %d, want %d", b.Class, tt.class)
 			}
 			if diff := cmp.Diff(tt.used, b.Used); diff != "" {
 				t.Error(diff)
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against a statement that is repeated with the settings of a session:
-// only a lone SET is remembered.
+// Guards against replaying other statements together with the settings of a session:
+// only a SET that is the single statement of its batch is replayed.
 func TestSettings(t *testing.T) {
 	tests := []struct {
 		sql  string
@@ -109,17 +109,18 @@
 	}
 }
 
+// Guards against ignored hints, and against hints found outside the leading comment.
 func TestHints(t *testing.T) {
-	got := hintsIn("/* chestnutdyke.max_staleness=500ms chestnutdyke.idempotent=on */ SELECT 1")
+	got := parseHints("/* chestnutdyke.max_staleness=500ms chestnutdyke.idempotent=on */ SELECT 1")
 	if diff := cmp.Diff(Hints{MaxStaleness: 500 * time.Millisecond, Idempotent: true}, got); diff != "" {
 		t.Error(diff)
 	}
-	if got := hintsIn("SELECT '/* chestnutdyke.idempotent=on */'"); got != (Hints{}) {
+	if got := parseHints("SELECT '/* chestnutdyke.idempotent=on */'"); got != (Hints{}) {
 		t.Errorf("hint found in a literal: %v", got)
 	}
 }
 
-// Guards against a crash on anything that a client may send as a statement.
+// Guards against a panic on arbitrary statements from a client.
 func FuzzAnalyse(f *testing.F) {
 	f.Add("SELECT 1; -- x")
 	f.Add("SET chestnutdyke.session = 'a''b'")
@@ -133,8 +134,8 @@
 	})
 }
 
-// Guards against a batch that may commit and is taken for one that cannot: it
-// would be repeated, or reported as rolled back, after it took effect.
+// Guards against treating a batch that may commit as one that cannot: it would be
+// retried, or reported as rolled back, after it took effect.
 func TestMayCommit(t *testing.T) {
 	query := func(sql string) *Batch {
 		return &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: sql}}}
@@ -167,7 +168,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			Statements{}.Analyse(tt.batch)
 			if tt.batch.Class != tt.class || tt.batch.MayCommit != tt.mayCommit {
-				t.Errorf("class %d, may commit %v; want %d, %v", tt.batch.Class, tt.batch.MayCommit, tt.class, tt.mayCommit)
+				t.Errorf("got class %d, may commit %v; want %d, %v", tt.batch.Class, tt.batch.MayCommit, tt.class, tt.mayCommit)
 			}
 		})
 	}
--- a/protocol/pgwire/classify.go
+++ b/protocol/pgwire/classify.go
@@ -7,17 +7,17 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// statement is what the first keywords of a statement tell.
-type statement struct {
+// classification describes a statement as far as its first keywords show.
+type classification struct {
 	class       state.Class
 	unsupported string // why the statement cannot run under transaction pooling
-	setting     string // name in a SET or RESET statement outside of the proxy's own settings
+	setting     string // lower-case name of the setting in SET or RESET; set only with ClassLocal
 }
 
-// classify looks at the first keywords only. A wrong guess is harmless: what is
-// taken for a read runs in read-only mode and is refused before it runs if it
-// writes.
-func classify(sql string) statement {
+// classify classifies a statement by its first keywords only. Classifying a write as
+// a read is harmless: reads run in read-only mode, where the backend server refuses
+// a write before running it.
+func classify(sql string) classification {
 	words := firstWords(sql, 4)
 	word := func(i int) string {
 		if i < len(words) {
@@ -27,34 +27,35 @@
 	}
 	switch word(0) {
 	case "", "SELECT", "VALUES", "TABLE", "SHOW", "WITH":
-		return statement{class: state.ClassRead}
+		return classification{class: state.ClassRead}
 	case "BEGIN":
-		return statement{class: beginClass(sql)}
+		return classification{class: classifyBegin(sql)}
 	case "START":
-		return statement{class: beginClass(sql)}
+		return classification{class: classifyBegin(sql)}
 	case "COMMIT", "END":
-		return statement{class: state.ClassEnd, unsupported: preparedTransaction(word(1))}
+		return classification{class: state.ClassEnd, unsupported: unsupportedTwoPhase(word(1))}
 	case "ROLLBACK", "ABORT":
-		return rollback(words)
+		return classifyRollback(words)
 	case "SET":
-		return set(words)
+		return classifySet(words)
 	case "RESET":
-		return statement{class: state.ClassLocal, setting: strings.ToLower(word(1))}
+		return classification{class: state.ClassLocal, setting: strings.ToLower(word(1))}
 	case "LISTEN", "UNLISTEN", "COPY", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD":
-		return statement{class: state.ClassWrite, unsupported: word(0)}
+		return classification{class: state.ClassWrite, unsupported: word(0)}
 	case "CREATE":
-		if temporary(word(1)) || temporary(word(2)) {
-			return statement{class: state.ClassWrite, unsupported: "temporary objects"}
+		if isTemporary(word(1)) || isTemporary(word(2)) {
+			return classification{class: state.ClassWrite, unsupported: "temporary objects"}
 		}
 	case "DECLARE":
 		if strings.Contains(strings.ToUpper(sql), "WITH HOLD") {
-			return statement{class: state.ClassWrite, unsupported: "DECLARE ... WITH HOLD"}
+			return classification{class: state.ClassWrite, unsupported: "DECLARE ... WITH HOLD"}
 		}
 	}
-	return statement{class: state.ClassWrite}
+	return classification{class: state.ClassWrite}
 }
 
-func beginClass(sql string) state.Class {
+// classifyBegin distinguishes read-only transactions from others.
+func classifyBegin(sql string) state.Class {
 	words := firstWords(sql, 16)
 	for i := 0; i+1 < len(words); i++ {
 		if words[i] == "READ" && words[i+1] == "ONLY" {
@@ -64,32 +65,37 @@
 	return state.ClassBegin
 }
 
-func preparedTransaction(word string) string {
+// unsupportedTwoPhase returns the reason to refuse COMMIT PREPARED, given the word
+// after COMMIT. It is empty for other words.
+func unsupportedTwoPhase(word string) string {
 	if word == "PREPARED" {
 		return "prepared transactions"
 	}
 	return ""
 }
 
-func rollback(words []string) statement {
+// classifyRollback distinguishes ROLLBACK from ROLLBACK TO and ROLLBACK PREPARED.
+func classifyRollback(words []string) classification {
 	for _, w := range words[1:] {
 		switch w {
 		case "TO":
-			return statement{class: state.ClassWrite} // a savepoint; the transaction goes on
+			return classification{class: state.ClassWrite} // ROLLBACK TO a savepoint does not end the transaction
 		case "PREPARED":
-			return statement{class: state.ClassWrite, unsupported: "prepared transactions"}
+			return classification{class: state.ClassWrite, unsupported: "prepared transactions"}
 		}
 	}
-	return statement{class: state.ClassRollback}
+	return classification{class: state.ClassRollback}
 }
 
-func set(words []string) statement {
+// classifySet distinguishes SET of a session setting from SET with the scope of a
+// transaction.
+func classifySet(words []string) classification {
 	if len(words) < 2 {
-		return statement{class: state.ClassWrite}
+		return classification{class: state.ClassWrite}
 	}
 	switch words[1] {
 	case "LOCAL", "TRANSACTION", "CONSTRAINTS":
-		return statement{class: state.ClassWrite}
+		return classification{class: state.ClassWrite}
 	}
 	name := words[1]
 	if name == "SESSION" && len(words) > 2 {
@@ -97,17 +103,18 @@
 	}
 	switch name {
 	case "CHARACTERISTICS", "DEFAULT_TRANSACTION_READ_ONLY", "TRANSACTION_READ_ONLY":
-		// The proxy itself sets the access mode of its connections.
-		return statement{class: state.ClassWrite, unsupported: "a session-wide access mode (use BEGIN READ ONLY)"}
+		// The proxy sets the access mode of pooled connections itself.
+		return classification{class: state.ClassWrite, unsupported: "a session-wide access mode (use BEGIN READ ONLY)"}
 	}
-	return statement{class: state.ClassLocal, setting: strings.ToLower(name)}
+	return classification{class: state.ClassLocal, setting: strings.ToLower(name)}
 }
 
-func temporary(word string) bool { return word == "TEMP" || word == "TEMPORARY" }
+func isTemporary(word string) bool { return word == "TEMP" || word == "TEMPORARY" }
 
-// firstWords returns the first n words in upper case. Comments in front of and
-// between them are skipped. A word ends at white space or punctuation other
-// than a dot or an underscore.
+// firstWords returns up to n words from the start of the text, in upper case.
+// Comments before and between them are skipped. A word consists of letters, digits,
+// dots and underscores. Opening parentheses and commas are skipped; other
+// punctuation ends the search.
 func firstWords(sql string, n int) []string {
 	var words []string
 	for len(words) < n {
@@ -131,6 +138,7 @@
 	return words
 }
 
+// skipSpace removes leading white space and comments.
 func skipSpace(sql string) string {
 	for {
 		sql = strings.TrimLeftFunc(sql, unicode.IsSpace)
@@ -153,7 +161,8 @@
 	}
 }
 
-// skipBlockComment skips one block comment; they nest.
+// skipBlockComment removes one leading block comment, which may contain nested ones.
+// An unterminated comment extends to the end of the text.
 func skipBlockComment(sql string) string {
 	depth := 0
 	for i := 0; i+1 < len(sql); i++ {
--- a/protocol/pgwire/copy.go
+++ b/protocol/pgwire/copy.go
@@ -7,28 +7,29 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// headerBytes is the length of a message's type and size.
-const headerBytes = 5
+// messageHeaderBytes is the length of a message's type byte and length field.
+const messageHeaderBytes = 5
 
-// Copy returns a copy of a message that shares no memory with it, and its
-// encoded size in bytes. The library reuses the memory of a message when the
-// next one is received.
+// Copy returns a copy of a message that shares no memory with it, and its encoded
+// size in bytes. A received message must be copied to be kept: pgproto3 reuses its
+// memory for the next message.
 func Copy(msg pgproto3.FrontendMessage) (pgproto3.FrontendMessage, int, error) {
 	raw, err := msg.Encode(nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	fresh, err := empty(msg)
+	duplicate, err := newMessageLike(msg)
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := fresh.Decode(raw[headerBytes:]); err != nil {
+	if err := duplicate.Decode(raw[messageHeaderBytes:]); err != nil {
 		return nil, 0, err
 	}
-	return fresh, len(raw), nil
+	return duplicate, len(raw), nil
 }
 
-func empty(msg pgproto3.FrontendMessage) (pgproto3.FrontendMessage, error) {
+// newMessageLike returns an empty message of the same type.
+func newMessageLike(msg pgproto3.FrontendMessage) (pgproto3.FrontendMessage, error) {
 	switch msg.(type) {
 	case *pgproto3.Query:
 		return &pgproto3.Query{}, nil
@@ -58,8 +59,8 @@
 	return nil, fmt.Errorf("unexpected message %T", msg)
 }
 
-// CancelSecret returns the number in a cancel key. Keys of other lengths were
-// not issued by the proxy and match no session.
+// CancelSecret returns the number in a cancel key. It returns 0, which matches no
+// session, for keys of other lengths, because the proxy did not issue them.
 func CancelSecret(key []byte) uint32 {
 	if len(key) != 4 {
 		return 0
@@ -67,5 +68,5 @@
 	return binary.BigEndian.Uint32(key)
 }
 
-// CancelKey returns the cancel key for a number.
+// CancelKey returns the cancel key for a number, which CancelSecret decodes.
 func CancelKey(secret uint32) []byte { return binary.BigEndian.AppendUint32(nil, secret) }
--- a/protocol/pgwire/hints.go
+++ b/protocol/pgwire/hints.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hints are settings for one statement, given in a comment at its beginning:
+// Hints are settings for one statement, given in a comment at its start:
 //
 //	/* chestnutdyke.max_staleness=500ms chestnutdyke.idempotent=on */ SELECT ...
 type Hints struct {
@@ -13,9 +13,9 @@
 	Idempotent   bool
 }
 
-// hintsIn returns the hints of a statement. Unknown and malformed ones are left
-// out, because a comment may hold anything.
-func hintsIn(sql string) Hints {
+// parseHints returns the hints of a statement. Unknown and malformed hints are
+// ignored, because a comment may contain any text.
+func parseHints(sql string) Hints {
 	var h Hints
 	rest, found := strings.CutPrefix(strings.TrimSpace(sql), "/*")
 	if !found {
--- a/protocol/pgwire/local.go
+++ b/protocol/pgwire/local.go
@@ -2,11 +2,11 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// textOID is the type of the values that SHOW returns.
+// textOID is the OID of the type text, which SHOW returns.
 const textOID = 25
 
-// ShowAnswer is the answer to SHOW of one of the proxy's settings, without the
-// ReadyForQuery.
+// ShowAnswer returns the answer to a simple query that shows one of the proxy's
+// settings, without the ReadyForQuery.
 func ShowAnswer(name, value string) []pgproto3.BackendMessage {
 	return []pgproto3.BackendMessage{
 		&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
@@ -20,7 +20,7 @@
 	}
 }
 
-// SetAnswer is the answer to a batch that sets or resets one of the proxy's
+// SetAnswer returns the answer to a batch that sets or resets one of the proxy's
 // settings, without the ReadyForQuery.
 func SetAnswer(b *Batch) []pgproto3.BackendMessage {
 	var answer []pgproto3.BackendMessage
--- a/protocol/pgwire/prepare.go
+++ b/protocol/pgwire/prepare.go
@@ -6,55 +6,55 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Connection is what is known of the state of a backend connection: whose
-// settings and prepared statements it holds.
+// Connection tracks the state of a backend connection: its settings, its prepared
+// statements, and the session that they belong to.
 type Connection struct {
-	owner     uint64 // session; zero if fresh
-	variables []state.Variable
-	readOnly  bool
-	modeKnown bool
-	prepared  Statements
+	owner           uint64 // session ID; zero if the connection is new or its state is unknown
+	variables       []state.Variable
+	readOnly        bool
+	accessModeKnown bool
+	prepared        Statements
 }
 
-// Prepared is a request that is ready to be sent: the proxy's own preparation
-// of the connection, then the request. Both are sent together.
+// Prepared is an encoded request, preceded by the messages that prepare the
+// connection for it. Both are sent together.
 type Prepared struct {
 	Bytes        []byte
 	Preparations int // ReadyForQuery messages that answer the preparation
 }
 
-// Preparation says what a connection must hold before a batch runs on it.
+// Preparation is the connection state that a batch requires.
 type Preparation struct {
-	Owner         uint64 // session
+	Owner         uint64 // session ID
 	Variables     []state.Variable
 	ReadOnly      bool
-	InTransaction bool   // the batch runs in a transaction that is open on the connection
-	Opening       *Batch // begins the transaction that the batch runs in; may be nil
-	Lookup        func(name string) *pgproto3.Parse
+	InTransaction bool                              // the connection has an open transaction, in which the batch runs
+	Opening       *Batch                            // begins the transaction that the batch runs in; may be nil
+	Lookup        func(name string) *pgproto3.Parse // returns a prepared statement of the session, or nil
 }
 
-// Prepare encodes a batch for the connection. If the connection was used by
-// another session, everything which that session left behind is discarded
-// first. Inside a transaction nothing is prepared but statements.
+// Prepare encodes a batch for the connection. If another session used the
+// connection before, its settings and prepared statements are discarded first. In an
+// open transaction only statements are prepared.
 func (c *Connection) Prepare(want Preparation, b *Batch) Prepared {
 	var p Prepared
 	if !want.InTransaction {
-		p.discardOthers(c, want.Owner)
+		p.discardOtherSession(c, want.Owner)
 		p.applySettings(c, want.Variables, want.ReadOnly)
 	}
 	if want.Opening != nil {
-		p.batch(c, want.Opening, want.Lookup)
+		p.addBatch(c, want.Opening, want.Lookup)
 		p.Preparations++
 	}
-	p.batch(c, b, want.Lookup)
+	p.addBatch(c, b, want.Lookup)
 	return p
 }
 
-// batch adds a batch and the statements that it uses.
-func (p *Prepared) batch(c *Connection, b *Batch, lookup func(string) *pgproto3.Parse) {
+// addBatch appends a batch, preceded by the statements that it uses.
+func (p *Prepared) addBatch(c *Connection, b *Batch, lookup func(string) *pgproto3.Parse) {
 	p.prepareStatements(c, b, lookup)
 	for _, m := range b.Messages {
-		p.add(m)
+		p.addMessage(m)
 	}
 	for _, s := range b.Parsed {
 		c.prepared[s.Name] = s
@@ -64,19 +64,18 @@
 	}
 }
 
-// Changed tells that settings or statements of the connection are not known, so
-// that everything must be discarded before the next request outside of a
-// transaction.
+// Changed records that the settings and prepared statements of the connection are
+// unknown. The next request outside a transaction discards them first.
 func (c *Connection) Changed() { c.owner = 0 }
 
-// SettingChanged tells that the owner changed a setting, after which its
-// settings are vars.
+// SettingChanged records that the owning session changed a setting. vars are all its
+// settings after the change.
 func (c *Connection) SettingChanged(vars []state.Variable) {
 	c.variables = vars
-	c.modeKnown = false
+	c.accessModeKnown = false
 }
 
-// Failed tells that the batch's Parse messages after the first n failed.
+// Failed records that only the first n Parse messages of the batch succeeded.
 func (c *Connection) Failed(b *Batch, n int) {
 	for i, s := range b.Parsed {
 		if i >= n {
@@ -85,45 +84,49 @@
 	}
 }
 
-func (p *Prepared) discardOthers(c *Connection, owner uint64) {
+// discardOtherSession resets the connection if it belongs to another session or its
+// state is unknown.
+func (p *Prepared) discardOtherSession(c *Connection, owner uint64) {
 	if c.prepared == nil {
 		c.prepared = make(Statements)
-		c.owner = owner // a fresh connection has nothing to discard
+		c.owner = owner // a new connection has nothing to discard
 	}
 	if c.owner == owner {
 		return
 	}
-	p.query("DISCARD ALL")
+	p.addQuery("DISCARD ALL")
 	c.owner = owner
 	c.variables = nil
-	c.modeKnown = false
+	c.accessModeKnown = false
 	clear(c.prepared)
 }
 
+// applySettings sets the settings of the session and the access mode where they
+// differ from those of the connection.
 func (p *Prepared) applySettings(c *Connection, vars []state.Variable, readOnly bool) {
 	if !equalVariables(c.variables, vars) {
 		if len(c.variables) > 0 {
-			p.query("RESET ALL")
-			c.modeKnown = false
+			p.addQuery("RESET ALL")
+			c.accessModeKnown = false
 		}
 		for _, v := range vars {
-			p.query(v.Statement)
+			p.addQuery(v.Statement)
 		}
 		c.variables = vars
 	}
-	if c.modeKnown && c.readOnly == readOnly {
+	if c.accessModeKnown && c.readOnly == readOnly {
 		return
 	}
 	mode := "off"
 	if readOnly {
 		mode = "on"
 	}
-	p.query("SET default_transaction_read_only = " + mode)
-	c.readOnly, c.modeKnown = readOnly, true
+	p.addQuery("SET default_transaction_read_only = " + mode)
+	c.readOnly, c.accessModeKnown = readOnly, true
 }
 
-// prepareStatements makes the connection hold the statements that the batch
-// uses, and makes room for those that it prepares.
+// prepareStatements prepares the statements that the batch uses and the connection
+// lacks. It closes statements on the connection whose names the batch prepares.
 func (p *Prepared) prepareStatements(c *Connection, b *Batch, lookup func(string) *pgproto3.Parse) {
 	before := p.Bytes
 	for _, name := range b.Used {
@@ -132,29 +135,30 @@
 			continue
 		}
 		if c.prepared[name] != nil {
-			p.add(&pgproto3.Close{ObjectType: 'S', Name: name})
+			p.addMessage(&pgproto3.Close{ObjectType: 'S', Name: name})
 		}
-		p.add(want)
+		p.addMessage(want)
 		c.prepared[name] = want
 	}
 	for _, s := range b.Parsed {
 		if s.Name != "" && c.prepared[s.Name] != nil {
-			p.add(&pgproto3.Close{ObjectType: 'S', Name: s.Name})
+			p.addMessage(&pgproto3.Close{ObjectType: 'S', Name: s.Name})
 			delete(c.prepared, s.Name)
 		}
 	}
 	if len(p.Bytes) > len(before) {
-		p.add(&pgproto3.Sync{})
+		p.addMessage(&pgproto3.Sync{})
 		p.Preparations++
 	}
 }
 
-func (p *Prepared) query(sql string) {
-	p.add(&pgproto3.Query{String: sql})
+// addQuery appends a simple query to the preparation.
+func (p *Prepared) addQuery(sql string) {
+	p.addMessage(&pgproto3.Query{String: sql})
 	p.Preparations++
 }
 
-func (p *Prepared) add(m pgproto3.FrontendMessage) {
+func (p *Prepared) addMessage(m pgproto3.FrontendMessage) {
 	raw, err := m.Encode(p.Bytes)
 	if err != nil {
 		panic("message that was decoded cannot be encoded: " + err.Error())
--- a/protocol/pgwire/refusal.go
+++ b/protocol/pgwire/refusal.go
@@ -8,7 +8,7 @@
 	"github.com/chestnutdyke/chestnutdyke/coordination/session"
 )
 
-// refusal is the text for a reason.
+// refusal is the error that a client gets for a reason.
 type refusal struct {
 	code    string // SQLSTATE
 	message string
@@ -39,11 +39,13 @@
 	session.ParameterInvalid:  {"22023", "the setting's value is not valid", ""},
 }
 
-// unknownCode is the SQLSTATE of requests whose outcome is unknown.
-const unknownCode = "08007"
+// sqlstateOutcomeUnknown is the SQLSTATE (transaction_resolution_unknown) of requests
+// that may or may not have taken effect.
+const sqlstateOutcomeUnknown = "08007"
 
-// Refuse returns the error that tells a client of an outcome other than
-// Answered. A fatal error ends the connection.
+// Refuse returns the error for an outcome other than Answered. fatal marks an error
+// after which the client connection is closed. Refuse panics if the reason has no
+// entry in refusals.
 func Refuse(out session.Outcome, fatal bool) *pgproto3.ErrorResponse {
 	r, ok := refusals[out.Reason]
 	if !ok {
@@ -68,7 +70,7 @@
 	case out.Reason == session.TransactionLost:
 		e.Detail = "The transaction was rolled back."
 	default:
-		e.Code = unknownCode
+		e.Code = sqlstateOutcomeUnknown
 		e.Detail = "The outcome of the request is unknown."
 	}
 	if out.Reason == session.RateExceeded && out.RetryAfter > 0 {
--- a/protocol/pgwire/setting.go
+++ b/protocol/pgwire/setting.go
@@ -9,14 +9,14 @@
 // Prefix is the prefix of the proxy's own session settings.
 const Prefix = "chestnutdyke."
 
-// Own session settings.
+// The proxy's own session settings.
 const (
 	SettingSession      = Prefix + "session"       // session token
-	SettingMaxStaleness = Prefix + "max_staleness" // greatest age of data that reads accept, such as 500ms
-	SettingIdempotent   = Prefix + "idempotent"    // on: requests may be repeated
+	SettingMaxStaleness = Prefix + "max_staleness" // maximum staleness that reads accept, such as 500ms
+	SettingIdempotent   = Prefix + "idempotent"    // on: requests may be retried
 )
 
-// SettingVerb says what a statement does with a setting.
+// SettingVerb is the operation of a statement on a setting.
 type SettingVerb int
 
 // Verbs.
@@ -26,31 +26,33 @@
 	ShowVerb
 )
 
-// Setting is a statement about a session setting.
+// Setting is a SET, RESET or SHOW statement of a session setting.
 type Setting struct {
 	Verb      SettingVerb
-	Name      string // lower case
-	Value     string // with SetVerb, of the proxy's own settings only
-	Statement string
+	Name      string // lower case; "all" in RESET ALL
+	Value     string // only with SetVerb and one of the proxy's own settings
+	Statement string // the text of the statement
 }
 
-// Own reports whether the setting is one of the proxy's.
+// Own reports whether the setting is one of the proxy's own.
 func (s *Setting) Own() bool { return strings.HasPrefix(s.Name, Prefix) }
 
-func settingOf(sql string, st statement) *Setting {
+// parseSetting returns the setting that a SET or RESET statement changes.
+func parseSetting(sql string, st classification) *Setting {
 	s := &Setting{Name: st.setting, Statement: sql}
 	if firstWords(sql, 1)[0] == "RESET" {
 		s.Verb = ResetVerb
 		return s
 	}
 	if s.Own() {
-		s.Value = settingValue(sql)
+		s.Value = parseSettingValue(sql)
 	}
 	return s
 }
 
-// showOf returns the setting if the statement shows one of the proxy's own.
-func showOf(sql string) *Setting {
+// parseShow returns the setting if the statement shows one of the proxy's own
+// settings, and nil otherwise.
+func parseShow(sql string) *Setting {
 	words := firstWords(sql, 2)
 	if len(words) != 2 || words[0] != "SHOW" {
 		return nil
@@ -62,9 +64,9 @@
 	return s
 }
 
-// settingValue returns the value in SET name = 'value' or SET name TO value.
-func settingValue(sql string) string {
-	rest := afterPrefix(sql)
+// parseSettingValue returns the value in SET name = 'value' or SET name TO value.
+func parseSettingValue(sql string) string {
+	rest := textAfterPrefix(sql)
 	rest = strings.TrimLeft(rest, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_")
 	rest = strings.TrimSpace(rest)
 	rest = strings.TrimPrefix(rest, "=")
@@ -78,9 +80,10 @@
 	return rest
 }
 
-// afterPrefix returns the text after the first occurrence of Prefix in any case.
-// Changing the case of the whole text could change its length.
-func afterPrefix(sql string) string {
+// textAfterPrefix returns the text after the first occurrence of Prefix, ignoring
+// case. It does not convert the whole text to one case, because that could change
+// its length.
+func textAfterPrefix(sql string) string {
 	for i := 0; i+len(Prefix) <= len(sql); i++ {
 		if strings.EqualFold(sql[i:i+len(Prefix)], Prefix) {
 			return sql[i+len(Prefix):]
@@ -89,11 +92,13 @@
 	return ""
 }
 
-// MaxVariables bounds the session settings that are remembered for replay.
-const MaxVariables = 16
+// MaxReplayedSettings is the maximum number of settings per session that are replayed
+// on backend connections.
+const MaxReplayedSettings = 16
 
-// Remember returns the settings to replay after the given statement succeeded.
-// It reports false if there would be too many.
+// Remember returns the settings to replay on backend connections after the statement
+// s has succeeded. It returns vars and false if there would be more than
+// MaxReplayedSettings.
 func Remember(vars []state.Variable, s *Setting) ([]state.Variable, bool) {
 	kept := make([]state.Variable, 0, len(vars)+1)
 	for _, v := range vars {
@@ -104,7 +109,7 @@
 	if s.Verb == ResetVerb {
 		return kept, true
 	}
-	if len(kept) >= MaxVariables {
+	if len(kept) >= MaxReplayedSettings {
 		return vars, false
 	}
 	return append(kept, state.Variable{Name: s.Name, Statement: s.Statement}), true
