--- a/protocol/groupapi/groupapi.go
+++ b/protocol/groupapi/groupapi.go
@@ -13,7 +13,7 @@
 	PathStatus     = "/v1/status"     // report the status
 	PathAdopt      = "/v1/adopt"      // promise to refuse terms below Term; refused unless Term is above the adopted one
 	PathPromote    = "/v1/promote"    // become primary of Term; refused unless Term is the adopted one
-	PathFollow     = "/v1/follow"     // replicate from Server, the primary of Term, and truncate the log where it diverges; refused if Term is below the adopted one
+	PathFollow     = "/v1/follow"     // replicate from Server, the primary of Term, and truncate the log tail that Server lacks; refused if Term is below the adopted one
 	PathSwitchover = "/v1/switchover" // primary of Term: refuse writes, and respond once Server holds the whole log
 	PathResume     = "/v1/resume"     // primary of Term: accept writes again after an abandoned switchover
 )
