--- a/protocol/settings/settings.go
+++ b/protocol/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings reads the settings of one VM from a YAML file. They hold only
-// what differs per VM or is needed to join the fleet: its name, the addresses it
-// listens on, credentials and limits. Configuration that all VMs share is in
-// tickets.
+// Package settings reads the settings of one VM from a YAML file: its name and
+// addresses, how it reaches other VMs, the store and backend servers, and its
+// limits, log and traces. Configuration that all VMs share is in tickets instead.
 package settings
 
 import (
