--- a/protocol/pgwire/prepare.go
+++ b/protocol/pgwire/prepare.go
@@ -161,7 +161,7 @@
 func (p *Prepared) addMessage(m pgproto3.FrontendMessage) {
 	raw, err := m.Encode(p.Bytes)
 	if err != nil {
-		panic("message that was decoded cannot be encoded: " + err.Error())
+		panic("decoded message cannot be encoded: " + err.Error())
 	}
 	p.Bytes = raw
 }
