--- a/protocol/ticketfile/size_test.go
+++ b/protocol/ticketfile/size_test.go
@@ -78,13 +78,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var zipped bytes.Buffer
-	z := gzip.NewWriter(&zipped)
-	if _, err := z.Write(config); err != nil {
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
+	if _, err := w.Write(config); err != nil {
 		t.Fatal(err)
 	}
-	if err := z.Close(); err != nil {
+	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("object %d bytes of %d, configuration %d bytes, with gzip %d bytes", len(object), storeapi.MaxValue, len(config), zipped.Len())
+	t.Logf("object %d bytes of %d, configuration %d bytes, with gzip %d bytes", len(object), storeapi.MaxValue, len(config), compressed.Len())
 }
