--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory keeps a VM's view of the deployment up to date: from the
-// store, and from other VMs while the store does not answer this one.
+// Package directory keeps a VM's view of the deployment up to date. It reads
+// the store, and other VMs while this VM gets no answer from the store.
 package directory
 
 import (
@@ -22,50 +22,53 @@
 )
 
 const (
-	// watchWait is how long a watch may wait. The store may forget a watch
-	// without an answer; that is noticed watchSlack later, inside the 3 s in
-	// which a configuration must be in force.
+	// watchWait is how long the store may hold a watch open. The store may drop
+	// a watch without an answer, which is detected watchMargin later, within
+	// the 3 s in which a configuration must take effect.
 	watchWait   = 1500 * time.Millisecond
-	watchSlack  = 500 * time.Millisecond
+	watchMargin = 500 * time.Millisecond
 	listTimeout = time.Second
 	minBackoff  = 100 * time.Millisecond
 	maxBackoff  = time.Second
-	// lapseGrace is how long a server is used after its registration went
-	// away. Registrations that lapsed during an outage of the store come back
-	// within about 2 s of its return.
+	// lapseGrace is how long a server is used after its registration
+	// disappeared. Registrations that expire during an outage of the store are
+	// renewed within about 2 s of its recovery.
 	lapseGrace = 2500 * time.Millisecond
-	// peerCheck is how often this VM looks whether others know more, besides
-	// each time that one of them says so.
-	peerCheck = 250 * time.Millisecond
-	// askTimeout bounds the wait for another VM's documents.
-	askTimeout = time.Second
-	// relayTimeout is how long a VM leaves it to its data centre's relay to
-	// fetch what other data centres know.
+	// peerCheckInterval is how often this VM compares its revisions with those
+	// of other VMs. It also does so whenever a VM reports its revisions.
+	peerCheckInterval = 250 * time.Millisecond
+	// peerRequestTimeout limits the wait for documents from another VM.
+	peerRequestTimeout = time.Second
+	// relayTimeout is how long a VM waits for its data centre's relay to fetch
+	// updates from other data centres before it fetches them itself.
 	relayTimeout = 500 * time.Millisecond
-	// meetTime is how long a new VM's links take to come up, after which it knows
-	// whether others watch the store for it.
-	meetTime = 300 * time.Millisecond
-	// learnTimeout is how long a new VM leaves it to others to tell it what the
-	// store holds. It is asked for by the hundreds when a fleet starts, and each
-	// call is paid for.
-	learnTimeout = time.Second
-	// watchCheck is how often a VM that does not watch looks whether it should.
-	watchCheck = 250 * time.Millisecond
-	// recheckInterval is how often a VM that does not watch, and whose last call
-	// the store did not answer, asks it again: it may be one of those that the
-	// store serves while it refuses the watchers.
-	recheckInterval = 5 * time.Second
-	learnCheck      = 50 * time.Millisecond
-	// membersInterval is how often the list of members is read. VMs meet by
-	// their links too, so the list heals what links miss.
+	// linkSetupTime is how long a new VM waits for its links to be established.
+	// It then knows whether other VMs watch the store.
+	linkSetupTime = 300 * time.Millisecond
+	// initialSyncTimeout is how long a new VM waits for other VMs to send it
+	// the contents of the store. When a fleet starts, hundreds of VMs need
+	// them, and each call to the store is billed.
+	initialSyncTimeout = time.Second
+	// watchCheckInterval is how often a VM that does not watch the store checks
+	// whether it should.
+	watchCheckInterval = 250 * time.Millisecond
+	// recheckInterval is how often a VM that does not watch calls the store
+	// again after a failed call. During an outage the store may refuse the
+	// watching VMs and still answer this one.
+	recheckInterval          = 5 * time.Second
+	initialSyncCheckInterval = 50 * time.Millisecond
+	// membersInterval is how often the list of members is read. VMs also learn
+	// of each other over their links; the list covers VMs that the links
+	// missed.
 	membersInterval = 8 * time.Second
-	// retireAfter is how long a VM may be missing before it leaves the list.
+	// retireAfter is how long a VM may be missing before it is removed from the
+	// list.
 	retireAfter = 20 * time.Second
 )
 
 var kinds = []Kind{Configuration, Servers, OutOfService}
 
-// Fleet is the part of the links that a directory uses.
+// Fleet is the part of the links to other VMs that a Directory uses.
 type Fleet interface {
 	Call(vm string, kind fleetwire.Kind, body []byte, done func(fleetwire.Frame, bool)) bool
 	Peers() []fleetwire.Status
@@ -74,37 +77,37 @@
 	Members(addresses []string)
 }
 
-// Directory follows the store. Create it with New.
+// Directory follows the store. It must be created with New.
 type Directory struct {
-	source Source
-	fleet  Fleet
-	table  *catalog.Table
-	leads  *leadership.Table
-	logger log.Interface
-	self   Member
+	source  Source
+	fleet   Fleet
+	table   *catalog.Table
+	leaders *leadership.Table
+	logger  log.Interface
+	self    Member
 
 	metrics
 
-	mu          lockrank.Mutex // guards the fields below
-	docs        map[Kind]document
-	lapsed      map[string]time.Duration // server to the time its registration went away
-	unfit       map[string]time.Duration // see catalog.Deployment
-	missing     map[string]time.Duration // member to the time it was first missed
-	askedUntil  time.Duration            // another VM was asked, and may answer until then
-	behindSince time.Duration            // another VM is known to know more; zero if none
-	failing     bool                     // the latest call to the store failed
-	calledAt    time.Duration            // when the latest call to the store ended
+	mu              lockrank.Mutex // guards the fields below
+	docs            map[Kind]document
+	lapsedSince     map[string]time.Duration // server to the time at which its registration disappeared
+	unfitSince      map[string]time.Duration // as in catalog.Deployment
+	missingSince    map[string]time.Duration // address to the time at which the member was first found missing
+	requestDeadline time.Duration            // deadline of the last request to another VM; zero once it is answered
+	behindSince     time.Duration            // when VMs of other data centres were first found to be ahead; zero if none is
+	storeFailing    bool                     // the last call to the store failed
+	lastStoreCall   time.Duration            // when the last call to the store ended
 
-	met chan struct{} // closed after the first attempt to read the list of members
+	membersAttempted chan struct{} // closed after the first attempt to read the list of members
 }
 
-// New returns the directory of the VM that self describes.
-func New(source Source, fleet Fleet, table *catalog.Table, leads *leadership.Table, self Member, logger log.Interface, scope tally.Scope) *Directory {
+// New returns the directory of the VM described by self.
+func New(source Source, fleet Fleet, table *catalog.Table, leaders *leadership.Table, self Member, logger log.Interface, scope tally.Scope) *Directory {
 	return &Directory{
-		source: source, fleet: fleet, table: table, leads: leads, logger: logger, self: self,
+		source: source, fleet: fleet, table: table, leaders: leaders, logger: logger, self: self,
 		metrics: newMetrics(scope),
-		mu:      lockrank.New(lockrank.Sessions), docs: make(map[Kind]document), lapsed: make(map[string]time.Duration),
-		unfit: make(map[string]time.Duration), missing: make(map[string]time.Duration), met: make(chan struct{}),
+		mu:      lockrank.New(lockrank.Sessions), docs: make(map[Kind]document), lapsedSince: make(map[string]time.Duration),
+		unfitSince: make(map[string]time.Duration), missingSince: make(map[string]time.Duration), membersAttempted: make(chan struct{}),
 	}
 }
 
@@ -114,41 +117,43 @@
 	for _, kind := range kinds {
 		g.Go(func() error { d.follow(ctx, kind); return nil })
 	}
-	g.Go(func() error { d.join(ctx); return nil })
+	g.Go(func() error { d.maintainMembership(ctx); return nil })
 	g.Go(func() error { d.checkPeers(ctx); return nil })
 	return g.Wait()
 }
 
-// learn gives other VMs the time to tell a new one about the kind.
-func (d *Directory) learn(ctx context.Context, kind Kind) {
+// waitForPeers gives other VMs time to send the kind to a new VM, before it
+// calls the store.
+func (d *Directory) waitForPeers(ctx context.Context, kind Kind) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-d.met:
+	case <-d.membersAttempted:
 	}
-	sleep(ctx, meetTime)
-	until := clock.Now() + learnTimeout
-	for ctx.Err() == nil && clock.Now() < until && !d.known(kind) && !d.fleet.View().Watches(string(kind)) {
-		sleep(ctx, learnCheck)
+	sleep(ctx, linkSetupTime)
+	until := clock.Now() + initialSyncTimeout
+	for ctx.Err() == nil && clock.Now() < until && !d.loaded(kind) && !d.fleet.View().Watches(string(kind)) {
+		sleep(ctx, initialSyncCheckInterval)
 	}
 }
 
-// follow lists a kind and watches it.
+// follow keeps the kind up to date: it lists the objects once and then watches
+// them.
 func (d *Directory) follow(ctx context.Context, kind Kind) {
-	d.learn(ctx, kind)
+	d.waitForPeers(ctx, kind)
 	backoff := minBackoff
 	revision := uint64(0)
-	relist := false // the history that a watch needs is gone
+	relist := false // the store has dropped the history that a watch needs
 	for ctx.Err() == nil {
-		if !d.fleet.View().Watches(string(kind)) && d.known(kind) && !d.recheck(kind) {
-			sleep(ctx, watchCheck)
+		if !d.fleet.View().Watches(string(kind)) && d.loaded(kind) && !d.shouldRecheck(kind) {
+			sleep(ctx, watchCheckInterval)
 			continue
 		}
 		revision = max(revision, d.revision(kind))
-		whole := relist || revision == 0
+		full := relist || revision == 0
 		var batch Batch
 		var err error
-		if whole {
+		if full {
 			batch, err = d.list(ctx, kind)
 		} else {
 			batch, err = d.watch(ctx, kind, revision)
@@ -156,24 +161,25 @@
 		relist = errors.Is(err, ErrHistoryGone)
 		switch {
 		case err == nil:
-			d.apply(kind, batch, whole)
+			d.applyBatch(kind, batch, full)
 			revision = max(revision, batch.AsOf)
 			backoff = minBackoff
 		case relist:
-			d.logger.WithField("kind", string(kind)).Info("directory: history is gone, listing again.")
+			d.logger.WithField("kind", string(kind)).Info("directory: the store has dropped the history, listing again.")
 		default:
-			relist = whole
-			pause(ctx, backoff)
+			relist = full
+			sleepWithJitter(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// recheck reports whether a VM that does not watch the kind asks the store.
-func (d *Directory) recheck(kind Kind) bool {
+// shouldRecheck reports whether a VM that does not watch the kind should call
+// the store anyway.
+func (d *Directory) shouldRecheck(kind Kind) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return kind == Configuration && d.failing && clock.Now()-d.calledAt >= recheckInterval
+	return kind == Configuration && d.storeFailing && clock.Now()-d.lastStoreCall >= recheckInterval
 }
 
 func (d *Directory) list(ctx context.Context, kind Kind) (Batch, error) {
@@ -181,27 +187,28 @@
 	defer cancel()
 	begin := clock.Now()
 	batch, err := d.source.List(ctx, kind)
-	return batch, d.observe(callList, kind, begin, err)
+	return batch, d.recordCall(callList, kind, begin, err)
 }
 
 func (d *Directory) watch(ctx context.Context, kind Kind, after uint64) (Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, watchWait+watchMargin)
 	defer cancel()
 	begin := clock.Now()
 	batch, err := d.source.Watch(ctx, kind, after, watchWait)
-	return batch, d.observe(callWatch, kind, begin, err)
+	return batch, d.recordCall(callWatch, kind, begin, err)
 }
 
-// observe counts a call and logs when the store is lost or regained.
-func (d *Directory) observe(c call, kind Kind, begin time.Duration, err error) error {
+// recordCall records the metrics of a call to the store. If the store became
+// unavailable or available again, it logs this and reports it to the other VMs.
+func (d *Directory) recordCall(c storeCall, kind Kind, begin time.Duration, err error) error {
 	failed := err != nil && !errors.Is(err, ErrHistoryGone) && !errors.Is(err, context.Canceled)
 	now := clock.Now()
-	d.record(c, now-begin, failed)
+	d.recordLatency(c, now-begin, failed)
 	d.mu.Lock()
-	turned := failed != d.failing
-	d.failing, d.calledAt = failed, now
+	changed := failed != d.storeFailing
+	d.storeFailing, d.lastStoreCall = failed, now
 	d.mu.Unlock()
-	if turned {
+	if changed {
 		entry := d.logger.WithFields(log.Fields{"call": string(c), "kind": string(kind)})
 		if failed {
 			entry.WithError(err).Warn("directory: the store does not answer.")
@@ -213,18 +220,19 @@
 	return err
 }
 
-// revision returns the store's revision when the kind last changed.
+// revision returns the revision of the store at which the kind last changed.
 func (d *Directory) revision(kind Kind) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.docs[kind].Revision
 }
 
-// known reports whether the kind was ever listed, here or by another VM.
-func (d *Directory) known(kind Kind) bool { return d.revision(kind) > 0 }
+// loaded reports whether the kind has been listed, by this VM or by another one
+// that sent it.
+func (d *Directory) loaded(kind Kind) bool { return d.revision(kind) > 0 }
 
-// pause waits with jitter.
-func pause(ctx context.Context, t time.Duration) { sleep(ctx, t/2+rand.N(t/2+1)) }
+// sleepWithJitter waits for a random time between t/2 and t.
+func sleepWithJitter(ctx context.Context, t time.Duration) { sleep(ctx, t/2+rand.N(t/2+1)) }
 
 func sleep(ctx context.Context, t time.Duration) {
 	select {
@@ -233,14 +241,14 @@
 	}
 }
 
-// apply takes a batch from the store: a whole list, or changes.
-func (d *Directory) apply(kind Kind, batch Batch, whole bool) {
-	if !whole && len(batch.Entries) == 0 {
+// applyBatch applies a batch from the store: a complete list, or changes.
+func (d *Directory) applyBatch(kind Kind, batch Batch, full bool) {
+	if !full && len(batch.Entries) == 0 {
 		return
 	}
 	d.mu.Lock()
 	old := d.docs[kind]
-	next := old.next(batch.AsOf)
+	next := old.copyAt(batch.AsOf)
 	listed := make(map[string]bool, len(batch.Entries))
 	for _, e := range batch.Entries {
 		listed[e.Name] = true
@@ -255,15 +263,16 @@
 		}
 	}
 	for name := range old.Entries {
-		if whole && !listed[name] {
+		if full && !listed[name] {
 			next.remove(name, batch.AsOf)
 		}
 	}
-	d.replace(kind, next)
+	d.replaceDocument(kind, next)
 }
 
-// replace puts a document in force. The caller holds mu, which is released.
-func (d *Directory) replace(kind Kind, next document) {
+// replaceDocument replaces the document of a kind and reports the new revision
+// to other VMs. The caller holds mu, which replaceDocument releases.
+func (d *Directory) replaceDocument(kind Kind, next document) {
 	if next.Revision < d.docs[kind].Revision {
 		d.mu.Unlock()
 		return
@@ -273,9 +282,10 @@
 	for k, doc := range d.docs {
 		revisions[string(k)] = doc.Revision
 	}
-	d.build()
+	d.rebuildDeployment()
 	d.mu.Unlock()
-	// A VM that learned it from another one tells only those that depend on it.
+	// A VM that got the update from another one reports it only to the VMs that
+	// rely on this VM for updates.
 	scope := fleetlink.None
 	view := d.fleet.View()
 	switch {
@@ -287,15 +297,16 @@
 	d.fleet.Describe(scope, func(s *fleetwire.Status) { s.Revisions = revisions })
 }
 
-// build makes the deployment anew from the documents. The caller holds mu.
-func (d *Directory) build() {
+// rebuildDeployment derives the deployment from the documents. The caller holds
+// mu.
+func (d *Directory) rebuildDeployment() {
 	now := clock.Now()
 	out := make(map[string]bool)
 	for name := range d.docs[OutOfService].Entries {
 		out[name] = true
 	}
 	d.table.Update(func(old catalog.Deployment) catalog.Deployment {
-		next := catalog.Deployment{Config: old.Config, Out: out, Servers: d.servers(old.Servers, now), RegisteredAt: old.RegisteredAt}
+		next := catalog.Deployment{Config: old.Config, Out: out, Servers: d.currentServers(old.Servers, now), RegisteredAt: old.RegisteredAt}
 		for id := range next.Servers {
 			if old.Servers[id] == nil {
 				next.RegisteredAt = now
@@ -312,59 +323,59 @@
 			if next.Usable(s) {
 				continue
 			}
-			if _, known := d.unfit[id]; !known {
-				d.unfit[id] = now
+			if _, known := d.unfitSince[id]; !known {
+				d.unfitSince[id] = now
 				d.logger.WithField("server", id).Info("directory: server takes no new work.")
 			}
-			next.UnfitSince[id] = d.unfit[id]
+			next.UnfitSince[id] = d.unfitSince[id]
 		}
-		for id := range d.unfit {
+		for id := range d.unfitSince {
 			if _, unfit := next.UnfitSince[id]; !unfit {
-				delete(d.unfit, id)
+				delete(d.unfitSince, id)
 			}
 		}
 		return next
 	})
 }
 
-// servers returns the registered servers and those whose registration lapsed a
-// moment ago.
-func (d *Directory) servers(old map[string]*catalog.Server, now time.Duration) map[string]*catalog.Server {
+// currentServers returns the registered servers, and those whose registration
+// disappeared less than lapseGrace ago.
+func (d *Directory) currentServers(old map[string]*catalog.Server, now time.Duration) map[string]*catalog.Server {
 	servers := make(map[string]*catalog.Server)
 	for name, e := range d.docs[Servers].Entries {
 		if e.Server == nil {
 			continue
 		}
 		servers[name] = e.Server
-		delete(d.lapsed, name)
-		d.leads.With(e.Server.Group, func(g *leadership.Group) { g.Reborn(name, e.Server.Born) })
+		delete(d.lapsedSince, name)
+		d.leaders.With(e.Server.Group, func(g *leadership.Group) { g.Reborn(name, e.Server.Born) })
 	}
 	for name, s := range old {
 		if servers[name] != nil || s.Draining {
 			continue
 		}
-		since, known := d.lapsed[name]
+		since, known := d.lapsedSince[name]
 		if !known {
 			since = now
-			d.lapsed[name] = now
-			d.logger.WithField("server", name).Info("directory: registration went away.")
+			d.lapsedSince[name] = now
+			d.logger.WithField("server", name).Info("directory: registration disappeared.")
 			time.AfterFunc(lapseGrace, d.refresh)
 		}
 		if now-since < lapseGrace {
 			servers[name] = s
 		}
 	}
-	for name := range d.lapsed {
+	for name := range d.lapsedSince {
 		if servers[name] == nil {
-			delete(d.lapsed, name)
+			delete(d.lapsedSince, name)
 		}
 	}
 	return servers
 }
 
-// refresh makes the deployment anew after some time has passed.
+// refresh rebuilds the deployment when a lapseGrace has ended.
 func (d *Directory) refresh() {
 	d.mu.Lock()
-	d.build()
+	d.rebuildDeployment()
 	d.mu.Unlock()
 }
--- a/transport/directory/document.go
+++ b/transport/directory/document.go
@@ -2,20 +2,20 @@
 
 import "maps"
 
-// document is what is known of one kind.
+// document holds the objects of one kind.
 type document struct {
-	Revision uint64 // of the store when it last changed
+	Revision uint64 // revision of the store at the last change
 	Entries  map[string]Entry
-	// Removed has the revisions from which entries are gone, and Since the one
-	// from which on it has all of them.
-	Removed map[string]uint64
-	Since   uint64
+	// Removed maps removed entries to the revisions of their removal. It is
+	// complete from the revision RemovedSince on.
+	Removed      map[string]uint64
+	RemovedSince uint64
 }
 
-// maxRemoved bounds the removed entries that a document remembers.
+// maxRemoved limits the removed entries that a document records.
 const maxRemoved = 256
 
-// remove takes an entry out of the document as of a revision of the store.
+// remove removes an entry as of a revision of the store.
 func (doc *document) remove(name string, revision uint64) {
 	if _, known := doc.Entries[name]; !known {
 		return
@@ -24,55 +24,56 @@
 	doc.Removed[name] = revision
 }
 
-// put sets an entry.
+// put adds or replaces an entry.
 func (doc *document) put(e Entry) {
 	doc.Entries[e.Name] = e
 	delete(doc.Removed, e.Name)
 }
 
-// next returns a copy of the document to change, as of a revision of the store.
-func (doc *document) next(revision uint64) document {
-	next := document{Revision: revision, Since: doc.Since, Entries: maps.Clone(doc.Entries), Removed: maps.Clone(doc.Removed)}
+// copyAt returns a copy of the document for changes at a revision of the store.
+func (doc *document) copyAt(revision uint64) document {
+	next := document{Revision: revision, RemovedSince: doc.RemovedSince, Entries: maps.Clone(doc.Entries), Removed: maps.Clone(doc.Removed)}
 	if next.Entries == nil {
-		next.Entries, next.Since = make(map[string]Entry), revision
+		next.Entries, next.RemovedSince = make(map[string]Entry), revision
 	}
 	if next.Removed == nil || len(next.Removed) > maxRemoved {
-		next.Removed, next.Since = make(map[string]uint64), revision
+		next.Removed, next.RemovedSince = make(map[string]uint64), revision
 	}
 	return next
 }
 
-// update is what a VM tells another one about a kind: the entries that changed
-// after the revision that the other one knows, or all of them.
+// update is what a VM sends to another one about a kind: the entries that
+// changed after the revision known to the other VM, or all entries.
 type update struct {
 	Revision uint64   `json:"revision"` // of the store when the kind last changed
-	Whole    bool     `json:"whole,omitempty"`
+	Full     bool     `json:"whole,omitempty"`
 	Entries  []Entry  `json:"entries,omitempty"`
 	Removed  []string `json:"removed,omitempty"`
 }
 
-// since returns what has changed after the revision.
-func (doc *document) since(known uint64) update {
-	u := update{Revision: doc.Revision, Whole: known < doc.Since}
+// changesSince returns the changes after the known revision.
+func (doc *document) changesSince(known uint64) update {
+	u := update{Revision: doc.Revision, Full: known < doc.RemovedSince}
 	for _, e := range doc.Entries {
-		if u.Whole || e.Revision > known {
+		if u.Full || e.Revision > known {
 			u.Entries = append(u.Entries, e)
 		}
 	}
 	for name, revision := range doc.Removed {
-		if !u.Whole && revision > known {
+		if !u.Full && revision > known {
 			u.Removed = append(u.Removed, name)
 		}
 	}
 	return u
 }
 
-// updated returns the document with another VM's update.
-func (doc *document) updated(u update) document {
-	if u.Whole {
+// withUpdate returns a copy of the document with an update from another VM
+// applied.
+func (doc *document) withUpdate(u update) document {
+	if u.Full {
 		doc = &document{}
 	}
-	next := doc.next(u.Revision)
+	next := doc.copyAt(u.Revision)
 	for _, e := range u.Entries {
 		next.put(e)
 	}
--- a/transport/directory/members.go
+++ b/transport/directory/members.go
@@ -10,8 +10,9 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// join announces this VM and reads the list of members now and then.
-func (d *Directory) join(ctx context.Context) {
+// maintainMembership announces this VM and reads the list of members at
+// intervals.
+func (d *Directory) maintainMembership(ctx context.Context) {
 	announced, tried := false, false
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -19,39 +20,39 @@
 			sleep(ctx, membersInterval)
 			continue
 		}
-		err := d.meet(ctx, &announced)
+		err := d.refreshMembers(ctx, &announced)
 		if !tried {
 			tried = true
-			close(d.met)
+			close(d.membersAttempted)
 		}
 		if err != nil {
-			pause(ctx, backoff)
+			sleepWithJitter(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		backoff = minBackoff
-		pause(ctx, membersInterval)
+		sleepWithJitter(ctx, membersInterval)
 	}
 }
 
-func (d *Directory) meet(ctx context.Context, announced *bool) error {
+func (d *Directory) refreshMembers(ctx context.Context, announced *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	if !*announced {
 		begin := clock.Now()
-		if err := d.observe(callAnnounce, "members", begin, d.source.Announce(ctx, d.self)); err != nil {
+		if err := d.recordCall(callAnnounce, "members", begin, d.source.Announce(ctx, d.self)); err != nil {
 			return err
 		}
 	}
-	// Of two VMs that start together, the one that lists later must see the
-	// other, so the first list is fresh.
+	// The first list must not come from a cache: if two VMs start together, the
+	// one that lists later has to see the other.
 	begin := clock.Now()
 	members, err := d.source.Members(ctx, !*announced)
-	if d.observe(callMembers, "members", begin, err) != nil {
+	if d.recordCall(callMembers, "members", begin, err) != nil {
 		return err
 	}
 	*announced = true
-	d.retire(ctx, members)
+	d.retireMissing(ctx, members)
 	addresses := make([]string, 0, len(members))
 	for _, m := range members {
 		addresses = append(addresses, m.Address)
@@ -60,8 +61,10 @@
 	return nil
 }
 
-// retire takes members from the list that have been missing for long.
-func (d *Directory) retire(ctx context.Context, members []Member) {
+// retireMissing removes members that have been missing for more than
+// retireAfter from the list, while at least half of the members are alive as
+// peers of this VM.
+func (d *Directory) retireMissing(ctx context.Context, members []Member) {
 	alive := make(map[string]bool)
 	for _, p := range d.fleet.Peers() {
 		alive[p.Address] = true
@@ -71,17 +74,17 @@
 	for _, m := range members {
 		listed[m.Address] = true
 		if alive[m.Address] || m.Address == d.self.Address {
-			delete(d.missing, m.Address)
+			delete(d.missingSince, m.Address)
 			continue
 		}
-		since, known := d.missing[m.Address]
+		since, known := d.missingSince[m.Address]
 		switch {
 		case !known:
-			d.missing[m.Address] = now
+			d.missingSince[m.Address] = now
 		case now-since > retireAfter && 2*len(alive) >= len(members):
-			err := d.observe(callRetire, "members", clock.Now(), d.source.Retire(ctx, m.Name))
+			err := d.recordCall(callRetire, "members", clock.Now(), d.source.Retire(ctx, m.Name))
 			d.logger.WithFields(log.Fields{"vm": m.Name, "ok": err == nil}).Info("directory: member retired.")
 		}
 	}
-	maps.DeleteFunc(d.missing, func(a string, _ time.Duration) bool { return !listed[a] })
+	maps.DeleteFunc(d.missingSince, func(a string, _ time.Duration) bool { return !listed[a] })
 }
--- a/transport/directory/metrics.go
+++ b/transport/directory/metrics.go
@@ -6,28 +6,29 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// call is a kind of call to the store.
-type call string
+// storeCall is a type of call to the store.
+type storeCall string
 
 const (
-	callList     call = "list"
-	callWatch    call = "watch"
-	callMembers  call = "members"
-	callAnnounce call = "announce"
-	callRetire   call = "retire"
+	callList     storeCall = "list"
+	callWatch    storeCall = "watch"
+	callMembers  storeCall = "members"
+	callAnnounce storeCall = "announce"
+	callRetire   storeCall = "retire"
 )
 
-// callBuckets reach from an answer in milliseconds to a watch that waits.
+// callBuckets range from an answer within milliseconds to a watch that is held
+// open.
 var callBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 12)
 
 type metrics struct {
-	latency  map[call]tally.Histogram // also counts the calls
-	failures map[call]tally.Counter
+	latency  map[storeCall]tally.Histogram // its count is the number of calls
+	failures map[storeCall]tally.Counter
 }
 
 func newMetrics(scope tally.Scope) metrics {
-	m := metrics{latency: make(map[call]tally.Histogram), failures: make(map[call]tally.Counter)}
-	for _, c := range []call{callList, callWatch, callMembers, callAnnounce, callRetire} {
+	m := metrics{latency: make(map[storeCall]tally.Histogram), failures: make(map[storeCall]tally.Counter)}
+	for _, c := range []storeCall{callList, callWatch, callMembers, callAnnounce, callRetire} {
 		tagged := scope.Tagged(map[string]string{"call": string(c)})
 		m.latency[c] = tagged.Histogram("store_call_latency", callBuckets)
 		m.failures[c] = tagged.Counter("store_failures")
@@ -35,7 +36,7 @@
 	return m
 }
 
-func (m *metrics) record(c call, took time.Duration, failed bool) {
+func (m *metrics) recordLatency(c storeCall, took time.Duration, failed bool) {
 	m.latency[c].RecordDuration(took)
 	if failed {
 		m.failures[c].Inc(1)
--- a/transport/directory/peers.go
+++ b/transport/directory/peers.go
@@ -15,46 +15,47 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// Encode returns what has changed in the documents after the revisions that the
-// asking VM knows, as it says in the question.
-func (d *Directory) Encode(question []byte) []byte {
+// EncodeUpdates returns the changes to the documents after the revisions that
+// the request lists as known to the requesting VM.
+func (d *Directory) EncodeUpdates(request []byte) []byte {
 	var known map[Kind]uint64
-	if err := json.Unmarshal(question, &known); err != nil {
-		d.logger.WithError(err).Error("directory: another VM's question cannot be decoded.")
+	if err := json.Unmarshal(request, &known); err != nil {
+		d.logger.WithError(err).Error("directory: another VM's request cannot be decoded.")
 	}
 	newer := make(map[Kind]update)
 	d.mu.Lock()
 	for kind, doc := range d.docs {
 		if doc.Revision > known[kind] {
-			newer[kind] = doc.since(known[kind])
+			newer[kind] = doc.changesSince(known[kind])
 		}
 	}
 	d.mu.Unlock()
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	// Writing to memory does not fail, and updates are plain values.
+	// Writing to memory does not fail, and updates consist of plain values.
 	if err := errors.Join(json.NewEncoder(z).Encode(newer), z.Close()); err != nil {
 		panic("directory: documents cannot be encoded: " + err.Error())
 	}
 	return b.Bytes()
 }
 
-// checkPeers asks other VMs for documents that are newer than this VM's.
+// checkPeers requests newer documents from other VMs at intervals.
 func (d *Directory) checkPeers(ctx context.Context) {
-	ticker := time.NewTicker(peerCheck)
+	ticker := time.NewTicker(peerCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.catchUp()
+			d.requestUpdates()
 		}
 	}
 }
 
-// Heard catches up if another VM knows a newer document, as it says.
-func (d *Directory) Heard(revisions map[string]uint64) {
+// HandleRevisions handles the revisions that another VM reported. It requests
+// updates if one of them is newer than this VM's.
+func (d *Directory) HandleRevisions(revisions map[string]uint64) {
 	newer := false
 	d.mu.Lock()
 	for kind, revision := range revisions {
@@ -62,45 +63,46 @@
 	}
 	d.mu.Unlock()
 	if newer {
-		d.catchUp()
+		d.requestUpdates()
 	}
 }
 
-// catchUp asks a VM that knows a newer document for it, one at a time.
-func (d *Directory) catchUp() {
+// requestUpdates requests newer documents from a VM that has some. Only one
+// request is open at a time.
+func (d *Directory) requestUpdates() {
 	peers := d.fleet.Peers()
 	view := d.fleet.View()
 	d.mu.Lock()
-	vm := d.ahead(peers, view)
+	vm := d.newerPeer(peers, view)
 	now := clock.Now()
-	if vm == "" || now < d.askedUntil {
+	if vm == "" || now < d.requestDeadline {
 		d.mu.Unlock()
 		return
 	}
-	d.askedUntil = now + askTimeout
+	d.requestDeadline = now + peerRequestTimeout
 	known := make(map[Kind]uint64, len(d.docs))
 	for kind, doc := range d.docs {
 		known[kind] = doc.Revision
 	}
 	d.mu.Unlock()
-	question, err := json.Marshal(known)
+	request, err := json.Marshal(known)
 	if err != nil {
 		panic("directory: revisions cannot be encoded: " + err.Error())
 	}
-	d.fleet.Call(vm, fleetwire.KindSnapshot, question, func(f fleetwire.Frame, ok bool) {
+	d.fleet.Call(vm, fleetwire.KindSnapshot, request, func(f fleetwire.Frame, ok bool) {
 		if ok {
-			d.receive(vm, f.Body, known)
+			d.applyUpdates(vm, f.Body, known)
 		}
 		d.mu.Lock()
-		d.askedUntil = 0
+		d.requestDeadline = 0
 		d.mu.Unlock()
 	})
 }
 
-// ahead returns a VM that knows a newer document, or "". VMs of other data
-// centres are asked by the relay, and by others if the relay does not help in
-// time. The caller holds mu.
-func (d *Directory) ahead(peers []fleetwire.Status, view *placement.View) string {
+// newerPeer returns a VM that has a newer document, or "". VMs of other data
+// centres are asked by the relay only, or by every VM if the relay has not
+// delivered the update within relayTimeout. The caller holds mu.
+func (d *Directory) newerPeer(peers []fleetwire.Status, view *placement.View) string {
 	near, far := "", ""
 	for i := range peers {
 		for kind, revision := range peers[i].Revisions {
@@ -130,9 +132,9 @@
 	return ""
 }
 
-// receive takes what another VM answered to the question with the known
+// applyUpdates applies another VM's answer to a request that listed the known
 // revisions.
-func (d *Directory) receive(vm string, body []byte, known map[Kind]uint64) {
+func (d *Directory) applyUpdates(vm string, body []byte, known map[Kind]uint64) {
 	var updates map[Kind]update
 	z, err := gzip.NewReader(bytes.NewReader(body))
 	if err == nil {
@@ -150,11 +152,11 @@
 		}
 		d.mu.Lock()
 		old := d.docs[kind]
-		if u.Revision <= old.Revision || !u.Whole && old.Revision < known[kind] {
+		if u.Revision <= old.Revision || !u.Full && old.Revision < known[kind] {
 			d.mu.Unlock()
 			continue
 		}
-		d.logger.WithFields(log.Fields{"kind": string(kind), "vm": vm, "revision": u.Revision}).Info("directory: learned from another VM.")
-		d.replace(kind, old.updated(u))
+		d.logger.WithFields(log.Fields{"kind": string(kind), "vm": vm, "revision": u.Revision}).Info("directory: updated from another VM.")
+		d.replaceDocument(kind, old.withUpdate(u))
 	}
 }
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -74,8 +74,8 @@
 
 // Directory is the part of a VM's directory that other VMs use.
 type Directory interface {
-	Encode(question []byte) []byte
-	Heard(revisions map[string]uint64)
+	EncodeUpdates(question []byte) []byte
+	HandleRevisions(revisions map[string]uint64)
 }
 
 // Use sets the directory. Call it before the links run.
@@ -138,10 +138,10 @@
 func (d *Dispatcher) Grant(h catalog.Half, n int) int { return d.Gate.Grant(h, n) }
 
 // Document implements fleetlink.Handler.
-func (d *Dispatcher) Document(question []byte) []byte { return d.directory.Encode(question) }
+func (d *Dispatcher) Document(question []byte) []byte { return d.directory.EncodeUpdates(question) }
 
 // StatusReceived implements fleetlink.Handler.
-func (d *Dispatcher) StatusReceived(s *fleetwire.Status) { d.directory.Heard(s.Revisions) }
+func (d *Dispatcher) StatusReceived(s *fleetwire.Status) { d.directory.HandleRevisions(s.Revisions) }
 
 // Ping implements fleetlink.Handler: it names the halves that this VM counts.
 // From then on it spends no other VM's share of any other half.
