--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -74,7 +74,7 @@
 	Peers() []fleetwire.Status
 	View() *placement.View
 	Describe(scope fleetlink.Scope, change func(*fleetwire.Status))
-	Members(addresses []string)
+	SetMembers(addresses []string)
 }
 
 // Directory follows the store. It must be created with New.
--- a/transport/directory/directory_test.go
+++ b/transport/directory/directory_test.go
@@ -33,7 +33,7 @@
 	return &placement.View{Self: "vm", Members: 1, VMs: []placement.VM{{Name: "vm", Alive: true, Weight: 1}}}
 }
 func (singleVMFleet) Describe(fleetlink.Scope, func(*fleetwire.Status)) {}
-func (singleVMFleet) Members([]string)                                  {}
+func (singleVMFleet) SetMembers([]string)                               {}
 
 // compactedStore answers the first list, refuses all others, and has no history
 // for watches.
--- a/transport/directory/members.go
+++ b/transport/directory/members.go
@@ -57,7 +57,7 @@
 	for _, m := range members {
 		addresses = append(addresses, m.Address)
 	}
-	d.fleet.Members(addresses)
+	d.fleet.SetMembers(addresses)
 	return nil
 }
 
--- a/transport/directory/peers.go
+++ b/transport/directory/peers.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// EncodeUpdates returns the changes to the documents after the revisions that
-// the request lists as known to the requesting VM.
+// EncodeUpdates returns the encoded changes to the documents after the encoded
+// revisions that the requesting VM knows.
 func (d *Directory) EncodeUpdates(request []byte) []byte {
 	var known map[Kind]uint64
 	if err := json.Unmarshal(request, &known); err != nil {
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -68,13 +68,13 @@
 // New returns a dispatcher and makes it the handler of the links.
 func New(o Options) *Dispatcher {
 	d := &Dispatcher{Options: o}
-	o.Links.Handle(d)
+	o.Links.SetHandler(d)
 	return d
 }
 
 // Directory is the part of a VM's directory that other VMs use.
 type Directory interface {
-	EncodeUpdates(question []byte) []byte
+	EncodeUpdates(known []byte) []byte
 	HandleRevisions(revisions map[string]uint64)
 }
 
@@ -122,8 +122,8 @@
 	d.Executor.Execute(origin, w, reply)
 }
 
-// EndTx implements fleetlink.Handler.
-func (d *Dispatcher) EndTx(origin string, tx uint64) { d.Executor.Abort(origin, tx) }
+// AbortTx implements fleetlink.Handler.
+func (d *Dispatcher) AbortTx(origin string, tx uint64) { d.Executor.Abort(origin, tx) }
 
 // LinkClosed implements fleetlink.Handler.
 func (d *Dispatcher) LinkClosed(origin string) {
@@ -134,18 +134,18 @@
 // VMLost implements fleetlink.Handler.
 func (d *Dispatcher) VMLost(vm string) { d.Quota.LenderLost(vm) }
 
-// Grant implements fleetlink.Handler.
-func (d *Dispatcher) Grant(h catalog.Half, n int) int { return d.Gate.Grant(h, n) }
+// GrantTokens implements fleetlink.Handler.
+func (d *Dispatcher) GrantTokens(h catalog.Half, n int) int { return d.Gate.Grant(h, n) }
 
-// Document implements fleetlink.Handler.
-func (d *Dispatcher) Document(question []byte) []byte { return d.directory.EncodeUpdates(question) }
+// UpdatesSince implements fleetlink.Handler.
+func (d *Dispatcher) UpdatesSince(known []byte) []byte { return d.directory.EncodeUpdates(known) }
 
-// StatusReceived implements fleetlink.Handler.
-func (d *Dispatcher) StatusReceived(s *fleetwire.Status) { d.directory.HandleRevisions(s.Revisions) }
+// HandleStatus implements fleetlink.Handler.
+func (d *Dispatcher) HandleStatus(s *fleetwire.Status) { d.directory.HandleRevisions(s.Revisions) }
 
-// Ping implements fleetlink.Handler: it names the halves that this VM counts.
+// PingBody implements fleetlink.Handler: it names the halves that this VM counts.
 // From then on it spends no other VM's share of any other half.
-func (d *Dispatcher) Ping() []byte {
+func (d *Dispatcher) PingBody() []byte {
 	own := d.own()
 	d.Quota.Keep(own)
 	return fleetwire.AppendHalves(nil, own)
@@ -160,9 +160,9 @@
 	return d.counts(d.Self, d.Links.View(), config)
 }
 
-// Pong implements fleetlink.Handler: it lends the asking VM what it counts as a
+// HandlePing implements fleetlink.Handler: it lends the asking VM what it counts as a
 // ledger, and passes on what is known of the primaries.
-func (d *Dispatcher) Pong(from, origin string, question []byte) fleetwire.Pong {
+func (d *Dispatcher) HandlePing(from, origin string, question []byte) fleetwire.Pong {
 	var p fleetwire.Pong
 	config := d.Table.Current().Config
 	if config == nil {
@@ -230,8 +230,8 @@
 	return d.ledgers.halves[vm]
 }
 
-// PongReceived implements fleetlink.Handler.
-func (d *Dispatcher) PongReceived(from string, p fleetwire.Pong, sentAt time.Duration) {
+// HandlePong implements fleetlink.Handler.
+func (d *Dispatcher) HandlePong(from string, p fleetwire.Pong, sentAt time.Duration) {
 	d.Quota.Receive(from, common(p.Lent, d.own()), p.Lease, sentAt)
 	for _, l := range p.Leads {
 		d.Leads.With(l.Group, func(g *leadership.Group) { g.Prove(l.Server, l.Point, sentAt-l.Age) })
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -15,50 +15,50 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// dial keeps a link to the peer until ctx is done.
-func (l *Links) dial(ctx context.Context, p *peer) {
+// maintainLink keeps a link to the peer established until ctx is done.
+func (l *Links) maintainLink(ctx context.Context, p *peer) {
 	for ctx.Err() == nil {
-		conn, again := l.attempt(ctx, p)
+		conn, retry := l.dialOnce(ctx, p)
 		if conn != nil {
-			l.hold(ctx, p, conn)
+			l.useLink(ctx, p, conn)
 		}
-		if again {
+		if retry {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-p.seen:
+		case <-p.dialledBack:
 		case <-time.After(redialDelay):
 		}
 	}
 }
 
-// attempt dials the peer once. If the peer dials this VM meanwhile, it gives up
-// and reports that another attempt is due: one from before the peer started may
-// hang.
-func (l *Links) attempt(ctx context.Context, p *peer) (conn net.Conn, again bool) {
+// dialOnce dials the peer once. If the peer dials this VM in the meantime, it
+// gives up and requests a retry, because an attempt that began before the peer
+// started may hang.
+func (l *Links) dialOnce(ctx context.Context, p *peer) (conn net.Conn, retry bool) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	dialled := make(chan net.Conn, 1)
+	dialResult := make(chan net.Conn, 1)
 	go func() {
 		conn, err := l.net.Dial(ctx, p.address)
 		if err != nil {
 			conn = nil
 		}
-		dialled <- conn
+		dialResult <- conn
 	}()
 	select {
-	case conn = <-dialled:
+	case conn = <-dialResult:
 		return conn, false
-	case <-p.seen:
+	case <-p.dialledBack:
 		cancel()
-		conn = <-dialled
+		conn = <-dialResult
 		return conn, conn == nil
 	}
 }
 
-// hold uses a link that this VM dialled until it breaks.
-func (l *Links) hold(ctx context.Context, p *peer, conn net.Conn) {
+// useLink uses a link that this VM dialled until it is lost.
+func (l *Links) useLink(ctx context.Context, p *peer, conn net.Conn) {
 	k := newLink(conn)
 	stop := context.AfterFunc(ctx, k.out.Abort)
 	defer stop()
@@ -67,35 +67,36 @@
 	body := l.self.Encode()
 	l.mu.Unlock()
 	k.send(fleetwire.Frame{Kind: fleetwire.KindStatus, Body: body})
-	l.ping(p, k, l.handler.Ping())
-	err := l.read(ctx, k, func(f fleetwire.Frame) {
+	l.sendPing(p, k, l.handler.PingBody())
+	err := l.readFrames(ctx, k, func(f fleetwire.Frame) {
 		if f.Kind == fleetwire.KindStatus {
-			l.receiveStatus(f.Body, k)
+			l.handleStatus(f.Body, k)
 			return
 		}
-		k.answered(f)
+		k.handleAnswer(f)
 	})
 	k.out.Abort()
-	l.lost(p, k, err)
-	k.fail()
+	l.markLost(p, k, err)
+	k.failCalls()
 }
 
-// receiveStatus takes a VM's description, see learn, and returns its name.
-func (l *Links) receiveStatus(body []byte, k *link) string {
+// handleStatus handles the status of another VM and returns its name. For k see
+// applyStatus.
+func (l *Links) handleStatus(body []byte, k *link) string {
 	s, err := fleetwire.DecodeStatus(body)
 	if err != nil {
 		l.logger.WithError(err).Error("fleet: a status cannot be decoded.")
 		return ""
 	}
 	l.Meet(s.Address)
-	l.learn(s, k)
-	l.handler.StatusReceived(&s)
+	l.applyStatus(s, k)
+	l.handler.HandleStatus(&s)
 	return s.Name
 }
 
-// read passes the frames of a link to f on pool workers, in order, until the
-// link breaks.
-func (l *Links) read(ctx context.Context, k *link, f func(fleetwire.Frame)) error {
+// readFrames calls f for the frames of a link, in order and on pool workers,
+// until the link is lost.
+func (l *Links) readFrames(ctx context.Context, k *link, f func(fleetwire.Frame)) error {
 	queue := l.pool.NewQueue(queueLimit)
 	defer queue.Close()
 	r := bufio.NewReader(k.conn)
@@ -110,8 +111,8 @@
 	}
 }
 
-// serve answers the calls of a VM that dialled this one.
-func (l *Links) serve(ctx context.Context, conn net.Conn) {
+// serveLink handles the calls on a link that another VM dialled.
+func (l *Links) serveLink(ctx context.Context, conn net.Conn) {
 	k := newLink(conn)
 	stop := context.AfterFunc(ctx, k.out.Abort)
 	defer stop()
@@ -119,33 +120,33 @@
 	body := l.self.Encode()
 	l.mu.Unlock()
 	k.send(fleetwire.Frame{Kind: fleetwire.KindStatus, Body: body})
-	// A VM that dials again may use its new link before the old one is seen to
-	// be closed, so transactions belong to a link.
-	number := strconv.FormatUint(l.accepted.Add(1), 10)
+	// A VM that reconnects may use its new link before this VM detects that the
+	// old one is closed. Transactions therefore belong to a link, not to a VM.
+	number := strconv.FormatUint(l.acceptedLinks.Add(1), 10)
 	var from string
-	err := l.read(ctx, k, func(f fleetwire.Frame) {
+	err := l.readFrames(ctx, k, func(f fleetwire.Frame) {
 		if f.Kind == fleetwire.KindStatus {
-			if name := l.receiveStatus(f.Body, nil); name != "" {
+			if name := l.handleStatus(f.Body, nil); name != "" {
 				from = name
 			}
 			return
 		}
-		l.answer(from, number, k, f)
+		l.handleCall(from, number, k, f)
 	})
 	k.out.Abort()
 	l.logger.WithFields(log.Fields{"link": number, "why": err.Error()}).Debug("fleet: VM closed its link.")
 	l.handler.LinkClosed(number)
 }
 
-// answer runs one call.
-func (l *Links) answer(from, origin string, k *link, f fleetwire.Frame) {
+// handleCall handles one call of another VM.
+func (l *Links) handleCall(from, origin string, k *link, f fleetwire.Frame) {
 	reply := func(kind fleetwire.Kind, body []byte) {
 		k.send(fleetwire.Frame{Kind: kind, ID: f.ID, Body: body})
 	}
 	var err error
 	switch f.Kind {
 	case fleetwire.KindPing:
-		pong := l.handler.Pong(from, origin, f.Body)
+		pong := l.handler.HandlePing(from, origin, f.Body)
 		reply(fleetwire.KindPong, pong.Append(nil))
 	case fleetwire.KindWork:
 		var w *statement.Work
@@ -155,16 +156,16 @@
 	case fleetwire.KindAbort:
 		var tx uint64
 		if tx, err = fleetwire.DecodeNumber(f.Body); err == nil {
-			l.handler.EndTx(origin, tx)
+			l.handler.AbortTx(origin, tx)
 		}
 	case fleetwire.KindTokens:
 		var h catalog.Half
 		var n int
 		if h, n, err = fleetwire.DecodeTokens(f.Body); err == nil {
-			reply(fleetwire.KindGrant, fleetwire.AppendNumber(nil, uint64(l.handler.Grant(h, n))))
+			reply(fleetwire.KindGrant, fleetwire.AppendNumber(nil, uint64(l.handler.GrantTokens(h, n))))
 		}
 	case fleetwire.KindSnapshot:
-		reply(fleetwire.KindDocument, l.handler.Document(f.Body))
+		reply(fleetwire.KindDocument, l.handler.UpdatesSince(f.Body))
 	}
 	if err != nil {
 		l.logger.WithError(err).WithField("vm", from).Error("fleet: a call cannot be decoded.")
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -1,9 +1,9 @@
 // Package fleetlink connects the VMs of a fleet with each other.
 //
-// Each VM dials every other one. The link that a VM dialled carries its calls
-// and their answers, so each pair has two links. A link that is silent for
-// deadAfter is closed, and the VM behind it is taken as not alive until it
-// answers again.
+// Each VM dials every other VM. A link carries the calls of the VM that dialled
+// it and the answers to them, so each pair of VMs has two links. A link without
+// answers for silenceTimeout, or longer in a large fleet, is closed, and the VM
+// at its other end is considered dead until it answers again.
 package fleetlink
 
 import (
@@ -28,95 +28,99 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	redialDelay = 250 * time.Millisecond
-	// tellSpacing is the time between two descriptions of a VM to all others, for
-	// each of them: a thousand a second at most.
-	tellSpacing = time.Millisecond
-	// outboxHigh is how many bytes may wait for a VM that does not read.
-	outboxHigh = 1 << 20
-	queueLimit = 256
+	// statusSpacing times the number of other VMs is the time between two
+	// broadcasts of this VM's status. It limits a VM to 1000 status messages
+	// per second.
+	statusSpacing = time.Millisecond
+	// maxOutboxBytes limits the bytes queued for a VM that does not read. The
+	// link is closed when they exceed it.
+	maxOutboxBytes = 1 << 20
+	queueLimit     = 256
 )
 
-// Handler runs what other VMs ask for. Its methods run on pool workers and do
-// not block.
+// Handler handles the calls of other VMs and the events of links. Its methods
+// run on pool workers and must not block.
 type Handler interface {
-	// Execute runs a statement and calls reply once. origin names the link on
-	// which it came.
+	// Execute runs a statement and calls reply once. origin identifies the link
+	// on which it arrived.
 	Execute(origin string, w *statement.Work, reply func(statement.Result))
-	// EndTx ends a transaction that was opened over the link.
-	EndTx(origin string, tx uint64)
-	// LinkClosed says that nothing more is heard on a link of another VM.
+	// AbortTx aborts a transaction that was opened over the link.
+	AbortTx(origin string, tx uint64)
+	// LinkClosed reports that a link dialled by another VM was closed.
 	LinkClosed(origin string)
-	// VMLost says that this VM's link to another VM broke.
+	// VMLost reports that this VM's link to another VM was lost.
 	VMLost(vm string)
-	// Grant grants up to n tokens of a half of a customer's limit.
-	Grant(h catalog.Half, n int) int
-	// Ping returns what pings say now. While it changes, they are sent faster.
-	Ping() []byte
-	// Pong returns the answer to a ping that came on the link and said question.
-	Pong(from, origin string, question []byte) fleetwire.Pong
-	// PongReceived takes the answer to a ping that was sent at sentAt.
-	PongReceived(from string, p fleetwire.Pong, sentAt time.Duration)
-	// StatusReceived takes what another VM said of itself.
-	StatusReceived(s *fleetwire.Status)
-	// Document returns what this VM knows from the store and the asking VM, as
-	// it says in the question, does not.
-	Document(question []byte) []byte
+	// GrantTokens grants up to n tokens of a half of a customer's limit.
+	GrantTokens(h catalog.Half, n int) int
+	// PingBody returns the current body of pings. Pings are more frequent for a
+	// while after it has changed.
+	PingBody() []byte
+	// HandlePing returns the answer to a ping that arrived on the link origin
+	// with the given body.
+	HandlePing(from, origin string, body []byte) fleetwire.Pong
+	// HandlePong handles the answer to a ping that was sent at sentAt.
+	HandlePong(from string, p fleetwire.Pong, sentAt time.Duration)
+	// HandleStatus handles the status of another VM.
+	HandleStatus(s *fleetwire.Status)
+	// UpdatesSince returns the encoded updates from the store after the encoded
+	// revisions that the requesting VM knows.
+	UpdatesSince(known []byte) []byte
 }
 
-// Links are the links of a VM.
+// Links manages the links of a VM.
 type Links struct {
-	ctx     context.Context // of the links that this VM dials
+	ctx     context.Context // context of the links that this VM dials
 	net     network.Network
 	pool    *pool.Pool
 	handler Handler
 	logger  log.Interface
 
-	accepted atomic.Uint64 // links
+	acceptedLinks atomic.Uint64 // also the origin of the latest link
 
-	mu      lockrank.Mutex // guards the fields below
-	self    fleetwire.Status
-	peers   map[string]*peer // by address
-	view    *placement.View  // nil if it is out of date, see current
-	longest time.Duration    // between pings, as of the view
-	members map[string]bool  // addresses in the store's list
+	mu              lockrank.Mutex // guards the fields below
+	self            fleetwire.Status
+	peers           map[string]*peer // by address
+	view            *placement.View  // nil if outdated, see currentView
+	maxPingInterval time.Duration    // as of the view
+	members         map[string]bool  // addresses in the list of members in the store
 
-	untold Scope         // to whom the latest changes of self are not told yet
-	toldAt time.Duration // when self was told last
+	pendingScope Scope         // receivers of the status changes that are not sent yet; None if there are none
+	lastStatusAt time.Duration // when self was last sent
 
-	suspected  map[string]time.Duration // data centre to when a VM of it went silent
-	said       []byte                   // by the latest pings
-	eagerUntil time.Duration            // all VMs are pinged as in a small fleet until then
+	suspectedSince map[string]time.Duration // data centre to the time at which one of its VMs became silent
+	lastPingBody   []byte                   // body of the latest pings
+	fastPingUntil  time.Duration            // until then all VMs are pinged at the interval of a small fleet
 }
 
-// peer is another VM and the link that this VM dialled to it. Its fields are
+// peer is another VM with the link that this VM dialled to it. Its fields are
 // guarded by Links.mu.
 type peer struct {
-	address   string
-	status    fleetwire.Status // zero until the VM described itself
-	known     bool
-	link      *link
-	alive     bool
-	lastHeard time.Duration
-	lastPing  time.Duration
-	cancel    context.CancelFunc
-	seen      chan struct{} // has room for one signal: the VM dialled this one
+	address     string
+	status      fleetwire.Status // zero until the VM has sent its status
+	hasStatus   bool
+	link        *link
+	alive       bool
+	lastHeard   time.Duration
+	lastPing    time.Duration
+	cancel      context.CancelFunc
+	dialledBack chan struct{} // signals that the VM dialled this one; has a buffer of one
 }
 
-// New returns the links of a VM that describes itself as self. Other VMs are
-// dialled until ctx is done.
+// New returns the links of a VM whose status is self. They dial other VMs until
+// ctx is done.
 func New(ctx context.Context, n network.Network, p *pool.Pool, self fleetwire.Status, logger log.Interface) *Links {
 	l := &Links{
 		ctx: ctx, net: n, pool: p, logger: logger, self: self,
 		mu: lockrank.New(lockrank.Members), peers: make(map[string]*peer), members: make(map[string]bool),
-		suspected: make(map[string]time.Duration), untold: None,
+		suspectedSince: make(map[string]time.Duration), pendingScope: None,
 	}
 	return l
 }
 
-// Handle sets the handler. Call it before Run.
-func (l *Links) Handle(h Handler) { l.handler = h }
+// SetHandler sets the handler. It must be called before Run.
+func (l *Links) SetHandler(h Handler) { l.handler = h }
 
-// Run accepts and checks links until ctx is done.
+// Run accepts links and monitors all links until ctx is done.
 func (l *Links) Run(ctx context.Context) error {
 	listener, err := l.net.Listen(l.self.Address)
 	if err != nil {
@@ -124,8 +128,8 @@
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { l.tick(ctx) })
-	network.Accept(ctx, listener, tickInterval, func(conn net.Conn) { l.serve(ctx, conn) }, func(err error) {
+	wg.Go(func() { l.runChecks(ctx) })
+	network.Accept(ctx, listener, tickInterval, func(conn net.Conn) { l.serveLink(ctx, conn) }, func(err error) {
 		l.logger.WithError(err).Warn("fleet: a link could not be accepted.")
 	})
 	return nil
@@ -135,44 +139,44 @@
 func (l *Links) View() *placement.View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current()
+	return l.currentView()
 }
 
-// current returns the view, which is made anew after changes only: in a large
-// fleet many come together when it starts. The caller holds mu.
-func (l *Links) current() *placement.View {
+// currentView returns the view. It is rebuilt on demand only, because a large
+// fleet causes many changes at once when it starts. The caller holds mu.
+func (l *Links) currentView() *placement.View {
 	if l.view == nil {
-		l.rebuild()
+		l.rebuildView()
 	}
 	return l.view
 }
 
-// Peers returns what the other VMs said of themselves.
+// Peers returns the statuses of the other VMs that are alive.
 func (l *Links) Peers() []fleetwire.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []fleetwire.Status
 	for _, p := range l.peers {
-		if p.known && p.alive {
+		if p.hasStatus && p.alive {
 			all = append(all, p.status)
 		}
 	}
 	return all
 }
 
-// Scope is to whom a change of a VM's description is told at once. Others learn
-// it with the next change that is told to them.
+// Scope determines which VMs receive a status change at once. The others
+// receive it together with the next change whose scope includes them.
 type Scope uint8
 
-// Scopes.
 const (
 	All  Scope = iota
 	Near       // VMs of the same data centre
 	None
 )
 
-// Describe changes what this VM says of itself and tells other VMs: at once, or
-// together with the changes of the next moment if it has told them just before.
+// Describe changes this VM's status and sends it to the VMs in the scope. It is
+// sent at once, or delayed to keep statusSpacing and then sent together with
+// later changes.
 func (l *Links) Describe(scope Scope, change func(*fleetwire.Status)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,45 +185,44 @@
 	if scope == None {
 		return
 	}
-	waiting := l.untold < None
-	l.untold = min(l.untold, scope)
-	if waiting {
+	scheduled := l.pendingScope < None
+	l.pendingScope = min(l.pendingScope, scope)
+	if scheduled {
 		return
 	}
-	wait := l.toldAt + time.Duration(len(l.peers))*tellSpacing - clock.Now()
+	wait := l.lastStatusAt + time.Duration(len(l.peers))*statusSpacing - clock.Now()
 	if wait <= 0 {
-		l.tell()
+		l.sendStatus()
 		return
 	}
 	time.AfterFunc(wait, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.tell()
+		l.sendStatus()
 	})
 }
 
-// tell sends the description to those that it was not told to. The caller holds
-// mu.
-func (l *Links) tell() {
+// sendStatus sends the status to the VMs in pendingScope. The caller holds mu.
+func (l *Links) sendStatus() {
 	f := fleetwire.Frame{Kind: fleetwire.KindStatus, Body: l.self.Encode()}
 	for _, p := range l.peers {
-		if p.link != nil && (l.untold == All || p.status.DataCentre == l.self.DataCentre) {
+		if p.link != nil && (l.pendingScope == All || p.status.DataCentre == l.self.DataCentre) {
 			p.link.send(f)
 		}
 	}
-	l.untold, l.toldAt = None, clock.Now()
+	l.pendingScope, l.lastStatusAt = None, clock.Now()
 }
 
-// Members sets the VMs in the store's list, by address. VMs that left the list
-// and are not heard of are forgotten.
-func (l *Links) Members(addresses []string) {
+// SetMembers sets the addresses of the VMs in the store's list of members. VMs
+// that are neither in the list nor alive are removed.
+func (l *Links) SetMembers(addresses []string) {
 	l.mu.Lock()
 	l.members = make(map[string]bool, len(addresses))
 	for _, a := range addresses {
 		l.members[a] = true
 	}
 	for a, p := range l.peers {
-		if !l.members[a] && !p.alive && p.known {
+		if !l.members[a] && !p.alive && p.hasStatus {
 			p.cancel()
 			delete(l.peers, a)
 		}
@@ -231,7 +234,8 @@
 	}
 }
 
-// Meet dials the VM at the address, now and whenever its link breaks.
+// Meet connects to the VM at the address, and reconnects whenever the link is
+// lost.
 func (l *Links) Meet(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,20 +243,20 @@
 		return
 	}
 	dialCtx, cancel := context.WithCancel(l.ctx)
-	p := &peer{address: address, cancel: cancel, seen: make(chan struct{}, 1)}
+	p := &peer{address: address, cancel: cancel, dialledBack: make(chan struct{}, 1)}
 	l.peers[address] = p
-	go l.dial(dialCtx, p)
+	go l.maintainLink(dialCtx, p)
 }
 
-// Call sends a call to the named VM. done gets the answer, or false if the link
-// broke before it came. Call reports false, and done is not called, if the VM
-// is not linked and nothing was sent.
+// Call sends a call to the named VM. done receives the answer, or false if the
+// link was lost before the answer arrived. If there is no link to the VM, Call
+// returns false and does not call done.
 func (l *Links) Call(vm string, kind fleetwire.Kind, body []byte, done func(fleetwire.Frame, bool)) bool {
 	k := l.linkTo(vm)
 	return k != nil && k.call(fleetwire.Frame{Kind: kind, Body: body}, done)
 }
 
-// Send sends a message that is not answered.
+// Send sends a message that has no answer.
 func (l *Links) Send(vm string, kind fleetwire.Kind, body []byte) {
 	if k := l.linkTo(vm); k != nil {
 		k.send(fleetwire.Frame{Kind: kind, Body: body})
@@ -263,28 +267,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.peers {
-		if p.known && p.alive && p.status.Name == vm {
+		if p.hasStatus && p.alive && p.status.Name == vm {
 			return p.link
 		}
 	}
 	return nil
 }
 
-// rebuild makes the view and what depends on it anew. The caller holds mu.
-func (l *Links) rebuild() {
+// rebuildView rebuilds the view and maxPingInterval. The caller holds mu.
+func (l *Links) rebuildView() {
 	v := &placement.View{Self: l.self.Name, Members: 1, Listed: len(l.members) > 0}
 	v.VMs = append(v.VMs, placementVM(&l.self, true))
 	for a, p := range l.peers {
-		if p.known {
+		if p.hasStatus {
 			v.VMs = append(v.VMs, placementVM(&p.status, p.alive))
 		}
-		if p.known || l.members[a] {
+		if p.hasStatus || l.members[a] {
 			v.Members++
 		}
 	}
 	l.view = v
-	near, far := l.intervals()
-	l.longest = max(near, far)
+	near, far := l.pingIntervals()
+	l.maxPingInterval = max(near, far)
 }
 
 func placementVM(s *fleetwire.Status, alive bool) placement.VM {
@@ -301,13 +305,13 @@
 	return vm
 }
 
-// learn takes what a VM said of itself: on the link k that this VM dialled to
-// it, or on one that it dialled itself, for which k is nil.
+// applyStatus applies the status of another VM. k is the link if this VM
+// dialled it, or nil if the other VM did.
 //
-// Incarnations are times of day, which may jump back between two runs of a VM.
-// The process that answers at the VM's address is the current one, whatever its
-// incarnation.
-func (l *Links) learn(s fleetwire.Status, k *link) {
+// Incarnations are wall-clock times, which may go backwards between two runs of
+// a VM. The process that answers at the VM's address is the current one,
+// regardless of its incarnation.
+func (l *Links) applyStatus(s fleetwire.Status, k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[s.Address]
@@ -319,49 +323,50 @@
 		k.incarnation = s.Incarnation
 	case p.link == nil:
 		select {
-		case p.seen <- struct{}{}:
+		case p.dialledBack <- struct{}{}:
 		default:
 		}
 	case p.link.incarnation != 0 && p.link.incarnation != s.Incarnation:
-		// The VM runs anew, and its end of the older link is gone.
+		// The VM has restarted, and the old process at the other end of the
+		// link is gone.
 		p.link.out.Abort()
 	}
-	// A VM that was replaced by one of the same name at another address never
-	// answers again.
+	// A VM that was replaced by a VM with the same name at another address will
+	// not answer any more.
 	for a, other := range l.peers {
-		if a != s.Address && other.known && other.status.Name == s.Name && other.status.Incarnation < s.Incarnation {
+		if a != s.Address && other.hasStatus && other.status.Name == s.Name && other.status.Incarnation < s.Incarnation {
 			other.cancel()
 			delete(l.peers, a)
 		}
 	}
-	if !p.known {
-		l.logger.WithFields(log.Fields{"vm": s.Name, "address": s.Address}).Info("fleet: VM learned.")
+	if !p.hasStatus {
+		l.logger.WithFields(log.Fields{"vm": s.Name, "address": s.Address}).Info("fleet: VM discovered.")
 	}
-	if !p.known || k != nil || p.status.Incarnation <= s.Incarnation {
-		p.status, p.known = s, true
+	if !p.hasStatus || k != nil || p.status.Incarnation <= s.Incarnation {
+		p.status, p.hasStatus = s, true
 	}
 	l.view = nil
 }
 
-// heard records an answer of the peer on its link. It returns the VM's name, or
-// "" if the link was closed or the VM has not described itself.
-func (l *Links) heard(p *peer, k *link) string {
+// markAlive records an answer from the peer on its link. It returns the name of
+// the VM, or "" if the link was closed or the VM has not sent its status.
+func (l *Links) markAlive(p *peer, k *link) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.link != k {
 		return ""
 	}
 	p.lastHeard = clock.Now()
-	if !p.alive && p.known {
+	if !p.alive && p.hasStatus {
 		p.alive = true
-		l.logger.WithField("vm", p.status.Name).Info("fleet: VM is heard.")
+		l.logger.WithField("vm", p.status.Name).Info("fleet: VM is reachable.")
 		l.view = nil
 	}
 	return p.status.Name
 }
 
-// lost records that the peer's link broke.
-func (l *Links) lost(p *peer, k *link, why error) {
+// markLost records that the link to the peer was lost.
+func (l *Links) markLost(p *peer, k *link, cause error) {
 	l.mu.Lock()
 	changed := false
 	if p.link == k {
@@ -373,7 +378,7 @@
 	name := p.status.Name
 	l.mu.Unlock()
 	if changed {
-		l.logger.WithFields(log.Fields{"vm": name, "why": why.Error()}).Warn("fleet: VM is not heard.")
+		l.logger.WithFields(log.Fields{"vm": name, "why": cause.Error()}).Warn("fleet: VM is unreachable.")
 		l.handler.VMLost(name)
 	}
 }
--- a/transport/fleetlink/fleetlink_test.go
+++ b/transport/fleetlink/fleetlink_test.go
@@ -21,68 +21,69 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// idle answers pings and nothing else.
-type idle struct{}
+// idleHandler answers pings and ignores everything else.
+type idleHandler struct{}
 
-func (idle) Execute(string, *statement.Work, func(statement.Result)) {}
-func (idle) EndTx(string, uint64)                                    {}
-func (idle) LinkClosed(string)                                       {}
-func (idle) Grant(catalog.Half, int) int                             { return 0 }
-func (idle) VMLost(string)                                           {}
-func (idle) Ping() []byte                                            { return nil }
-func (idle) Pong(string, string, []byte) fleetwire.Pong              { return fleetwire.Pong{} }
-func (idle) PongReceived(string, fleetwire.Pong, time.Duration)      {}
-func (idle) StatusReceived(*fleetwire.Status)                        {}
-func (idle) Document([]byte) []byte                                  { return nil }
+func (idleHandler) Execute(string, *statement.Work, func(statement.Result)) {}
+func (idleHandler) AbortTx(string, uint64)                                  {}
+func (idleHandler) LinkClosed(string)                                       {}
+func (idleHandler) GrantTokens(catalog.Half, int) int                       { return 0 }
+func (idleHandler) VMLost(string)                                           {}
+func (idleHandler) PingBody() []byte                                        { return nil }
+func (idleHandler) HandlePing(string, string, []byte) fleetwire.Pong        { return fleetwire.Pong{} }
+func (idleHandler) HandlePong(string, fleetwire.Pong, time.Duration)        {}
+func (idleHandler) HandleStatus(*fleetwire.Status)                          {}
+func (idleHandler) UpdatesSince([]byte) []byte                              { return nil }
 
-// world is where the VMs of a test run.
-type world struct {
+// testFleet is the environment in which the VMs of a test run.
+type testFleet struct {
 	net     *memnet.Network
 	pool    *pool.Pool
-	size    int // of the fleet
+	size    int // number of VMs in the list of members
 	ctx     context.Context
 	running sync.WaitGroup
 }
 
 func address(vm int) string { return fmt.Sprintf("vm-%d:7000", vm) }
 
-// start starts the links of a VM, which is in a data centre of its own, and
-// returns them and what ends the VM.
-func (w *world) start(vm int, change func(*fleetwire.Status)) (*fleetlink.Links, func()) {
-	return w.run(vm, idle{}, change)
+// start starts the links of a VM in a data centre of its own. It returns them
+// and a function that stops the VM.
+func (f *testFleet) start(vm int, change func(*fleetwire.Status)) (*fleetlink.Links, func()) {
+	return f.run(vm, idleHandler{}, change)
 }
 
-// startHandling starts the links of a VM with a handler.
-func (w *world) startHandling(vm int, h fleetlink.Handler) { w.run(vm, h, nil) }
+// startWithHandler starts the links of a VM with the given handler.
+func (f *testFleet) startWithHandler(vm int, h fleetlink.Handler) { f.run(vm, h, nil) }
 
-func (w *world) run(vm int, h fleetlink.Handler, change func(*fleetwire.Status)) (*fleetlink.Links, func()) {
-	ctx, cancel := context.WithCancel(w.ctx)
+func (f *testFleet) run(vm int, h fleetlink.Handler, change func(*fleetwire.Status)) (*fleetlink.Links, func()) {
+	ctx, cancel := context.WithCancel(f.ctx)
 	name, dc := fmt.Sprintf("vm-%d", vm), fmt.Sprintf("dc-%d", vm)
 	status := fleetwire.Status{Name: name, Address: address(vm), DataCentre: dc, Incarnation: 1}
 	if change != nil {
 		change(&status)
 	}
-	l := fleetlink.New(ctx, w.net.Host(name, dc), w.pool, status, &log.Logger{Handler: discard.Default})
-	l.Handle(h)
+	l := fleetlink.New(ctx, f.net.Host(name, dc), f.pool, status, &log.Logger{Handler: discard.Default})
+	l.SetHandler(h)
 	ended := make(chan struct{})
-	w.running.Go(func() {
+	f.running.Go(func() {
 		defer close(ended)
 		_ = l.Run(ctx)
 	})
 	var addresses []string
-	for i := range w.size {
+	for i := range f.size {
 		addresses = append(addresses, address(i+1))
 	}
-	l.Members(addresses)
+	l.SetMembers(addresses)
 	return l, func() {
 		cancel()
 		<-ended
-		w.net.Break(memnet.Hosts(name), memnet.All())
+		f.net.Break(memnet.Hosts(name), memnet.All())
 	}
 }
 
-// inWorld runs a test with a fleet of the given size, of which no VM runs yet.
-func inWorld(t *testing.T, size int, test func(w *world)) {
+// runWithFleet runs a test with a fleet of the given size, in which no VM is
+// running yet.
+func runWithFleet(t *testing.T, size int, test func(f *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now().Add(-time.Hour)
@@ -91,35 +92,37 @@
 		n := memnet.New(1)
 		defer n.Close()
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{net: n, pool: pool.New(2), size: size, ctx: ctx}
-		w.running.Go(func() { _ = w.pool.Run(ctx) })
-		test(w)
+		f := &testFleet{net: n, pool: pool.New(2), size: size, ctx: ctx}
+		f.running.Go(func() { _ = f.pool.Run(ctx) })
+		test(f)
 		cancel()
 		n.Close()
-		w.running.Wait()
-		time.Sleep(time.Minute) // dials to VMs that do not run end by their time-out
+		f.running.Wait()
+		time.Sleep(time.Minute) // dials to VMs that are not running time out
 	})
 }
 
-// inFleet runs a test with the links of vm-1 and vm-2. The other VMs do not run.
-func inFleet(t *testing.T, size int, test func(n *memnet.Network, from *fleetlink.Links)) {
+// runWithTwoVMs runs a test with the links of vm-1 and vm-2. The other VMs of
+// the fleet are not running.
+func runWithTwoVMs(t *testing.T, size int, test func(n *memnet.Network, from *fleetlink.Links)) {
 	t.Helper()
-	inWorld(t, size, func(w *world) {
-		first, _ := w.start(1, nil)
-		w.start(2, nil)
+	runWithFleet(t, size, func(f *testFleet) {
+		first, _ := f.start(1, nil)
+		f.start(2, nil)
 		time.Sleep(2 * time.Second)
-		test(w.net, first)
+		test(f.net, first)
 	})
 }
 
-// lost returns how long a call to vm-2 takes to fail once vm-2 is silent.
-func lost(t *testing.T, n *memnet.Network, from *fleetlink.Links) time.Duration {
+// timeToFailure partitions vm-1 from vm-2 and returns how long a call to vm-2
+// takes to fail.
+func timeToFailure(t *testing.T, n *memnet.Network, from *fleetlink.Links) time.Duration {
 	t.Helper()
 	n.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2"))
 	sent := time.Now()
 	ended := make(chan bool, 1)
 	if !from.Call("vm-2", fleetwire.KindTokens, fleetwire.AppendTokens(nil, catalog.Half{Customer: "c"}, 1), func(_ fleetwire.Frame, ok bool) { ended <- ok }) {
-		t.Fatal("vm-2 is not linked")
+		t.Fatal("there is no link to vm-2")
 	}
 	if ok := <-ended; ok {
 		t.Fatal("a silent VM answered")
@@ -127,153 +130,156 @@
 	return time.Since(sent)
 }
 
-// Guards against statements that wait behind a silent VM for as long as a large
-// fleet takes to notice it by its rare pings.
+// Guards against statements that wait for a silent VM until it is detected by
+// the infrequent pings of a large fleet.
 func TestSilentVMIsNoticed(t *testing.T) {
-	const noticedWithin = 1200 * time.Millisecond
+	const detectedWithin = 1200 * time.Millisecond
 	for _, size := range []int{2, 300} {
-		inFleet(t, size, func(n *memnet.Network, from *fleetlink.Links) {
-			if took := lost(t, n, from); took > noticedWithin {
-				t.Errorf("a call in a fleet of %d VMs ended after %v, want %v", size, took, noticedWithin)
+		runWithTwoVMs(t, size, func(n *memnet.Network, from *fleetlink.Links) {
+			if took := timeToFailure(t, n, from); took > detectedWithin {
+				t.Errorf("a call in a fleet of %d VMs failed after %v, want at most %v", size, took, detectedWithin)
 			}
 		})
 	}
 }
 
-// Guards against pings that grow with the fleet: their rate is bounded.
+// Guards against a number of pings that grows with the fleet. Their rate must
+// be bounded.
 func TestPingIntervalGrowsWithFleet(t *testing.T) {
-	inFleet(t, 2, func(_ *memnet.Network, from *fleetlink.Links) {
+	runWithTwoVMs(t, 2, func(_ *memnet.Network, from *fleetlink.Links) {
 		if got := from.PingInterval(); got != 200*time.Millisecond {
-			t.Errorf("interval of 2 VMs: %v", got)
+			t.Errorf("interval with 2 VMs: %v, want 200ms", got)
 		}
 	})
-	inFleet(t, 300, func(_ *memnet.Network, from *fleetlink.Links) {
+	runWithTwoVMs(t, 300, func(_ *memnet.Network, from *fleetlink.Links) {
 		if got := from.PingInterval(); got < 4*time.Second {
-			t.Errorf("interval of 300 VMs: %v", got)
+			t.Errorf("interval with 300 VMs: %v, want at least 4s", got)
 		}
 	})
 }
 
-// Guards against VMs that start one after the other and miss each other until
-// the next attempt to dial: after a restart of the fleet the limits' shares are
-// out of reach for that time.
+// Guards against VMs that start one after the other and are linked only at the
+// next regular dial attempt. After a restart of the fleet, limits could not be
+// lent during that time.
 func TestVMThatStartsIsLinkedAtOnce(t *testing.T) {
 	const linkedWithin = 20 * time.Millisecond // a few round trips
 	for offset := time.Duration(0); offset < 300*time.Millisecond; offset += 60 * time.Millisecond {
-		inWorld(t, 2, func(w *world) {
-			first, _ := w.start(1, nil)
+		runWithFleet(t, 2, func(f *testFleet) {
+			first, _ := f.start(1, nil)
 			time.Sleep(time.Second + offset)
-			w.start(2, nil)
+			f.start(2, nil)
 			time.Sleep(linkedWithin)
 			if n := first.View().AliveCount(); n != 2 {
-				t.Errorf("started %v after an attempt: %d VMs are heard after %v", offset, n, linkedWithin)
+				t.Errorf("started %v after a dial attempt: %d VMs are alive after %v, want 2", offset, n, linkedWithin)
 			}
 		})
 	}
 }
 
-// Guards against a VM that started again after its clock was set back and whose
-// description is taken for an older one: the others would go on to believe that
-// it is leaving.
+// Guards against a VM that restarted after its clock was set back and whose
+// status is rejected as outdated. The other VMs would continue to treat it as
+// leaving.
 func TestRestartWithClockSetBack(t *testing.T) {
-	inWorld(t, 2, func(w *world) {
-		first, _ := w.start(1, nil)
-		_, stop := w.start(2, func(s *fleetwire.Status) { s.Incarnation, s.Leaving = 100, true })
+	runWithFleet(t, 2, func(f *testFleet) {
+		first, _ := f.start(1, nil)
+		_, stop := f.start(2, func(s *fleetwire.Status) { s.Incarnation, s.Leaving = 100, true })
 		time.Sleep(time.Second)
 		stop()
-		w.start(2, func(s *fleetwire.Status) { s.Incarnation = 50 })
+		f.start(2, func(s *fleetwire.Status) { s.Incarnation = 50 })
 		time.Sleep(time.Second)
 		for _, vm := range first.View().VMs {
 			if vm.Name == "vm-2" && (vm.Leaving || !vm.Alive || vm.Incarnation != 50) {
-				t.Errorf("after its restart vm-2 is known as %+v", vm)
+				t.Errorf("status of vm-2 after its restart: %+v", vm)
 			}
 		}
 	})
 }
 
-// Guards against calls that wait behind a VM which lost its power and runs
-// again: its new process does not know their link.
-func TestCallsEndWhenVMRunsAnew(t *testing.T) {
-	const noticedWithin = 20 * time.Millisecond // a few round trips
-	inWorld(t, 2, func(w *world) {
-		first, _ := w.start(1, nil)
-		w.start(2, nil)
+// Guards against calls that wait for a VM which lost power and restarted. Its
+// new process does not know the old link, so they would never be answered.
+func TestCallsEndWhenVMRestarts(t *testing.T) {
+	const detectedWithin = 20 * time.Millisecond // a few round trips
+	runWithFleet(t, 2, func(f *testFleet) {
+		first, _ := f.start(1, nil)
+		f.start(2, nil)
 		time.Sleep(time.Second)
-		// A call that the old process never answers.
-		cut := w.net.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2"))
-		defer cut.Heal()
+		// The old process never answers this call.
+		partition := f.net.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2"))
+		defer partition.Heal()
 		failed := make(chan time.Time, 1)
 		first.Call("vm-2", fleetwire.KindTokens, fleetwire.AppendTokens(nil, catalog.Half{Customer: "c"}, 1), func(fleetwire.Frame, bool) { failed <- time.Now() })
-		// Its successor describes itself, from another path than the silent one.
-		conn, err := w.net.Host("vm-2-again", "dc-2").Dial(w.ctx, address(1))
+		// The restarted process sends its status over another path, because the
+		// one between the two VMs is partitioned.
+		conn, err := f.net.Host("vm-2-again", "dc-2").Dial(f.ctx, address(1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		anew := fleetwire.Status{Name: "vm-2", Address: address(2), DataCentre: "dc-2", Incarnation: 2}
-		said := time.Now()
-		if _, err := conn.Write(fleetwire.Frame{Kind: fleetwire.KindStatus, Body: anew.Encode()}.Append(nil)); err != nil {
+		restarted := fleetwire.Status{Name: "vm-2", Address: address(2), DataCentre: "dc-2", Incarnation: 2}
+		sentAt := time.Now()
+		if _, err := conn.Write(fleetwire.Frame{Kind: fleetwire.KindStatus, Body: restarted.Encode()}.Append(nil)); err != nil {
 			t.Fatal(err)
 		}
-		if took := (<-failed).Sub(said); took > noticedWithin {
-			t.Errorf("a call of before the restart fails %v after it, want %v", took, noticedWithin)
+		if took := (<-failed).Sub(sentAt); took > detectedWithin {
+			t.Errorf("a call sent before the restart failed %v after it, want at most %v", took, detectedWithin)
 		}
 	})
 }
 
-// Guards against a data centre that is cut off and, in a large fleet, known to be
-// so only when the next rare pings to all of its VMs are missed.
+// Guards against a partitioned data centre that a large fleet detects only
+// after the next infrequent pings to all of its VMs have failed.
 func TestCutOffDataCentreIsNoticed(t *testing.T) {
-	const noticedWithin = 2 * time.Second // within the two probes that take a VM out of rotation
-	inWorld(t, 300, func(w *world) {
-		first, _ := w.start(1, nil)
+	const detectedWithin = 2 * time.Second // shorter than the two probes after which a VM is taken out of rotation
+	runWithFleet(t, 300, func(f *testFleet) {
+		first, _ := f.start(1, nil)
 		far := func(s *fleetwire.Status) { s.DataCentre = "dc-far" }
-		w.start(2, far)
-		w.start(3, far)
+		f.start(2, far)
+		f.start(3, far)
 		time.Sleep(2 * time.Second)
 		if n := first.View().AliveCount(); n != 3 {
-			t.Fatalf("%d VMs are heard", n)
+			t.Fatalf("%d VMs are alive, want 3", n)
 		}
-		cut := w.net.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2", "vm-3"))
-		defer cut.Heal()
+		partition := f.net.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2", "vm-3"))
+		defer partition.Heal()
 		first.Call("vm-2", fleetwire.KindTokens, fleetwire.AppendTokens(nil, catalog.Half{Customer: "c"}, 1), func(fleetwire.Frame, bool) {})
-		time.Sleep(noticedWithin)
+		time.Sleep(detectedWithin)
 		if n := first.View().AliveCount(); n != 1 {
-			t.Errorf("%d VMs are taken as alive %v after the cut", n, noticedWithin)
+			t.Errorf("%d VMs are considered alive %v after the partition, want 1", n, detectedWithin)
 		}
 	})
 }
 
-// Guards against a VM that describes itself to a large fleet at each of many
-// changes, and against a last change that is not told.
-func TestDescriptionsAreToldTogether(t *testing.T) {
-	inWorld(t, 300, func(w *world) {
-		first, _ := w.start(1, nil)
-		h := &listener{}
-		w.startHandling(2, h)
+// Guards against a VM that sends its status to a large fleet on every single
+// change, and against a last change that is never sent.
+func TestStatusChangesAreBatched(t *testing.T) {
+	runWithFleet(t, 300, func(f *testFleet) {
+		first, _ := f.start(1, nil)
+		h := &statusRecorder{}
+		f.startWithHandler(2, h)
 		time.Sleep(2 * time.Second)
-		before := h.heard.Load()
+		before := h.received.Load()
 		for i := range 100 {
 			first.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Revisions = map[string]uint64{"kind": uint64(i + 1)} })
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(400 * time.Millisecond)
-		if told := h.heard.Load() - before; told > 6 {
-			t.Errorf("100 changes in a second are told %d times", told)
+		if sent := h.received.Load() - before; sent > 6 {
+			t.Errorf("100 changes in a second caused %d status messages, want at most 6", sent)
 		}
 		if latest := h.revision.Load(); latest != 100 {
-			t.Errorf("the latest revision told is %d", latest)
+			t.Errorf("the latest revision received is %d, want 100", latest)
 		}
 	})
 }
 
-// listener counts descriptions and keeps the latest revision of "kind".
-type listener struct {
-	idle
-	heard, revision atomic.Uint64
+// statusRecorder counts the statuses received and keeps the latest revision of
+// "kind".
+type statusRecorder struct {
+	idleHandler
+	received, revision atomic.Uint64
 }
 
-func (l *listener) StatusReceived(s *fleetwire.Status) {
-	l.heard.Add(1)
-	l.revision.Store(s.Revisions["kind"])
+func (r *statusRecorder) HandleStatus(s *fleetwire.Status) {
+	r.received.Add(1)
+	r.revision.Store(s.Revisions["kind"])
 }
--- a/transport/fleetlink/link.go
+++ b/transport/fleetlink/link.go
@@ -10,35 +10,36 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/outbox"
 )
 
-// link is one connection between two VMs.
+// link is a connection between two VMs.
 type link struct {
 	conn net.Conn
 	out  *outbox.Outbox
-	// incarnation is that of the VM at the other end of a link that this VM
-	// dialled; zero until it described itself. It is guarded by Links.mu.
+	// incarnation of the VM at the other end of a link that this VM dialled;
+	// zero until that VM has sent its status. It is guarded by Links.mu.
 	incarnation int64
 
 	mu     sync.Mutex // guards the fields below; no other lock is taken under it
 	lastID uint64
-	calls  map[uint64]pending
+	calls  map[uint64]pendingCall
 	broken bool
-	// waiting is the number of calls under way but for pings, and waitsFrom the
-	// time since which it is not zero.
-	waiting   int
-	waitsFrom time.Duration
+	// waitingCalls is the number of unanswered calls other than pings, and
+	// waitingFrom the time since which it has been above zero.
+	waitingCalls int
+	waitingFrom  time.Duration
 }
 
-// pending is a call that was not answered.
-type pending struct {
+// pendingCall is a call without an answer yet.
+type pendingCall struct {
 	ping bool
 	done func(fleetwire.Frame, bool)
 }
 
 func newLink(conn net.Conn) *link {
-	return &link{conn: conn, out: outbox.New(conn, outboxHigh), calls: make(map[uint64]pending)}
+	return &link{conn: conn, out: outbox.New(conn, maxOutboxBytes), calls: make(map[uint64]pendingCall)}
 }
 
-// call sends a call and reports whether it was sent.
+// call sends a call. It returns false, without calling done, if the link is
+// closed.
 func (k *link) call(f fleetwire.Frame, done func(fleetwire.Frame, bool)) bool {
 	k.mu.Lock()
 	if k.broken {
@@ -48,24 +49,24 @@
 	k.lastID++
 	f.ID = k.lastID
 	ping := f.Kind == fleetwire.KindPing
-	k.calls[f.ID] = pending{ping, done}
+	k.calls[f.ID] = pendingCall{ping, done}
 	if !ping {
-		if k.waiting == 0 {
-			k.waitsFrom = clock.Now()
+		if k.waitingCalls == 0 {
+			k.waitingFrom = clock.Now()
 		}
-		k.waiting++
+		k.waitingCalls++
 	}
 	k.mu.Unlock()
 	k.send(f)
 	return true
 }
 
-func (k *link) answered(f fleetwire.Frame) {
+func (k *link) handleAnswer(f fleetwire.Frame) {
 	k.mu.Lock()
 	c, known := k.calls[f.ID]
 	delete(k.calls, f.ID)
 	if known && !c.ping {
-		k.waiting--
+		k.waitingCalls--
 	}
 	k.mu.Unlock()
 	if known {
@@ -73,15 +74,16 @@
 	}
 }
 
-// waits reports since when calls other than pings wait for their answers.
-func (k *link) waits() (since time.Duration, waiting bool) {
+// waitingSince returns the time since which calls other than pings have been
+// waiting for answers, and whether any are waiting.
+func (k *link) waitingSince() (since time.Duration, waiting bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.waitsFrom, k.waiting > 0
+	return k.waitingFrom, k.waitingCalls > 0
 }
 
-// fail ends the calls that were not answered.
-func (k *link) fail() {
+// failCalls closes the link for calls and fails the unanswered ones.
+func (k *link) failCalls() {
 	k.mu.Lock()
 	k.broken = true
 	calls := k.calls
--- a/transport/fleetlink/ping.go
+++ b/transport/fleetlink/ping.go
@@ -12,26 +12,29 @@
 const (
 	// tickInterval is how often links are checked.
 	tickInterval = 100 * time.Millisecond
-	// pingInterval in a small fleet. It grows with the fleet so that a VM
-	// sends no more than pingsPerSecond pings inside its data centre, and as
-	// many to others.
+	// pingInterval is the interval in a small fleet. It increases with the size
+	// of the fleet, so that a VM sends at most pingsPerSecond pings within its
+	// data centre, and as many to other data centres.
 	pingInterval   = 200 * time.Millisecond
 	pingsPerSecond = 60
-	// eagerTime is how long pings are faster after they say something new. The
-	// VMs that it concerns may learn of it in another order.
-	eagerTime = 700 * time.Millisecond
-	// deadAfter is a few ping intervals: a VM that is short of processor time
-	// answers late, and the executor of a statement moves when it is missed.
-	deadAfter = 800 * time.Millisecond
-	deadPings = 3
-	// suspectFor is how long the VMs of a data centre are pinged as in a small
-	// fleet after one of them went silent: the data centre may be cut off, and in
-	// a large fleet the next pings to the others are seconds away.
-	suspectFor = 2 * time.Second
+	// fastPingPeriod is how long pings are more frequent after their body has
+	// changed. The VMs concerned may learn of the change in a different order.
+	fastPingPeriod = 700 * time.Millisecond
+	// silenceTimeout spans several ping intervals, because a VM that is short
+	// of CPU time answers late and every VM that is declared dead causes
+	// executors of statements to move. In a large fleet silenceIntervals ping
+	// intervals apply if they are longer.
+	silenceTimeout   = 800 * time.Millisecond
+	silenceIntervals = 3
+	// suspectPeriod is how long the VMs of a data centre are pinged at the
+	// interval of a small fleet after one of them became silent. The whole data
+	// centre may be unreachable, and in a large fleet the next regular pings to
+	// its other VMs may be seconds away.
+	suspectPeriod = 2 * time.Second
 )
 
-// tick pings the other VMs and closes silent links until ctx is done.
-func (l *Links) tick(ctx context.Context) {
+// runChecks sends due pings and closes silent links until ctx is done.
+func (l *Links) runChecks(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -40,35 +43,35 @@
 			return
 		case <-ticker.C:
 		}
-		l.check()
+		l.checkLinks()
 	}
 }
 
-func (l *Links) check() {
-	body := l.handler.Ping()
-	pings, silent := l.due(body, clock.Now())
+func (l *Links) checkLinks() {
+	body := l.handler.PingBody()
+	pings, silent := l.collectDue(body, clock.Now())
 	for _, k := range silent {
 		k.out.Abort()
 	}
 	for _, d := range pings {
-		l.ping(d.peer, d.link, body)
+		l.sendPing(d.peer, d.link, body)
 	}
 }
 
-// duePing is a ping that is to be sent.
+// duePing identifies the receiver of a ping.
 type duePing struct {
 	peer *peer
 	link *link
 }
 
-// due returns the pings to send now and the links to give up. body is what the
-// pings say.
-func (l *Links) due(body []byte, now time.Duration) (pings []duePing, silent []*link) {
+// collectDue returns the pings to send now and the links to close because the
+// peer is silent. body is the current body of pings.
+func (l *Links) collectDue(body []byte, now time.Duration) (pings []duePing, silent []*link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	near, far := l.intervals()
-	if !bytes.Equal(body, l.said) {
-		l.said, l.eagerUntil = body, now+eagerTime
+	near, far := l.pingIntervals()
+	if !bytes.Equal(body, l.lastPingBody) {
+		l.lastPingBody, l.fastPingUntil = body, now+fastPingPeriod
 	}
 	for _, p := range l.peers {
 		if p.link == nil {
@@ -78,29 +81,29 @@
 		if p.status.DataCentre == l.self.DataCentre {
 			interval = near
 		}
-		limit := max(deadAfter, deadPings*interval)
-		if now < l.eagerUntil {
+		limit := max(silenceTimeout, silenceIntervals*interval)
+		if now < l.fastPingUntil {
 			interval = min(interval, pingInterval)
 		}
-		if since, suspected := l.suspected[p.status.DataCentre]; suspected && now-since < suspectFor {
+		if since, suspected := l.suspectedSince[p.status.DataCentre]; suspected && now-since < suspectPeriod {
 			interval = min(interval, pingInterval)
-			if now-max(p.lastHeard, since) > deadAfter {
-				limit = deadAfter
+			if now-max(p.lastHeard, since) > silenceTimeout {
+				limit = silenceTimeout
 			}
 		}
-		if since, waiting := p.link.waits(); waiting {
-			// Statements wait behind this link, so it matters sooner than the
-			// interval of a large fleet tells whether the VM is there.
+		if since, waiting := p.link.waitingSince(); waiting {
+			// Statements are waiting for answers on this link, so a dead VM has
+			// to be detected sooner than at the ping interval of a large fleet.
 			interval = min(interval, pingInterval)
-			if now-max(p.lastHeard, since) > deadAfter {
-				limit = deadAfter
+			if now-max(p.lastHeard, since) > silenceTimeout {
+				limit = silenceTimeout
 			}
 		}
 		switch {
 		case now-p.lastHeard > limit:
 			silent = append(silent, p.link)
-			if now-l.suspected[p.status.DataCentre] >= suspectFor {
-				l.suspected[p.status.DataCentre] = now
+			if now-l.suspectedSince[p.status.DataCentre] >= suspectPeriod {
+				l.suspectedSince[p.status.DataCentre] = now
 			}
 		case now-p.lastPing >= interval:
 			p.lastPing = now
@@ -110,9 +113,9 @@
 	return pings, silent
 }
 
-// intervals returns the times between pings inside the data centre and to
-// others. The caller holds mu.
-func (l *Links) intervals() (near, far time.Duration) {
+// pingIntervals returns the intervals between pings to a VM of the same data
+// centre and to one of another data centre. The caller holds mu.
+func (l *Links) pingIntervals() (near, far time.Duration) {
 	nearby := 0
 	for _, p := range l.peers {
 		if p.status.DataCentre == l.self.DataCentre {
@@ -125,16 +128,16 @@
 	return interval(nearby), interval(len(l.peers) - nearby)
 }
 
-// PingInterval returns the longest time between two pings to a VM.
+// PingInterval returns the longest interval between two pings to the same VM.
 func (l *Links) PingInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.current()
-	return l.longest
+	l.currentView()
+	return l.maxPingInterval
 }
 
-// ping asks the peer for a pong.
-func (l *Links) ping(p *peer, k *link, body []byte) {
+// sendPing pings the peer and passes the answer to the handler.
+func (l *Links) sendPing(p *peer, k *link, body []byte) {
 	sentAt := clock.Now()
 	k.call(fleetwire.Frame{Kind: fleetwire.KindPing, Body: body}, func(f fleetwire.Frame, ok bool) {
 		if !ok {
@@ -145,8 +148,8 @@
 			l.logger.WithError(err).Error("fleet: a pong cannot be decoded.")
 			return
 		}
-		if name := l.heard(p, k); name != "" {
-			l.handler.PongReceived(name, pong, sentAt)
+		if name := l.markAlive(p, k); name != "" {
+			l.handler.HandlePong(name, pong, sentAt)
 		}
 	})
 }
