--- a/transport/limits/limits.go
+++ b/transport/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits drives the decisions on fleet-wide limits: it sends and answers
-// lease queries and loan requests as a part of the exchange between VMs, keeps
-// base shares up to date, and passes on decisions about waiting requests.
+// Package limits runs the coordination of fleet-wide limits. It sends and
+// answers lease queries and loan requests as part of the exchange between VMs,
+// keeps the base shares up to date, and delivers decisions on waiting requests.
 package limits
 
 import (
@@ -20,51 +20,52 @@
 )
 
 const (
-	// tickInterval is how often the tickets applied by other VMs are looked at.
+	// tickInterval is how often the tickets applied by other VMs are checked.
 	tickInterval = 250 * time.Millisecond
-	// queueLimit bounds the events that wait; requests to advance are merged.
+	// queueLimit limits the queued events. Events that advance waiting requests
+	// and loans are merged.
 	queueLimit = 64
 )
 
-// Options are the parts that Limits works with.
+// Options holds the dependencies and settings of Limits.
 type Options struct {
 	Pool   *pool.Pool
 	Tables *state.Tables
-	// Decide takes the decision on a request that waited. It must not block.
+	// Decide delivers the decision on a waiting request. It must not block.
 	Decide func(share.Decision)
-	// Send asks for an exchange with the named VMs soon.
+	// Send requests an exchange with the named VMs soon.
 	Send func(names ...string)
-	// Lower applies a reduced connection limit of a backend server at once.
+	// Lower applies a reduced connection limit of a backend server immediately.
 	Lower func(server string)
-	// Store holds the lease objects of VMs in data centres with fewer than three
-	// VMs; nil if there is no store.
+	// Store holds the lease objects of VMs in data centres with fewer than
+	// three VMs. It is nil if there is no store.
 	Store LeaseStore
-	// Static gives every VM the same share and lends nothing. It is the baseline
-	// for measurements.
+	// Static gives all VMs the same share and disables loans. It serves as the
+	// baseline in benchmarks.
 	Static bool
-	// FirstProcess says that no process of this VM's name ran within the last
-	// share.ConnectionLoanPeriod.
+	// FirstProcess states that no process with this VM's name ran within the
+	// last share.ConnectionLoanPeriod.
 	FirstProcess bool
 	Logger       log.Interface
 	Scope        tally.Scope
 }
 
-// Limits drives the limits of one VM.
+// Limits coordinates the limits of one VM.
 type Limits struct {
 	Options
-	queue   *pool.Queue
-	queued  atomic.Bool // an advance is queued
-	metrics metrics
+	queue         *pool.Queue
+	advanceQueued atomic.Bool // an event that calls advance is queued
+	metrics       metrics
 
-	// The fields below are used only by events of the queue.
-	timer  *time.Timer
-	next   time.Time     // when the timer fires; zero if it is not armed
-	config *state.Config // that the shares were computed from
-	agreed uint64
-	held   bool
+	// The fields below are accessed only by events in the queue.
+	timer        *time.Timer
+	timerAt      time.Time     // expiry of the timer; zero if it is not armed
+	sharesConfig *state.Config // from which the shares were computed
+	sharesTicket uint64
+	leaseHeld    bool
 
-	mu      sync.Mutex // guards pending; no other lock is taken under it
-	pending map[string][]share.LoanRequest
+	mu           sync.Mutex // guards pendingLoans; no other lock is taken under it
+	pendingLoans map[string][]share.LoanRequest
 }
 
 type metrics struct {
@@ -75,12 +76,12 @@
 	dropped  tally.Counter
 }
 
-// New returns Limits that grant nothing until Run is called.
+// New returns a Limits that grants nothing until Run is called.
 func New(o Options) *Limits {
 	return &Limits{
-		Options: o,
-		queue:   o.Pool.NewQueue(queueLimit),
-		pending: make(map[string][]share.LoanRequest),
+		Options:      o,
+		queue:        o.Pool.NewQueue(queueLimit),
+		pendingLoans: make(map[string][]share.LoanRequest),
 		metrics: metrics{
 			held:     o.Scope.Gauge("lease_held"),
 			asked:    o.Scope.Counter("loans_asked"),
@@ -91,19 +92,19 @@
 	}
 }
 
-// Run drives the limits until ctx is done.
+// Run coordinates the limits until ctx is done.
 func (l *Limits) Run(ctx context.Context) error {
 	lease.Start(l.Tables.Lease, time.Now())
 	share.Start(l.Tables.Shares, l.Static, l.FirstProcess)
 	var store sync.WaitGroup
 	if l.Store != nil {
-		store.Go(func() { l.confirmByStore(ctx) })
+		store.Go(func() { l.confirmWithStore(ctx) })
 	}
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		changed := l.Tables.Config.Changed()
-		l.queue.Post(l.tick)
+		l.queue.Post(l.refreshShares)
 		select {
 		case <-ctx.Done():
 			store.Wait()
@@ -120,28 +121,29 @@
 	}
 }
 
-// Advance looks at waiting requests and loans at the given time at the latest.
+// Advance schedules the processing of waiting requests and loans for the given
+// time at the latest.
 func (l *Limits) Advance(at time.Time) {
 	if time.Until(at) <= 0 {
 		l.advanceNow()
 		return
 	}
-	l.queue.PostAlways(func() { l.arm(at) })
+	l.queue.PostAlways(func() { l.armTimer(at) })
 }
 
 func (l *Limits) advanceNow() {
-	if l.queued.CompareAndSwap(false, true) && !l.queue.PostAlways(l.advance) {
-		l.queued.Store(false)
+	if l.advanceQueued.CompareAndSwap(false, true) && !l.queue.PostAlways(l.advance) {
+		l.advanceQueued.Store(false)
 	}
 }
 
-// Leave lends what this VM does not use itself, and borrows nothing any more.
+// Leave starts to lend what this VM does not use itself, and stops borrowing.
 func (l *Limits) Leave() {
 	share.Leave(l.Tables.Shares, time.Now())
 	l.advanceNow()
 }
 
-// Applied returns the ticket that this VM reports as applied.
+// Applied returns the number of the ticket that this VM reports as applied.
 func (l *Limits) Applied() uint64 { return share.AppliedTicket(l.Tables, time.Now()) }
 
 // Voters returns the VMs that confirm this VM's incarnation.
@@ -149,13 +151,15 @@
 	return lease.VotersOf(l.Tables.Config.Current(), l.Tables.Self.Name).VMs
 }
 
-// Usable reports whether this VM may spend from its shares, and knows them.
+// Usable reports whether this VM holds a valid lease and has computed its
+// shares.
 func (l *Limits) Usable() bool {
 	return lease.Valid(l.Tables.Lease, time.Now()) && l.Tables.Shares.Agreed() > 0
 }
 
-// tick brings the base shares up to date.
-func (l *Limits) tick() {
+// refreshShares updates the base shares and processes waiting requests and
+// loans.
+func (l *Limits) refreshShares() {
 	cfg := l.Tables.Config.Current()
 	if cfg == nil {
 		return
@@ -169,41 +173,42 @@
 		}
 	}
 	l.recompute(cfg, share.Agreed(l.Tables.Shares, reports), now)
-	l.noteHold(now)
+	l.updateLeaseState(now)
 	l.advance()
 }
 
-// recompute derives the base shares if the configuration or the agreed ticket
+// recompute computes the base shares if the configuration or the agreed ticket
 // has changed.
 func (l *Limits) recompute(cfg *state.Config, agreed uint64, now time.Time) {
-	if cfg != l.config || agreed != l.agreed {
+	if cfg != l.sharesConfig || agreed != l.sharesTicket {
 		share.Recompute(l.Tables, cfg, agreed, now)
-		l.config, l.agreed = cfg, agreed
+		l.sharesConfig, l.sharesTicket = cfg, agreed
 	}
 }
 
-// learnAgreed takes what a neighbour knows to be agreed. A new process needs it
-// while another VM is silent, because it never sees that VM report the ticket.
-// The neighbour must have been asked after this process's lease hold began.
-func (l *Limits) learnAgreed(agreed uint64, sentAt time.Time) {
+// adoptAgreed applies a ticket that another VM knows to be agreed. A new
+// process needs this while a VM is unreachable, because it never receives that
+// VM's report of the ticket. The request to the other VM must have been sent
+// after the lease of this process began.
+func (l *Limits) adoptAgreed(agreed uint64, sentAt time.Time) {
 	hold := l.Tables.Lease.Hold()
 	if hold.Since.IsZero() || sentAt.Before(hold.Since) || l.Tables.Shares.Agreed() >= agreed {
 		return
 	}
 	l.queue.PostAlways(func() {
 		cfg := l.Tables.Config.Current()
-		if cfg != nil && cfg == l.config && cfg.Ticket.Number == agreed {
+		if cfg != nil && cfg == l.sharesConfig && cfg.Ticket.Number == agreed {
 			l.recompute(cfg, agreed, time.Now())
 		}
 	})
 }
 
-func (l *Limits) noteHold(now time.Time) {
+func (l *Limits) updateLeaseState(now time.Time) {
 	held := lease.Valid(l.Tables.Lease, now)
-	if held == l.held {
+	if held == l.leaseHeld {
 		return
 	}
-	l.held = held
+	l.leaseHeld = held
 	if held {
 		l.metrics.held.Update(1)
 		l.Logger.Info("share: a majority of the voters confirms this process.")
@@ -214,39 +219,39 @@
 }
 
 func (l *Limits) advance() {
-	l.queued.Store(false)
-	l.next = time.Time{}
+	l.advanceQueued.Store(false)
+	l.timerAt = time.Time{}
 	effects := share.Advance(l.Tables, time.Now())
 	for _, d := range effects.Decisions {
 		l.Decide(d)
 	}
 	for _, b := range effects.Batches {
-		l.enqueue(b)
+		l.enqueueLoans(b)
 	}
 	if !effects.Next.IsZero() {
-		l.arm(effects.Next)
+		l.armTimer(effects.Next)
 	}
 }
 
-// enqueue keeps loan requests for the next message to a VM. Requests that find
-// no room are repeated by the decisions.
-func (l *Limits) enqueue(b share.Batch) {
+// enqueueLoans adds loan requests to the next message to a VM. Requests that
+// exceed the limit per message are dropped; share.Advance issues them again.
+func (l *Limits) enqueueLoans(b share.Batch) {
 	l.mu.Lock()
-	room := share.MaxLoansPerMessage - len(l.pending[b.Peer])
+	room := share.MaxLoansPerMessage - len(l.pendingLoans[b.Peer])
 	loans := b.Loans[:min(room, len(b.Loans))]
-	l.pending[b.Peer] = append(l.pending[b.Peer], loans...)
+	l.pendingLoans[b.Peer] = append(l.pendingLoans[b.Peer], loans...)
 	l.mu.Unlock()
 	l.metrics.asked.Inc(int64(len(loans)))
 	l.metrics.dropped.Inc(int64(len(b.Loans) - len(loans)))
 	l.Send(b.Peer)
 }
 
-// arm makes the timer fire at the given time at the latest.
-func (l *Limits) arm(at time.Time) {
-	if !l.next.IsZero() && !at.Before(l.next) {
+// armTimer makes the timer expire at the given time or earlier.
+func (l *Limits) armTimer(at time.Time) {
+	if !l.timerAt.IsZero() && !at.Before(l.timerAt) {
 		return
 	}
-	l.next = at
+	l.timerAt = at
 	delay := time.Until(at)
 	if l.timer == nil {
 		l.timer = time.AfterFunc(delay, l.advanceNow)
@@ -255,19 +260,19 @@
 	l.timer.Reset(delay)
 }
 
-// Fill adds the lease query and loan requests to a message.
+// Fill adds the lease query and the loan requests to a message.
 func (l *Limits) Fill(to string, m *peerapi.Exchange) {
 	if q, ok := lease.QueryTo(l.Tables, to, time.Now()); ok {
 		m.Lease = &q
 	}
 	m.Agreed = l.Tables.Shares.Agreed()
 	l.mu.Lock()
-	m.Loans = l.pending[to]
-	delete(l.pending, to)
+	m.Loans = l.pendingLoans[to]
+	delete(l.pendingLoans, to)
 	l.mu.Unlock()
 }
 
-// Handle answers the lease query and loan requests of another VM.
+// Handle answers the lease query and the loan requests of another VM.
 func (l *Limits) Handle(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
 	now := time.Now()
 	lease.Learn(l.Tables, from.Name, from.Incarnation)
@@ -292,7 +297,7 @@
 	a.Agreed = l.Tables.Shares.Agreed()
 }
 
-// HandleAnswer takes the answers to lease queries and loan requests.
+// HandleAnswer handles the answers to lease queries and loan requests.
 func (l *Limits) HandleAnswer(from peerapi.Sender, sentAt time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
 	now := time.Now()
 	if a.Lease != nil {
@@ -309,5 +314,5 @@
 	if advance {
 		l.advanceNow()
 	}
-	l.learnAgreed(a.Agreed, sentAt)
+	l.adoptAgreed(a.Agreed, sentAt)
 }
--- a/transport/limits/store.go
+++ b/transport/limits/store.go
@@ -12,19 +12,20 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/store"
 )
 
-// LeaseStore is the part of the store's client that leases use.
+// LeaseStore is the part of the store's client that is used for leases.
 type LeaseStore interface {
 	Get(ctx context.Context, name string) (object storeapi.Object, found bool, err error)
 	Put(ctx context.Context, name string, put storeapi.Put) store.PutResult
 }
 
-// leaseObject is the value of a VM's lease object.
+// leaseObject is the stored value of a VM's lease object.
 type leaseObject struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// confirmByStore asks the store for confirmations while it is one of the voters.
-func (l *Limits) confirmByStore(ctx context.Context) {
+// confirmWithStore requests confirmations from the store while it is one of the
+// voters.
+func (l *Limits) confirmWithStore(ctx context.Context) {
 	ticker := time.NewTicker(lease.QueryInterval)
 	defer ticker.Stop()
 	for {
@@ -36,15 +37,15 @@
 		if !lease.VotersOf(l.Tables.Config.Current(), l.Tables.Self.Name).Store {
 			continue
 		}
-		if err := l.askStore(ctx); err != nil && ctx.Err() == nil {
+		if err := l.queryStore(ctx); err != nil && ctx.Err() == nil {
 			l.Logger.WithError(err).Debug("share: the store did not confirm this process.")
 		}
 	}
 }
 
-// askStore makes one query to the store. If the object holds an earlier
-// incarnation it is updated first; the next query is confirmed then.
-func (l *Limits) askStore(ctx context.Context) error {
+// queryStore sends one lease query to the store. If the object contains an
+// earlier incarnation, it is updated first and the next query is confirmed.
+func (l *Limits) queryStore(ctx context.Context) error {
 	q, ok := lease.QueryTo(l.Tables, lease.Store, time.Now())
 	if !ok {
 		return nil
