--- a/transport/admission/admission.go
+++ b/transport/admission/admission.go
@@ -1,5 +1,6 @@
-// Package admission counts customers' operations against their limits, with
-// tokens that the customer's ledger VMs grant.
+// Package admission enforces customers' rate limits with tokens that the
+// customer's ledgers grant. A ledger is the VM that accounts for a half of a
+// customer's limit.
 package admission
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/clock"
 )
 
-// Caller calls other VMs.
+// Caller sends calls to other VMs.
 type Caller interface {
 	Call(vm string, kind fleetwire.Kind, body []byte, done func(fleetwire.Frame, bool)) bool
 	View() *placement.View
@@ -25,21 +26,23 @@
 
 const (
 	// maxWait is how long an operation waits for a token. It is less than a
-	// quarter of the shortest latency objective, up to which a refusal counts
-	// as immediate.
+	// quarter of the shortest latency objective; up to a quarter, a refusal
+	// counts as immediate.
 	maxWait = 30 * time.Millisecond
-	// askAgainAfter is the pause after a grant that was too small.
-	askAgainAfter = 10 * time.Millisecond
-	// answerTimeout is how long a ledger's answer is waited for before the other
-	// one is asked. A VM whose processor share is used up rests for up to a tenth
-	// of a second; most answers come within a round trip.
+	// retryDelay is the pause after a grant that did not cover all waiting
+	// operations.
+	retryDelay = 10 * time.Millisecond
+	// answerTimeout is how long a ledger may take to answer before the other
+	// one is asked. A VM that has used up its CPU quota may be throttled for up
+	// to 100 ms; most answers arrive within a round trip.
 	answerTimeout = 40 * time.Millisecond
-	// maxLostWait is how long an operation waits if a ledger is lost before it
-	// answers. Its successor is known when the link closes.
-	maxLostWait = 300 * time.Millisecond
-	// slowFor is how long a ledger that did not answer in time is asked only
+	// maxWaitAfterLoss is how long an operation waits if the link to a ledger
+	// is lost before the answer arrives. The successor is known once the link
+	// is closed.
+	maxWaitAfterLoss = 300 * time.Millisecond
+	// slowPeriod is how long a ledger that did not answer in time is asked only
 	// after the other one.
-	slowFor = time.Second
+	slowPeriod = time.Second
 )
 
 // waiter is an operation that waits for a token.
@@ -48,11 +51,12 @@
 	since time.Duration
 }
 
-// Done is told whether an operation is admitted, and if not, when a retry can
-// succeed.
+// Done receives the decision on an operation. If the operation is not admitted,
+// retryAfter is the time after which a retry can succeed.
 type Done func(admitted bool, retryAfter time.Duration)
 
-// Gate admits operations of this VM's clients and grants tokens as a ledger.
+// Gate admits operations of this VM's clients and, as a ledger, grants tokens
+// to other VMs.
 type Gate struct {
 	table  *catalog.Table
 	quota  *quota.Table
@@ -61,11 +65,11 @@
 
 	admitted, refused tally.Counter
 
-	mu      lockrank.Mutex           // guards the fields below
-	waiting map[string][]waiter      // by customer, oldest first
-	slow    map[string]time.Duration // VM to the time until which it is asked last
-	view    *placement.View          // that ledgers belong to
-	ledgers map[string][catalog.Halves]string
+	mu          lockrank.Mutex           // guards the fields below
+	waiting     map[string][]waiter      // by customer, oldest first
+	slowUntil   map[string]time.Duration // VM to the end of the period in which it is asked last
+	ledgersView *placement.View          // for which ledgers was computed
+	ledgers     map[string][catalog.Halves]string
 }
 
 // New returns a gate.
@@ -73,12 +77,12 @@
 	return &Gate{
 		table: table, quota: q, caller: caller, logger: logger,
 		admitted: scope.Counter("operations_admitted"), refused: scope.Counter("operations_over_limit"),
-		mu: lockrank.New(lockrank.Session), waiting: make(map[string][]waiter), slow: make(map[string]time.Duration),
+		mu: lockrank.New(lockrank.Session), waiting: make(map[string][]waiter), slowUntil: make(map[string]time.Duration),
 	}
 }
 
-// Admit implements sqlfront.Admitter. Operations of clients without a customer
-// are not counted.
+// Admit implements sqlfront.Admitter. Operations without a configured customer
+// are not limited.
 func (g *Gate) Admit(customer string, done func(bool, time.Duration)) {
 	config := g.table.Current().Config
 	if config == nil || config.Customer(customer) == nil {
@@ -97,37 +101,38 @@
 		done(true, 0)
 	}
 	if a.Ask > 0 {
-		g.ask(customer, a.Ask)
+		g.requestTokens(customer, a.Ask)
 	}
 }
 
-// question asks a customer's ledgers for tokens, one after the other.
-type question struct {
-	customer string
-	want     int
-	got      int
-	left     []catalog.Half // whose ledgers are still to be asked
-	ledgers  [catalog.Halves]string
-	failed   bool // a ledger was lost before it answered
+// tokenRequest is a request for tokens to a customer's ledgers, one after the
+// other.
+type tokenRequest struct {
+	customer   string
+	want       int
+	granted    int
+	remaining  []catalog.Half // halves whose ledgers have not been asked yet
+	ledgers    [catalog.Halves]string
+	ledgerLost bool // the link to a ledger was lost before it answered
 }
 
-// ask asks the customer's ledgers for n tokens.
-func (g *Gate) ask(customer string, n int) {
+// requestTokens requests n tokens from the customer's ledgers.
+func (g *Gate) requestTokens(customer string, n int) {
 	view := g.caller.View()
-	q := &question{customer: customer, want: n, ledgers: g.ledgersOf(customer, view)}
-	for _, i := range g.order(view, q.ledgers) {
-		q.left = append(q.left, catalog.Half{Customer: customer, Index: i})
+	r := &tokenRequest{customer: customer, want: n, ledgers: g.cachedLedgers(customer, view)}
+	for _, i := range g.ledgerOrder(view, r.ledgers) {
+		r.remaining = append(r.remaining, catalog.Half{Customer: customer, Index: i})
 	}
-	g.askNext(q)
+	g.requestNext(r)
 }
 
-// ledgersOf returns the customer's ledgers. Finding them takes a look at all VMs,
-// so they are kept until the view changes.
-func (g *Gate) ledgersOf(customer string, view *placement.View) [catalog.Halves]string {
+// cachedLedgers returns the customer's ledgers. They are cached until the view
+// changes, because their computation inspects all VMs.
+func (g *Gate) cachedLedgers(customer string, view *placement.View) [catalog.Halves]string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.view != view {
-		g.view, g.ledgers = view, make(map[string][catalog.Halves]string)
+	if g.ledgersView != view {
+		g.ledgersView, g.ledgers = view, make(map[string][catalog.Halves]string)
 	}
 	ledgers, known := g.ledgers[customer]
 	if !known {
@@ -137,15 +142,15 @@
 	return ledgers
 }
 
-// order returns the halves in the order in which their ledgers are asked: slow
-// ones last, and else those of this data centre first.
-func (g *Gate) order(view *placement.View, ledgers [catalog.Halves]string) []uint8 {
+// ledgerOrder returns the halves in the order in which their ledgers are asked:
+// slow ledgers last, otherwise ledgers of this data centre first.
+func (g *Gate) ledgerOrder(view *placement.View, ledgers [catalog.Halves]string) []uint8 {
 	now := clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cost := func(i uint8) int {
 		switch vm := ledgers[i]; {
-		case g.slow[vm] > now:
+		case g.slowUntil[vm] > now:
 			return 2
 		case view.Near(vm):
 			return 0
@@ -160,64 +165,66 @@
 	return []uint8{first, second}
 }
 
-// askNext asks the next ledger for what is missing, or ends the question.
-func (g *Gate) askNext(q *question) {
-	for q.got < q.want && len(q.left) > 0 {
-		h := q.left[0]
-		q.left = q.left[1:]
-		ledger := q.ledgers[h.Index]
+// requestNext requests the missing tokens from the next ledger. If there are
+// enough tokens or no ledgers left, it distributes the tokens.
+func (g *Gate) requestNext(r *tokenRequest) {
+	for r.granted < r.want && len(r.remaining) > 0 {
+		h := r.remaining[0]
+		r.remaining = r.remaining[1:]
+		ledger := r.ledgers[h.Index]
 		if ledger != g.caller.View().Self {
-			if g.askVM(q, ledger, h) {
+			if g.requestFrom(r, ledger, h) {
 				return
 			}
-			q.failed = true
+			r.ledgerLost = true
 			continue
 		}
-		q.got += g.Grant(h, q.want-q.got)
+		r.granted += g.Grant(h, r.want-r.granted)
 	}
-	g.granted(q)
+	g.distribute(r)
 }
 
-// askVM asks another VM, and goes on with the question when it answers or is
-// late. It reports false if the VM is not linked.
-func (g *Gate) askVM(q *question, ledger string, h catalog.Half) bool {
-	var settled atomic.Bool // the question went on
-	late := time.AfterFunc(answerTimeout, func() {
-		if settled.CompareAndSwap(false, true) {
-			g.setSlow(ledger, h.Customer)
-			g.askNext(q)
+// requestFrom requests tokens from another VM and continues the token request
+// when it answers or times out. It returns false if there is no link to the VM.
+func (g *Gate) requestFrom(r *tokenRequest, ledger string, h catalog.Half) bool {
+	var resumed atomic.Bool // the token request has continued
+	timeout := time.AfterFunc(answerTimeout, func() {
+		if resumed.CompareAndSwap(false, true) {
+			g.markSlow(ledger, h.Customer)
+			g.requestNext(r)
 		}
 	})
-	sent := g.caller.Call(ledger, fleetwire.KindTokens, fleetwire.AppendTokens(nil, h, q.want-q.got), func(f fleetwire.Frame, ok bool) {
-		late.Stop()
+	sent := g.caller.Call(ledger, fleetwire.KindTokens, fleetwire.AppendTokens(nil, h, r.want-r.granted), func(f fleetwire.Frame, ok bool) {
+		timeout.Stop()
 		tokens := g.decodeGrant(f, ok)
-		if !settled.CompareAndSwap(false, true) {
+		if !resumed.CompareAndSwap(false, true) {
 			g.quota.GrantedLate(h.Customer, tokens, clock.Now())
 			return
 		}
-		q.got += tokens
-		q.failed = q.failed || !ok
-		g.askNext(q)
+		r.granted += tokens
+		r.ledgerLost = r.ledgerLost || !ok
+		g.requestNext(r)
 	})
 	if !sent {
-		late.Stop()
+		timeout.Stop()
 	}
-	return sent || !settled.CompareAndSwap(false, true)
+	return sent || !resumed.CompareAndSwap(false, true)
 }
 
-// setSlow asks the ledger only after the other one for a while.
-func (g *Gate) setSlow(ledger, customer string) {
+// markSlow makes the ledger be asked after the other one for slowPeriod.
+func (g *Gate) markSlow(ledger, customer string) {
 	now := clock.Now()
 	g.mu.Lock()
-	known := g.slow[ledger] > now
-	g.slow[ledger] = now + slowFor
+	known := g.slowUntil[ledger] > now
+	g.slowUntil[ledger] = now + slowPeriod
 	g.mu.Unlock()
 	if !known {
 		g.logger.WithFields(log.Fields{"vm": ledger, "customer": customer}).Warn("limits: a ledger does not answer in time.")
 	}
 }
 
-// decodeGrant returns the tokens that a ledger granted: none if its link broke.
+// decodeGrant returns the tokens that a ledger granted, or 0 if the link was
+// lost.
 func (g *Gate) decodeGrant(f fleetwire.Frame, ok bool) int {
 	if !ok {
 		return 0
@@ -230,9 +237,11 @@
 	return int(granted)
 }
 
-// granted passes what the ledgers granted on to the operations that wait for it.
-func (g *Gate) granted(q *question) {
-	customer := q.customer
+// distribute passes the granted tokens to waiting operations and refuses those
+// that have waited too long. If operations remain, it requests tokens again
+// after retryDelay.
+func (g *Gate) distribute(r *tokenRequest) {
+	customer := r.customer
 	config := g.table.Current().Config
 	retryAfter := time.Second
 	if c := config.Customer(customer); c != nil {
@@ -240,20 +249,21 @@
 	}
 	now := clock.Now()
 	g.mu.Lock()
-	admitted := g.quota.Granted(customer, q.got, now)
+	admitted := g.quota.Granted(customer, r.granted, now)
 	waiting := g.waiting[customer]
 	served, rest := waiting[:admitted], waiting[admitted:]
 	limit := maxWait
-	if q.failed {
-		// A ledger that was lost says nothing about the limit: its successor is asked.
-		limit = maxLostWait
+	if r.ledgerLost {
+		// The loss of a ledger does not mean that the limit is reached; its
+		// successor is asked.
+		limit = maxWaitAfterLoss
 	}
 	refused := 0
 	for refused < len(rest) && now-rest[refused].since >= limit {
 		refused++
 	}
 	g.quota.Refuse(customer, refused)
-	turned, rest := rest[:refused], rest[refused:]
+	rejected, rest := rest[:refused], rest[refused:]
 	g.waiting[customer] = rest
 	g.mu.Unlock()
 	g.admitted.Inc(int64(admitted))
@@ -261,20 +271,20 @@
 	for _, w := range served {
 		w.done(true, 0)
 	}
-	for _, w := range turned {
+	for _, w := range rejected {
 		w.done(false, retryAfter)
 	}
 	if len(rest) == 0 {
 		return
 	}
-	time.AfterFunc(askAgainAfter, func() {
+	time.AfterFunc(retryDelay, func() {
 		if ask := g.quota.AskAgain(customer); ask > 0 {
-			g.ask(customer, ask)
+			g.requestTokens(customer, ask)
 		}
 	})
 }
 
-// Grant grants up to n tokens of a half of a customer's limit as its ledger.
+// Grant grants up to n tokens of a half of a customer's limit, as its ledger.
 func (g *Gate) Grant(h catalog.Half, n int) int {
 	config := g.table.Current().Config
 	if config == nil {
