--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch connects the parts of a VM with the other VMs: it runs
-// statements here or there, and answers what other VMs ask.
+// Package dispatch connects the components of a VM with the other VMs. It runs
+// statements on this VM or on another one, and answers the calls of other VMs.
 package dispatch
 
 import (
@@ -22,20 +22,22 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlback"
 )
 
-// ownOrigin is the origin of this VM's own transactions. Links have numbers.
-const ownOrigin = "self"
+// selfOrigin is the origin of this VM's own transactions. The origin of a link
+// is a number.
+const selfOrigin = "self"
 
-// smallFleet is the number of VMs up to which proofs of lead are passed on to
-// all of them. In a larger one the VMs of a data centre have enough of their own.
-const smallFleet = 16
+// maxVMsForRemoteProofs is the largest fleet in which proofs of leadership are
+// sent to other data centres. In a larger fleet the VMs of a data centre obtain
+// enough proofs of their own.
+const maxVMsForRemoteProofs = 16
 
-// maxLeads bounds the proofs of lead in a pong, about 40 bytes each. With 60
-// pongs a second inside a data centre that is 14 KB/s, which leaves a third of
-// what a VM may spend for control to everything else; deployments with more
-// groups get them by turns.
-const maxLeads = 6
+// maxProofsPerPong limits the proofs of leadership in a pong, which take about
+// 40 bytes each. With 60 pongs per second within a data centre they amount to
+// 14 KB/s, which leaves a third of a VM's budget for control traffic to other
+// messages. With more groups, successive pongs carry their proofs in rotation.
+const maxProofsPerPong = 6
 
-// Options are the parts that a Dispatcher connects.
+// Options holds the components that a Dispatcher connects.
 type Options struct {
 	Self     string
 	Links    *fleetlink.Links
@@ -50,68 +52,69 @@
 // Dispatcher implements fleetlink.Handler and sqlfront.Runner.
 type Dispatcher struct {
 	Options
-	directory Directory
-	turn      atomic.Uint64 // place of newestLeads among the groups
+	directory   Directory
+	proofCursor atomic.Uint64 // position of the rotation of latestProofs among the groups
 
 	mu      sync.Mutex // guards ledgers; no other lock is taken under it
-	ledgers ledgers
+	ledgers ledgerHalves
 }
 
-// ledgers are the halves of limits by their ledger VM, as of a view and a
-// configuration.
-type ledgers struct {
+// ledgerHalves maps the VMs to the halves whose ledger they are, for a view and
+// a configuration.
+type ledgerHalves struct {
 	view   *placement.View
 	config *catalog.Config
 	halves map[string][]catalog.Half
 }
 
-// New returns a dispatcher and makes it the handler of the links.
+// New returns a dispatcher and sets it as the handler of the links.
 func New(o Options) *Dispatcher {
 	d := &Dispatcher{Options: o}
 	o.Links.SetHandler(d)
 	return d
 }
 
-// Directory is the part of a VM's directory that other VMs use.
+// Directory is the part of a VM's directory that answers other VMs and handles
+// their revisions.
 type Directory interface {
 	EncodeUpdates(known []byte) []byte
 	HandleRevisions(revisions map[string]uint64)
 }
 
-// Use sets the directory. Call it before the links run.
+// Use sets the directory. It must be called before the links run.
 func (d *Dispatcher) Use(directory Directory) { d.directory = directory }
 
-// Run runs a statement on the named VM and calls done once, on a pool worker.
+// Run runs a statement on the named VM and calls done once on a pool worker.
 func (d *Dispatcher) Run(vm string, w *statement.Work, done func(statement.Result)) {
 	if vm == d.Self {
-		d.Executor.Execute(ownOrigin, w, done)
+		d.Executor.Execute(selfOrigin, w, done)
 		return
 	}
 	sent := d.Links.Call(vm, fleetwire.KindWork, fleetwire.AppendWork(nil, w), func(f fleetwire.Frame, ok bool) {
 		if !ok {
-			done(refused(statement.Lost, "the link to the VM broke"))
+			done(refusal(statement.Lost, "the link to the VM broke"))
 			return
 		}
 		r, err := fleetwire.DecodeResult(f.Body)
 		if err != nil {
 			d.Logger.WithError(err).WithField("vm", vm).Error("fleet: a result cannot be decoded.")
-			r = refused(statement.Lost, "the VM's answer cannot be decoded")
+			r = refusal(statement.Lost, "the VM's answer cannot be decoded")
 		}
 		done(r)
 	})
 	if !sent {
-		done(refused(statement.Unreachable, "the VM is not linked"))
+		done(refusal(statement.Unreachable, "the VM is not linked"))
 	}
 }
 
-func refused(code statement.Code, why string) statement.Result {
+func refusal(code statement.Code, why string) statement.Result {
 	return statement.Result{Answer: statement.Refusal(code, why)}
 }
 
-// Abort ends a transaction on the named VM.
+// Abort aborts a transaction on the named VM.
 func (d *Dispatcher) Abort(vm string, tx uint64) {
 	if vm == d.Self {
-		d.Executor.Abort(ownOrigin, tx)
+		d.Executor.Abort(selfOrigin, tx)
 		return
 	}
 	d.Links.Send(vm, fleetwire.KindAbort, fleetwire.AppendNumber(nil, tx))
@@ -143,26 +146,28 @@
 // HandleStatus implements fleetlink.Handler.
 func (d *Dispatcher) HandleStatus(s *fleetwire.Status) { d.directory.HandleRevisions(s.Revisions) }
 
-// PingBody implements fleetlink.Handler: it names the halves that this VM counts.
-// From then on it spends no other VM's share of any other half.
+// PingBody implements fleetlink.Handler. It returns the halves whose ledger
+// this VM is. Shares of all other halves that were lent to this VM are discarded
+// first, because the ping tells the lenders that they are free again.
 func (d *Dispatcher) PingBody() []byte {
-	own := d.own()
+	own := d.ownHalves()
 	d.Quota.Keep(own)
 	return fleetwire.AppendHalves(nil, own)
 }
 
-// own returns the halves whose ledger this VM is.
-func (d *Dispatcher) own() []catalog.Half {
+// ownHalves returns the halves whose ledger this VM is.
+func (d *Dispatcher) ownHalves() []catalog.Half {
 	config := d.Table.Current().Config
 	if config == nil {
 		return nil
 	}
-	return d.counts(d.Self, d.Links.View(), config)
+	return d.halvesOf(d.Self, d.Links.View(), config)
 }
 
-// HandlePing implements fleetlink.Handler: it lends the asking VM what it counts as a
-// ledger, and passes on what is known of the primaries.
-func (d *Dispatcher) HandlePing(from, origin string, question []byte) fleetwire.Pong {
+// HandlePing implements fleetlink.Handler. It lends this VM's shares to the
+// sender for the halves whose ledger the sender is, and returns the known
+// proofs of leadership.
+func (d *Dispatcher) HandlePing(from, origin string, body []byte) fleetwire.Pong {
 	var p fleetwire.Pong
 	config := d.Table.Current().Config
 	if config == nil {
@@ -170,23 +175,23 @@
 	}
 	now := clock.Now()
 	view := d.Links.View()
-	counted, err := fleetwire.DecodeHalves(question)
+	counted, err := fleetwire.DecodeHalves(body)
 	if err != nil {
 		d.Logger.WithError(err).WithField("vm", from).Error("fleet: a ping cannot be decoded.")
 		return p
 	}
 	d.Quota.Release(from, origin, counted, now)
 	p.Lease = quota.Lease(d.Links.PingInterval())
-	p.Lent = d.Quota.Lend(from, origin, common(d.counts(from, view, config), counted), p.Lease, now)
-	if len(view.VMs) > smallFleet && !view.Near(from) {
+	p.Lent = d.Quota.Lend(from, origin, intersect(d.halvesOf(from, view, config), counted), p.Lease, now)
+	if len(view.VMs) > maxVMsForRemoteProofs && !view.Near(from) {
 		return p
 	}
-	p.Leads = d.newestLeads(config, now)
+	p.Leads = d.latestProofs(config, now)
 	return p
 }
 
-// common returns the halves that are in both lists.
-func common(a, b []catalog.Half) []catalog.Half {
+// intersect returns the halves that are in both lists.
+func intersect(a, b []catalog.Half) []catalog.Half {
 	var both []catalog.Half
 	for _, h := range a {
 		if slices.Contains(b, h) {
@@ -196,30 +201,30 @@
 	return both
 }
 
-// newestLeads returns the newest proofs of lead, of up to maxLeads groups by
-// turns.
-func (d *Dispatcher) newestLeads(config *catalog.Config, now time.Duration) []fleetwire.Lead {
+// latestProofs returns the latest proofs of leadership of up to
+// maxProofsPerPong groups, in rotation.
+func (d *Dispatcher) latestProofs(config *catalog.Config, now time.Duration) []fleetwire.Lead {
 	groups := len(config.Groups)
-	count := min(groups, maxLeads)
-	end := int(d.turn.Add(uint64(count)) % uint64(max(groups, 1)))
-	var leads []fleetwire.Lead
+	count := min(groups, maxProofsPerPong)
+	end := int(d.proofCursor.Add(uint64(count)) % uint64(max(groups, 1)))
+	var proofs []fleetwire.Lead
 	for i := range count {
 		name := config.Groups[(end+groups-count+i)%groups].Name
 		d.Leads.With(name, func(g *leadership.Group) {
 			if server, sample, ok := g.Newest(); ok {
-				leads = append(leads, fleetwire.Lead{Group: name, Server: server, Point: sample.Point, Age: now - sample.At})
+				proofs = append(proofs, fleetwire.Lead{Group: name, Server: server, Point: sample.Point, Age: now - sample.At})
 			}
 		})
 	}
-	return leads
+	return proofs
 }
 
-// counts returns the halves whose ledger is the VM.
-func (d *Dispatcher) counts(vm string, view *placement.View, config *catalog.Config) []catalog.Half {
+// halvesOf returns the halves whose ledger is the given VM.
+func (d *Dispatcher) halvesOf(vm string, view *placement.View, config *catalog.Config) []catalog.Half {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ledgers.view != view || d.ledgers.config != config {
-		d.ledgers = ledgers{view: view, config: config, halves: make(map[string][]catalog.Half)}
+		d.ledgers = ledgerHalves{view: view, config: config, halves: make(map[string][]catalog.Half)}
 		for i := range config.Customers {
 			name := config.Customers[i].Name
 			for index, ledger := range view.Ledgers(name) {
@@ -232,7 +237,7 @@
 
 // HandlePong implements fleetlink.Handler.
 func (d *Dispatcher) HandlePong(from string, p fleetwire.Pong, sentAt time.Duration) {
-	d.Quota.Receive(from, common(p.Lent, d.own()), p.Lease, sentAt)
+	d.Quota.Receive(from, intersect(p.Lent, d.ownHalves()), p.Lease, sentAt)
 	for _, l := range p.Leads {
 		d.Leads.With(l.Group, func(g *leadership.Group) { g.Prove(l.Server, l.Point, sentAt-l.Age) })
 	}
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -10,10 +10,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-// Guards against pongs that grow with the number of groups, and against groups
-// whose proofs are never passed on.
+// Guards against pongs whose size grows with the number of groups, and against
+// groups whose proofs are never sent.
 func TestPongsAreBounded(t *testing.T) {
-	for _, groups := range []int{0, 1, maxLeads, 20} {
+	for _, groups := range []int{0, 1, maxProofsPerPong, 20} {
 		d := &Dispatcher{Options: Options{Leads: leadership.NewTable()}}
 		config := &catalog.Config{}
 		for i := range groups {
@@ -21,18 +21,18 @@
 			config.Groups = append(config.Groups, catalog.Group{Name: name})
 			d.Leads.With(name, func(g *leadership.Group) { g.Prove("s", state.Point{Term: 1}, time.Minute) })
 		}
-		told := make(map[string]bool)
-		for range (groups + maxLeads - 1) / maxLeads {
-			leads := d.newestLeads(config, time.Minute)
-			if len(leads) > maxLeads {
-				t.Errorf("%d proofs in one pong", len(leads))
+		sent := make(map[string]bool)
+		for range (groups + maxProofsPerPong - 1) / maxProofsPerPong {
+			proofs := d.latestProofs(config, time.Minute)
+			if len(proofs) > maxProofsPerPong {
+				t.Errorf("%d proofs in one pong", len(proofs))
 			}
-			for _, l := range leads {
-				told[l.Group] = true
+			for _, l := range proofs {
+				sent[l.Group] = true
 			}
 		}
-		if len(told) != groups {
-			t.Errorf("%d of %d groups were told", len(told), groups)
+		if len(sent) != groups {
+			t.Errorf("proofs of %d of %d groups were sent", len(sent), groups)
 		}
 	}
 }
