--- a/transport/promotion/order.go
+++ b/transport/promotion/order.go
@@ -16,10 +16,10 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlback"
 )
 
-// ask asks the primary for a proof of its lead.
-func (s *Steward) ask(group string, primary *catalog.Server, w *watch) {
+// queryPrimary requests a proof of leadership from the primary.
+func (s *Steward) queryPrimary(group string, primary *catalog.Server, gs *groupState) {
 	sentAt := clock.Now()
-	s.run(group, primary, statement.Work{
+	s.runOnServer(group, primary, statement.Work{
 		Opens: true, Command: statement.Command{Verb: statement.Rollback},
 	}, func(r statement.Result) {
 		s.Leads.With(group, func(l *leadership.Group) {
@@ -32,21 +32,22 @@
 		})
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		w.asking = false
+		gs.queryPending = false
 		if !r.Proven {
-			w.failures++
+			gs.failures++
 		}
 		if r.Answer.Code == statement.Down {
-			w.refusals++
+			gs.refusals++
 		}
 	})
 }
 
-// run runs a command of the steward's own on a server, on a connection of the
-// customer with the highest rate, which is most likely open.
-func (s *Steward) run(group string, server *catalog.Server, w statement.Work, done func(statement.Result)) {
-	w.Group, w.Server, w.Customer = group, server.ID, s.customer()
-	w.Timeout, w.Wait = askTimeout, askTimeout
+// runOnServer runs a command of the coordinator itself on a server. It uses a
+// connection of the customer with the highest rate, because that is the most
+// likely one to be open.
+func (s *Steward) runOnServer(group string, server *catalog.Server, w statement.Work, done func(statement.Result)) {
+	w.Group, w.Server, w.Customer = group, server.ID, s.connectionCustomer()
+	w.Timeout, w.Wait = queryTimeout, queryTimeout
 	vm, ok := s.View().Executor(w.Customer, server)
 	if !ok {
 		vm = s.Name
@@ -54,7 +55,7 @@
 	s.Runner.Run(vm, &w, done)
 }
 
-func (s *Steward) customer() string {
+func (s *Steward) connectionCustomer() string {
 	best := ""
 	rate := -1.0
 	for _, c := range s.Table.Current().Config.Customers {
@@ -65,23 +66,24 @@
 	return best
 }
 
-// report asks a server for its role and position.
-func (s *Steward) report(ctx context.Context, group string, server *catalog.Server, c statement.Command) (sqlback.Report, error) {
+// queryServer queries a server for its role and position.
+func (s *Steward) queryServer(ctx context.Context, group string, server *catalog.Server, c statement.Command) (sqlback.Report, error) {
 	results := make(chan statement.Result, 1)
-	s.run(group, server, statement.Work{Command: c}, func(r statement.Result) { results <- r })
+	s.runOnServer(group, server, statement.Work{Command: c}, func(r statement.Result) { results <- r })
 	select {
 	case <-ctx.Done():
 		return sqlback.Report{}, ctx.Err()
 	case r := <-results:
 		if r.Answer.Code != statement.OK || len(r.Answer.Rows) != 1 {
-			return sqlback.Report{}, eris.Errorf("no report: %s %s", r.Answer.Code, r.Answer.Text)
+			return sqlback.Report{}, eris.Errorf("the server returned no report: %s %s", r.Answer.Code, r.Answer.Text)
 		}
 		return s.Reports.DecodeReport(r.Answer.Rows[0])
 	}
 }
 
-// candidates asks the group's servers, but for the primary, for their positions.
-func (s *Steward) candidates(ctx context.Context, group string, primary *catalog.Server) []succession.Candidate {
+// queryCandidates queries the group's servers except the primary for their
+// positions.
+func (s *Steward) queryCandidates(ctx context.Context, group string, primary *catalog.Server) []succession.Candidate {
 	d := s.Table.Current()
 	servers := d.GroupServers(group)
 	answers := make(chan *succession.Candidate, len(servers))
@@ -91,9 +93,9 @@
 			continue
 		}
 		go func() {
-			r, err := s.report(ctx, group, server, statement.Command{Verb: statement.Status})
+			r, err := s.queryServer(ctx, group, server, statement.Command{Verb: statement.Status})
 			if err != nil {
-				s.Logger.WithError(err).WithFields(log.Fields{"group": group, "server": server.ID}).Warn("promotion: no position.")
+				s.Logger.WithError(err).WithFields(log.Fields{"group": group, "server": server.ID}).Warn("promotion: a server did not report its position.")
 				answers <- nil
 				return
 			}
@@ -109,71 +111,73 @@
 	return all
 }
 
-// replace promotes another server in place of one that is lost. It repeats
-// orders without an answer, each with a new token.
-func (s *Steward) replace(ctx context.Context, group string, primary *catalog.Server, w *watch) {
-	defer s.finish(w)
-	begun := clock.Now()
+// replacePrimary promotes another server because the primary is lost. Orders
+// that are not confirmed are repeated with a new fencing token.
+func (s *Steward) replacePrimary(ctx context.Context, group string, primary *catalog.Server, gs *groupState) {
+	defer s.finishPromotion(gs)
+	startedAt := clock.Now()
 	for range maxOrders {
-		best, ok := succession.Best(s.candidates(ctx, group, primary))
+		best, ok := succession.Best(s.queryCandidates(ctx, group, primary))
 		if !ok {
 			s.Logger.WithField("group", group).Error("promotion: no server can take over.")
 			return
 		}
-		if ctx.Err() != nil || s.provenSince(group, begun) || s.promote(ctx, group, best, w) {
+		if ctx.Err() != nil || s.provenSince(group, startedAt) || s.promote(ctx, group, best, gs) {
 			return
 		}
 	}
 }
 
-// provenSince reports whether a primary has proven its lead since then.
+// provenSince reports whether a primary has proven its leadership since then.
 func (s *Steward) provenSince(group string, since time.Duration) bool {
 	proven := false
 	s.Leads.With(group, func(l *leadership.Group) { proven = l.ProvenAt() >= since })
 	return proven
 }
 
-// handOver replaces a primary that is leaving. It stops taking writes first, so
-// that its successor can receive all of its log.
-func (s *Steward) handOver(ctx context.Context, group string, primary *catalog.Server, w *watch) {
-	defer s.finish(w)
-	if _, ok := succession.Best(s.candidates(ctx, group, primary)); !ok {
+// handOver replaces a primary that is being taken out of service. The primary
+// stops accepting writes first, so that its successor can receive its complete
+// log.
+func (s *Steward) handOver(ctx context.Context, group string, primary *catalog.Server, gs *groupState) {
+	defer s.finishPromotion(gs)
+	if _, ok := succession.Best(s.queryCandidates(ctx, group, primary)); !ok {
 		s.Logger.WithField("group", group).Error("promotion: no server can take over from the leaving primary.")
 		return
 	}
-	// An order that changes nothing shows that the platform answers: without a
-	// successor the group must not lose its primary.
-	if !s.order(ctx, group, primary, w) {
+	// An order that does not change the primary verifies that the platform
+	// responds. If the primary stepped down and no successor could be promoted,
+	// the group would have no primary.
+	if !s.giveOrder(ctx, group, primary, gs) {
 		return
 	}
 	term := uint64(0)
 	s.Leads.With(group, func(l *leadership.Group) { term = l.Term() })
-	last, err := s.report(ctx, group, primary, statement.Command{Verb: statement.StepDown, Term: term + 1})
+	last, err := s.queryServer(ctx, group, primary, statement.Command{Verb: statement.StepDown, Term: term + 1})
 	if err != nil {
 		s.Logger.WithError(err).WithField("server", primary.ID).Warn("promotion: the leaving primary did not step down.")
 	}
 	s.Logger.WithFields(log.Fields{"group": group, "server": primary.ID, "position": last.Received.Position}).Info("promotion: the leaving primary stepped down.")
-	deadline := time.Now().Add(catchUp)
+	deadline := time.Now().Add(catchUpTimeout)
 	var best succession.Candidate
 	for {
 		var ok bool
-		best, ok = succession.Best(s.candidates(ctx, group, primary))
+		best, ok = succession.Best(s.queryCandidates(ctx, group, primary))
 		if ok && succession.Holds(best.Received, last.Received) || time.Now().After(deadline) || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(catchUpCheck)
+		time.Sleep(catchUpInterval)
 	}
 	for range maxOrders {
-		if best.Server == nil || ctx.Err() != nil || s.promote(ctx, group, best, w) {
+		if best.Server == nil || ctx.Err() != nil || s.promote(ctx, group, best, gs) {
 			return
 		}
 	}
 }
 
-// promote orders a promotion, waits for its effect and reports whether the
-// server leads.
-func (s *Steward) promote(ctx context.Context, group string, c succession.Candidate, w *watch) bool {
-	if !s.order(ctx, group, c.Server, w) {
+// promote orders a promotion, waits for it to take effect, and reports whether
+// the server has become the primary.
+func (s *Steward) promote(ctx context.Context, group string, c succession.Candidate, gs *groupState) bool {
+	if !s.giveOrder(ctx, group, c.Server, gs) {
 		return false
 	}
 	ordered := clock.Now()
@@ -181,7 +185,7 @@
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		proven := make(chan bool, 1)
 		sentAt := clock.Now()
-		s.run(group, c.Server, statement.Work{Opens: true, Command: statement.Command{Verb: statement.Rollback}}, func(r statement.Result) {
+		s.runOnServer(group, c.Server, statement.Work{Opens: true, Command: statement.Command{Verb: statement.Rollback}}, func(r statement.Result) {
 			if r.Proven {
 				s.Leads.With(group, func(l *leadership.Group) { l.Prove(c.Server.ID, r.Answer.At, sentAt) })
 			}
@@ -190,46 +194,48 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case leads := <-proven:
-			if leads {
-				s.steps[stepLead].RecordDuration(clock.Now() - ordered)
-				s.Logger.WithFields(log.Fields{"group": group, "server": c.Server.ID}).Info("promotion: the new primary leads.")
+		case isPrimary := <-proven:
+			if isPrimary {
+				s.steps[stepProof].RecordDuration(clock.Now() - ordered)
+				s.Logger.WithFields(log.Fields{"group": group, "server": c.Server.ID}).Info("promotion: the new primary has proven its leadership.")
 				return true
 			}
 		}
-		time.Sleep(catchUpCheck)
+		time.Sleep(catchUpInterval)
 	}
 	return false
 }
 
-// fence orders the present primary to stay, so that an order whose answer was
-// lost has no effect when it is carried out late.
-func (s *Steward) fence(ctx context.Context, group string, primary *catalog.Server, w *watch) {
-	defer s.finish(w)
-	s.order(ctx, group, primary, w)
+// supersedeOrder orders the current primary to remain the primary. An earlier
+// order whose answer was lost then has no effect if it is executed late.
+func (s *Steward) supersedeOrder(ctx context.Context, group string, primary *catalog.Server, gs *groupState) {
+	defer s.finishPromotion(gs)
+	s.giveOrder(ctx, group, primary, gs)
 }
 
-// order gives one order and reports whether it was carried out.
-func (s *Steward) order(ctx context.Context, group string, server *catalog.Server, w *watch) bool {
-	token, ok := s.token()
+// giveOrder gives one order to the platform and reports whether it was
+// executed.
+func (s *Steward) giveOrder(ctx context.Context, group string, server *catalog.Server, gs *groupState) bool {
+	token, ok := s.nextFencingToken()
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	s.orders.Inc(1)
+	s.orderCount.Inc(1)
 	begin := clock.Now()
 	err := s.Platform.Promote(ctx, group, server.ID, s.Name, token)
 	s.steps[stepOrder].RecordDuration(clock.Now() - begin)
 	refused := errors.Is(err, ErrRefused)
 	s.mu.Lock()
 	if err != nil && !refused {
-		w.unanswered = true
+		gs.orderUnconfirmed = true
 	} else if err == nil {
-		w.unanswered = false
+		gs.orderUnconfirmed = false
 	}
 	if refused {
-		// Another VM may have claimed the duty: claim it anew.
+		// Another VM may have claimed the duty, so this VM has to claim it
+		// again.
 		s.nextToken, s.endToken = 0, 0
 	}
 	s.mu.Unlock()
@@ -242,10 +248,10 @@
 	return true
 }
 
-func (s *Steward) finish(w *watch) {
+func (s *Steward) finishPromotion(gs *groupState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.busy = false
-	w.failures, w.refusals = 0, 0
-	w.since = clock.Now()
+	gs.promoting = false
+	gs.failures, gs.refusals = 0, 0
+	gs.watchedSince = clock.Now()
 }
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -1,5 +1,6 @@
-// Package promotion carries out the succession of primaries: the VM that is the
-// fleet's steward watches the groups, and orders the platform to promote.
+// Package promotion performs failovers and handovers of primaries. One VM of
+// the fleet, the failover coordinator (the steward), monitors the groups and
+// orders the platform to promote servers.
 package promotion
 
 import (
@@ -23,63 +24,67 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// claimAfter is how long a VM must be the fleet's choice before it claims
-	// the duty, so that short disagreements move nothing.
-	claimAfter = 700 * time.Millisecond
-	// askTimeout bounds questions to servers; a server that is up answers
-	// within a few statements' time.
-	askTimeout = 400 * time.Millisecond
-	// maxAsks is how many groups are asked at each tick. The groups of a large
-	// deployment would otherwise be asked all at once when the duty moves.
-	maxAsks = 20
-	// orderTimeout bounds a call to the platform, which answers in milliseconds,
-	// or in some hundreds of them when it is slow.
+	// claimDelay is how long a VM must have been selected as the coordinator
+	// before it claims the duty, so that short differences between the views of
+	// VMs do not move the duty.
+	claimDelay = 700 * time.Millisecond
+	// queryTimeout limits queries to servers. A server that is up answers
+	// within the duration of a few statements.
+	queryTimeout = 400 * time.Millisecond
+	// maxQueriesPerTick limits the groups that are queried per tick. Otherwise
+	// all groups of a large deployment would be queried at once when the duty
+	// moves to another VM.
+	maxQueriesPerTick = 20
+	// orderTimeout limits a call to the platform, which takes milliseconds, or
+	// some hundreds of them if the platform is slow.
 	orderTimeout = 500 * time.Millisecond
-	// maxOrders bounds the repetitions of an order before the group is looked at
-	// anew.
+	// maxOrders limits how often an order is repeated before the group is
+	// evaluated again.
 	maxOrders = 5
-	// catchUp is how long a handover waits for a replica to receive the rest of
-	// the log. Most replicas need tens of milliseconds.
-	catchUp      = 1200 * time.Millisecond
-	catchUpCheck = 25 * time.Millisecond
-	storeTimeout = time.Second
-	// tokenBlock is how many fencing tokens a claim reserves. They let the
-	// steward order promotions while the store is down.
-	tokenBlock = 1000
+	// catchUpTimeout is how long a handover waits for a replica to receive the
+	// remaining log. Most replicas need tens of milliseconds.
+	catchUpTimeout  = 1200 * time.Millisecond
+	catchUpInterval = 25 * time.Millisecond
+	storeTimeout    = time.Second
+	// tokensPerClaim is the number of fencing tokens that a claim reserves.
+	// They allow the coordinator to order promotions while the store is
+	// unavailable.
+	tokensPerClaim = 1000
 )
 
-// Platform carries out promotions.
+// Platform executes promotions.
 type Platform interface {
-	// Promote makes the server the primary of the group. It fails with
-	// ErrRefused if the platform refused the order, and otherwise if it is not
-	// known whether the order was or will be carried out.
+	// Promote makes the server the primary of the group. If it fails with
+	// ErrRefused, the platform refused the order. After any other error the
+	// order may have been executed, or may still be executed.
 	Promote(ctx context.Context, group, server, holder string, token uint64) error
 }
 
-// ErrRefused says that a newer order was given or the server does not run.
+// ErrRefused states that the platform refused an order because a newer one was
+// given or the server is not running.
 var ErrRefused = eris.New("the platform refused the order")
 
-// Duty is the store's record of who orders promotions.
+// Duty is the record in the store of the VM that orders promotions.
 type Duty struct {
 	Holder   string
-	NextFree uint64 // lowest fencing token that nobody has reserved
-	Revision uint64 // of the record; zero if there is none yet
+	NextFree uint64 // lowest fencing token that is not reserved
+	Revision uint64 // of the record; zero if it does not exist yet
 }
 
-// Duties keeps the record.
+// Duties stores the record.
 type Duties interface {
-	// ReadDuty returns the record as of now.
+	// ReadDuty returns the current record.
 	ReadDuty(ctx context.Context) (Duty, error)
-	// WriteDuty replaces the record if its revision is still d.Revision.
+	// WriteDuty replaces the record if its revision still is d.Revision.
 	WriteDuty(ctx context.Context, d Duty) error
 }
 
-// Runner runs statements on the fleet's VMs.
+// Runner runs statements on the VMs of the fleet.
 type Runner interface {
 	Run(vm string, w *statement.Work, done func(statement.Result))
 }
 
-// Options are the parts that a Steward uses.
+// Options holds the dependencies of a Steward.
 type Options struct {
 	Name     string
 	Platform Platform
@@ -93,63 +98,63 @@
 	Scope    tally.Scope
 }
 
-// Steward watches the groups while its VM is the fleet's steward. Create it
-// with New.
+// Steward monitors the groups while its VM is the failover coordinator. It must
+// be created with New.
 type Steward struct {
 	Options
-	started     time.Duration
-	chosenSince time.Duration // zero while another VM is the choice; used by Run only
-	orders      tally.Counter
-	steps       map[step]tally.Histogram
+	started       time.Duration
+	selectedSince time.Duration // zero while another VM is selected; used by Run only
+	orderCount    tally.Counter
+	steps         map[step]tally.Histogram
 
 	mu        lockrank.Mutex // guards the fields below
-	nextToken uint64         // next reserved fencing token
-	endToken  uint64         // end of the reserved tokens
-	groups    map[string]*watch
+	nextToken uint64         // next unused fencing token of the reserved ones
+	endToken  uint64         // end of the reserved fencing tokens, exclusive
+	groups    map[string]*groupState
 }
 
-// step is a step of the replacement of a primary.
+// step is a step of a change of primary.
 type step string
 
 const (
-	stepDetect step = "detect" // from the latest proof of the lead to the decision
-	stepOrder  step = "order"  // an order, whatever its outcome
-	stepLead   step = "lead"   // from the order to the new primary's proof
+	stepDetect step = "detect" // from the latest proof of leadership to the decision
+	stepOrder  step = "order"  // an order, regardless of its outcome
+	stepProof  step = "lead"   // from the order to the new primary's proof
 )
 
-// stepBuckets reach to the 7 s in which a change of primary must be over.
+// stepBuckets cover the 7 s in which a change of primary must be complete.
 var stepBuckets = tally.MustMakeExponentialDurationBuckets(4*time.Millisecond, 2, 12)
 
 func newSteps(scope tally.Scope) map[step]tally.Histogram {
 	steps := make(map[step]tally.Histogram)
-	for _, s := range []step{stepDetect, stepOrder, stepLead} {
+	for _, s := range []step{stepDetect, stepOrder, stepProof} {
 		steps[s] = scope.Tagged(map[string]string{"step": string(s)}).Histogram("promotion_step", stepBuckets)
 	}
 	return steps
 }
 
-// watch is what the steward remembers of a group.
-type watch struct {
-	since    time.Duration
-	failures int
-	refusals int // of them, see succession.Facts
-	askedAt  time.Duration
-	asking   bool
-	busy     bool // a promotion is under way
-	// unanswered is set after an order whose outcome is not known: it may still
-	// be carried out, until a newer order is.
-	unanswered bool
+// groupState is what the coordinator records about a group.
+type groupState struct {
+	watchedSince time.Duration // start of monitoring, or end of the last promotion
+	failures     int
+	refusals     int // failures that were refused connections, see succession.Facts
+	queriedAt    time.Duration
+	queryPending bool
+	promoting    bool // a promotion, or an order to keep the primary, is in progress
+	// orderUnconfirmed is set after an order whose outcome is unknown. It may
+	// still be executed, until a newer order has been.
+	orderUnconfirmed bool
 }
 
-// New returns a steward.
+// New returns a Steward that is not running yet.
 func New(o Options) *Steward {
 	return &Steward{
-		Options: o, started: clock.Now(), orders: o.Scope.Counter("promotions_ordered"), steps: newSteps(o.Scope),
-		mu: lockrank.New(lockrank.Session), groups: make(map[string]*watch),
+		Options: o, started: clock.Now(), orderCount: o.Scope.Counter("promotions_ordered"), steps: newSteps(o.Scope),
+		mu: lockrank.New(lockrank.Session), groups: make(map[string]*groupState),
 	}
 }
 
-// Run watches until ctx is done.
+// Run monitors the groups until ctx is done.
 func (s *Steward) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	ticker := time.NewTicker(tickInterval)
@@ -160,48 +165,49 @@
 			return g.Wait()
 		case <-ticker.C:
 		}
-		if s.chosen() && s.hold(ctx) {
-			s.check(ctx, g)
+		if s.selected() && s.claimDuty(ctx) {
+			s.checkGroups(ctx, g)
 		}
 	}
 }
 
-// chosen reports whether this VM has been the fleet's choice for long enough.
-// While no VM reaches the store, nobody can claim the duty, and its holder keeps
-// it.
-func (s *Steward) chosen() bool {
+// selected reports whether this VM has been selected as the coordinator for
+// claimDelay. While no VM can reach the store, no VM can claim the duty, and
+// its holder keeps it.
+func (s *Steward) selected() bool {
 	view := s.View()
 	if !view.StoreReached() {
-		return s.held()
+		return s.holdsDuty()
 	}
 	if view.Steward() != s.Name {
-		if s.chosenSince != 0 {
+		if s.selectedSince != 0 {
 			s.Logger.Info("promotion: another VM is the steward.")
 		}
-		s.chosenSince = 0
+		s.selectedSince = 0
 		s.mu.Lock()
-		s.groups = make(map[string]*watch)
+		s.groups = make(map[string]*groupState)
 		s.nextToken, s.endToken = 0, 0
 		s.mu.Unlock()
 		return false
 	}
 	now := clock.Now()
-	if s.chosenSince == 0 {
-		s.chosenSince = now
+	if s.selectedSince == 0 {
+		s.selectedSince = now
 	}
-	return now-s.chosenSince >= claimAfter
+	return now-s.selectedSince >= claimDelay
 }
 
-// held reports whether this VM holds the duty.
-func (s *Steward) held() bool {
+// holdsDuty reports whether this VM has reserved fencing tokens left.
+func (s *Steward) holdsDuty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nextToken < s.endToken
 }
 
-// hold claims the duty unless this VM holds it.
-func (s *Steward) hold(ctx context.Context) bool {
-	if s.held() {
+// claimDuty claims the duty unless this VM already holds it, and reports
+// whether this VM holds it.
+func (s *Steward) claimDuty(ctx context.Context) bool {
+	if s.holdsDuty() {
 		return true
 	}
 	if s.Table.Current().Config == nil {
@@ -213,7 +219,7 @@
 	if err == nil {
 		duty.Holder = s.Name
 		first := max(duty.NextFree, 1)
-		duty.NextFree = first + tokenBlock
+		duty.NextFree = first + tokensPerClaim
 		if err = s.Duties.WriteDuty(ctx, duty); err == nil {
 			s.mu.Lock()
 			s.nextToken, s.endToken = first, duty.NextFree
@@ -223,14 +229,14 @@
 		}
 	}
 	s.Logger.WithError(err).Warn("promotion: the duty cannot be claimed.")
-	// The answer may have been lost after the record was written; the tokens
-	// that it reserved stay unused.
-	s.chosenSince = clock.Now()
+	// The record may have been written although no answer arrived. The tokens
+	// that it reserved remain unused.
+	s.selectedSince = clock.Now()
 	return false
 }
 
-// token returns a fencing token that was never used.
-func (s *Steward) token() (uint64, bool) {
+// nextFencingToken returns a fencing token that has not been used before.
+func (s *Steward) nextFencingToken() (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.nextToken >= s.endToken {
@@ -240,28 +246,28 @@
 	return s.nextToken - 1, true
 }
 
-// check decides about each group that a route uses.
-func (s *Steward) check(ctx context.Context, g *errgroup.Group) {
+// checkGroups evaluates each group that is used by a route.
+func (s *Steward) checkGroups(ctx context.Context, g *errgroup.Group) {
 	d := s.Table.Current()
-	round := round{deployment: d, interval: succession.AskInterval(len(d.Config.Groups)), asks: maxAsks}
+	check := groupCheck{deployment: d, interval: succession.AskInterval(len(d.Config.Groups)), queriesLeft: maxQueriesPerTick}
 	seen := make(map[string]bool)
 	for _, route := range d.Config.Routes {
 		if seen[route.Group] || len(d.GroupServers(route.Group)) == 0 {
 			continue
 		}
 		seen[route.Group] = true
-		s.checkGroup(ctx, g, &round, route.Group)
+		s.checkGroup(ctx, g, &check, route.Group)
 	}
 }
 
-// round is one look at all groups.
-type round struct {
-	deployment *catalog.Deployment
-	interval   time.Duration // see succession.AskInterval
-	asks       int           // questions that are left
+// groupCheck is one evaluation of all groups.
+type groupCheck struct {
+	deployment  *catalog.Deployment
+	interval    time.Duration // see succession.AskInterval
+	queriesLeft int           // queries that may still be sent
 }
 
-func (s *Steward) checkGroup(ctx context.Context, g *errgroup.Group, r *round, group string) {
+func (s *Steward) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
 	now, d := clock.Now(), r.deployment
 	facts := succession.Facts{Now: now, Isolated: s.View().Isolated(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
 	s.Leads.With(group, func(l *leadership.Group) {
@@ -271,39 +277,40 @@
 	facts.Leaving = facts.Primary != nil && !d.Usable(facts.Primary)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.groups[group]
-	if w == nil {
-		// A VM that takes the duty over has heard of proofs before.
-		w = &watch{since: s.started}
-		s.groups[group] = w
+	gs := s.groups[group]
+	if gs == nil {
+		// watchedSince is the start of this VM rather than of its duty, because
+		// proofs of leadership reach all VMs.
+		gs = &groupState{watchedSince: s.started}
+		s.groups[group] = gs
 	}
-	if w.busy {
+	if gs.promoting {
 		return
 	}
-	if facts.ProvenAt >= w.askedAt {
-		w.failures, w.refusals = 0, 0
+	if facts.ProvenAt >= gs.queriedAt {
+		gs.failures, gs.refusals = 0, 0
 	}
-	facts.Failures, facts.Refusals, facts.Since = w.failures, w.refusals, w.since
+	facts.Failures, facts.Refusals, facts.Since = gs.failures, gs.refusals, gs.watchedSince
 	switch succession.Decide(facts) {
 	case succession.Ask:
-		if !w.asking && r.asks > 0 {
-			r.asks--
-			w.asking, w.askedAt = true, now
-			s.ask(group, facts.Primary, w)
+		if !gs.queryPending && r.queriesLeft > 0 {
+			r.queriesLeft--
+			gs.queryPending, gs.queriedAt = true, now
+			s.queryPrimary(group, facts.Primary, gs)
 		}
 	case succession.HandOver:
-		w.busy = true
-		g.Go(func() error { s.handOver(ctx, group, facts.Primary, w); return nil })
+		gs.promoting = true
+		g.Go(func() error { s.handOver(ctx, group, facts.Primary, gs); return nil })
 	case succession.Replace:
-		w.busy = true
+		gs.promoting = true
 		s.steps[stepDetect].RecordDuration(now - facts.ProvenAt)
-		s.Logger.WithFields(log.Fields{"group": group, "proof_age_ms": (now - facts.ProvenAt).Milliseconds(), "failures": w.failures, "refusals": w.refusals}).
+		s.Logger.WithFields(log.Fields{"group": group, "proof_age_ms": (now - facts.ProvenAt).Milliseconds(), "failures": gs.failures, "refusals": gs.refusals}).
 			Warn("promotion: the primary is lost.")
-		g.Go(func() error { s.replace(ctx, group, facts.Primary, w); return nil })
+		g.Go(func() error { s.replacePrimary(ctx, group, facts.Primary, gs); return nil })
 	default:
-		if w.unanswered && facts.Primary != nil && facts.ProvenAt >= w.askedAt {
-			w.busy = true
-			g.Go(func() error { s.fence(ctx, group, facts.Primary, w); return nil })
+		if gs.orderUnconfirmed && facts.Primary != nil && facts.ProvenAt >= gs.queriedAt {
+			gs.promoting = true
+			g.Go(func() error { s.supersedeOrder(ctx, group, facts.Primary, gs); return nil })
 		}
 	}
 }
