--- a/transport/lifecycle/lifecycle.go
+++ b/transport/lifecycle/lifecycle.go
@@ -1,6 +1,7 @@
-// Package lifecycle carries out what a change of the configuration means for
-// the VM's work: it drains the VM when it or its data centre leaves, takes work
-// again on return, and warms connections to backend servers that come back.
+// Package lifecycle applies changes of the configuration to the work of the VM.
+// It drains the VM when the VM or its data centre is taken out of service,
+// resumes work when it returns, and opens connections in advance to backend
+// servers that return.
 package lifecycle
 
 import (
@@ -15,31 +16,32 @@
 )
 
 const (
-	// warmOver is the time over which connections are opened on return.
-	warmOver = 2 * time.Second
-	// warmInterval is the time between two steps of warming up.
-	warmInterval = 100 * time.Millisecond
+	// warmUpPeriod is the period over which connections are opened after a
+	// return.
+	warmUpPeriod = 2 * time.Second
+	// warmUpInterval is the interval between two steps of the warm-up.
+	warmUpInterval = 100 * time.Millisecond
 )
 
-// Sessions take work or drain.
+// Sessions drains or resumes client sessions.
 type Sessions interface {
 	Drain() <-chan struct{}
 	Resume()
 }
 
-// Backends open connections ahead of their use.
+// Backends opens connections before they are needed.
 type Backends interface {
 	Warm(server *state.BackendServer, conns int, now time.Time)
 }
 
-// Options are the parts that Lifecycle works with.
+// Options holds the dependencies of Lifecycle.
 type Options struct {
 	Tables   *state.Tables
 	Sessions Sessions
 	Backends Backends
 	// Limit returns the number of connections that the VM may open to a server.
 	Limit func(server *state.BackendServer) int
-	// SetState tells the other VMs the state of this one.
+	// SetState reports the state of this VM to the other VMs.
 	SetState func(s state.ServiceState)
 	Logger   log.Interface
 }
@@ -47,27 +49,27 @@
 // Lifecycle follows the configuration.
 type Lifecycle struct {
 	Options
-	previous *state.Config
-	taking   bool
-	warming  map[drain.Server]time.Time // since when
-	spread   float64
+	appliedConfig *state.Config
+	takingWork    bool
+	warming       map[drain.Server]time.Time // servers being warmed up, with the start time
+	spread        float64
 }
 
-// New returns a Lifecycle of a VM that takes work.
+// New returns a Lifecycle for a VM that accepts work.
 func New(o Options) *Lifecycle {
 	h := fnv.New32a()
 	h.Write([]byte(o.Tables.Self.Name))
 	return &Lifecycle{
-		Options: o,
-		taking:  true,
-		warming: make(map[drain.Server]time.Time),
-		spread:  float64(h.Sum32()%1000) / 1000,
+		Options:    o,
+		takingWork: true,
+		warming:    make(map[drain.Server]time.Time),
+		spread:     float64(h.Sum32()%1000) / 1000,
 	}
 }
 
 // Run follows the configuration until ctx is done.
 func (l *Lifecycle) Run(ctx context.Context) error {
-	ticker := time.NewTicker(warmInterval)
+	ticker := time.NewTicker(warmUpInterval)
 	defer ticker.Stop()
 	for {
 		changed := l.Tables.Config.Changed()
@@ -77,38 +79,38 @@
 			return nil
 		case <-changed:
 		case now := <-ticker.C:
-			l.warm(now)
+			l.warmUp(now)
 		}
 	}
 }
 
 func (l *Lifecycle) apply(c *state.Config, now time.Time) {
-	if c == nil || c == l.previous {
+	if c == nil || c == l.appliedConfig {
 		return
 	}
-	for _, s := range drain.Returned(l.previous, c) {
+	for _, s := range drain.Returned(l.appliedConfig, c) {
 		l.Tables.Groups.With(s.Group, func(g *state.GroupState) { g.View(s.Name).ReturnsAt = now })
 		l.warming[s] = now
 	}
-	l.previous = c
+	l.appliedConfig = c
 	own := drain.VMState(c, l.Tables.Self.Name, l.Tables.Self.DataCentre)
 	l.SetState(own)
 	takes := drain.TakesWork(own)
 	switch {
-	case l.taking && !takes:
+	case l.takingWork && !takes:
 		l.Logger.WithField("state", own).Info("session: draining.")
 		l.Sessions.Drain()
-	case !l.taking && takes:
+	case !l.takingWork && takes:
 		l.Logger.Info("session: taking work again.")
 		l.Sessions.Resume()
-		l.warmAll(c, now)
+		l.warmUpAll(c, now)
 	}
-	l.taking = takes
+	l.takingWork = takes
 }
 
-// warmAll warms connections to all servers in service, because a VM that was
-// out of service has let them go.
-func (l *Lifecycle) warmAll(c *state.Config, now time.Time) {
+// warmUpAll starts the warm-up of all servers in service, because a VM that was
+// out of service has closed its connections.
+func (l *Lifecycle) warmUpAll(c *state.Config, now time.Time) {
 	for name, g := range c.Groups {
 		for i := range g.Servers {
 			if c.ServerState(&g.Servers[i]) == state.InService {
@@ -118,20 +120,20 @@
 	}
 }
 
-func (l *Lifecycle) warm(now time.Time) {
+func (l *Lifecycle) warmUp(now time.Time) {
 	for s, since := range l.warming {
 		elapsed := now.Sub(since)
-		if server := l.server(s); server != nil && l.taking {
-			l.Backends.Warm(server, drain.WarmTarget(l.Limit(server), elapsed, warmOver, l.spread), now)
+		if server := l.findServer(s); server != nil && l.takingWork {
+			l.Backends.Warm(server, drain.WarmTarget(l.Limit(server), elapsed, warmUpPeriod, l.spread), now)
 		}
-		if elapsed >= warmOver {
+		if elapsed >= warmUpPeriod {
 			delete(l.warming, s)
 		}
 	}
 }
 
-func (l *Lifecycle) server(s drain.Server) *state.BackendServer {
-	g := l.previous.Groups[s.Group]
+func (l *Lifecycle) findServer(s drain.Server) *state.BackendServer {
+	g := l.appliedConfig.Groups[s.Group]
 	if g == nil {
 		return nil
 	}
