--- a/transport/telemetry/bounded.go
+++ b/transport/telemetry/bounded.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// logBuffer is how many lines may wait for a reader that is slow.
-	logBuffer = 512
-	// logBurst is how many lines may be written at once, besides the rate.
-	logBurst = 200
+	// maxBufferedLines limits the lines that wait for a slow reader.
+	maxBufferedLines = 512
+	// maxBurstLines is the number of lines that may be written at once in
+	// excess of the rate.
+	maxBurstLines = 200
 )
 
-// Bounded passes lines on to a writer without ever blocking its callers. Lines
-// beyond a rate, or beyond what the reader of a pipe takes, are dropped and
-// counted; a line that says how many is written in their place.
+// Bounded forwards lines to a writer and never blocks its callers. Lines that
+// exceed the rate, or that the reader of a pipe does not consume in time, are
+// dropped and counted. A line with their number is written later.
 type Bounded struct {
 	out   io.Writer
 	lines chan []byte
 
-	mu       sync.Mutex // guards the fields below; no other lock is taken under it
-	rate     float64    // lines a second
-	tokens   float64
-	at       time.Time
-	dropped  int
-	reported time.Time
+	mu         sync.Mutex // guards the fields below; no other lock is taken under it
+	rate       float64    // lines per second
+	tokens     float64
+	refilledAt time.Time
+	dropped    int
+	reportedAt time.Time
 }
 
-// NewBounded returns a writer of at most rate lines a second.
+// NewBounded returns a Bounded that writes at most rate lines per second.
 func NewBounded(out io.Writer, rate float64) *Bounded {
-	b := &Bounded{out: out, lines: make(chan []byte, logBuffer), rate: rate, tokens: logBurst, at: time.Now()}
-	go b.write()
+	b := &Bounded{out: out, lines: make(chan []byte, maxBufferedLines), rate: rate, tokens: maxBurstLines, refilledAt: time.Now()}
+	go b.writeLoop()
 	return b
 }
 
-// Write implements io.Writer for one line. It always succeeds.
+// Write implements io.Writer for a single line. It never fails.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.tokens = min(b.tokens+b.rate*now.Sub(b.at).Seconds(), logBurst)
-	b.at = now
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.refilledAt).Seconds(), maxBurstLines)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		b.dropped++
 		return len(line), nil
 	}
-	if b.dropped > 0 && now.Sub(b.reported) >= time.Second {
+	if b.dropped > 0 && now.Sub(b.reportedAt) >= time.Second {
 		note := fmt.Appendf(nil, `{"fields":{"lines":%d},"level":"warn","timestamp":%q,"message":"log: lines were dropped."}`+"\n",
 			b.dropped, now.Format(time.RFC3339Nano))
-		if b.queue(note) {
-			b.dropped, b.reported = 0, now
+		if b.enqueue(note) {
+			b.dropped, b.reportedAt = 0, now
 		}
 	}
-	if b.queue(append([]byte(nil), line...)) {
+	if b.enqueue(append([]byte(nil), line...)) {
 		b.tokens--
 	} else {
 		b.dropped++
@@ -62,7 +63,7 @@
 	return len(line), nil
 }
 
-func (b *Bounded) queue(line []byte) bool {
+func (b *Bounded) enqueue(line []byte) bool {
 	select {
 	case b.lines <- line:
 		return true
@@ -71,9 +72,9 @@
 	}
 }
 
-func (b *Bounded) write() {
+func (b *Bounded) writeLoop() {
 	for line := range b.lines {
-		// A log that cannot be written has nowhere to say so.
+		// There is no other place to report a failure of the log.
 		_, _ = b.out.Write(line)
 	}
 }
--- a/transport/telemetry/bounded_test.go
+++ b/transport/telemetry/bounded_test.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// stuck is a pipe that nobody reads until it is released.
-type stuck struct {
+// blockedWriter is a pipe that is not read until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.text.Write(b)
 }
 
 // Guards against a log that blocks requests when nobody reads it, and against
-// lines that are dropped without a word.
+// lines that are dropped without being counted.
 func TestBoundedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		b := NewBounded(out, 10)
-		for range 10 * logBuffer {
+		for range 10 * maxBufferedLines {
 			if _, err := b.Write([]byte("x\n")); err != nil {
 				t.Fatal(err)
 			}
@@ -40,8 +40,8 @@
 		synctest.Wait()
 		close(b.lines)
 		text := out.text.String()
-		if n := strings.Count(text, "x\n"); n != logBurst {
-			t.Errorf("%d lines were written, want %d", n, logBurst)
+		if n := strings.Count(text, "x\n"); n != maxBurstLines {
+			t.Errorf("%d lines were written, want %d", n, maxBurstLines)
 		}
 		if !strings.Contains(text, `"lines":4920`) || !strings.HasSuffix(text, "last\n") {
 			t.Errorf("the dropped lines are not counted: %q", text[len(text)-200:])
--- a/transport/telemetry/telemetry.go
+++ b/transport/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry makes the logger, the metrics and the tracer of a VM.
+// Package telemetry creates the logger, the metrics and the tracer of a VM.
 package telemetry
 
 import (
@@ -41,17 +41,17 @@
 	return nil, eris.Errorf("unknown log format %q", format)
 }
 
-// Metrics are the metrics of a VM.
+// Metrics holds the metrics of a VM.
 type Metrics struct {
 	Scope   tally.Scope
-	Handler http.Handler // answers in the Prometheus text format
+	Handler http.Handler // serves the Prometheus text format
 	closer  io.Closer
 }
 
-// NewMetrics returns metrics whose names begin with chestnutdyke_.
+// NewMetrics returns metrics with the name prefix chestnutdyke_.
 func NewMetrics(logger log.Interface) *Metrics {
 	reporter := prometheus.NewReporter(prometheus.Options{
-		// By default the reporter panics.
+		// The default handler panics.
 		OnRegisterError: func(err error) { logger.WithError(err).Error("metrics: metric was not registered.") },
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -64,12 +64,12 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports what has not been reported yet.
+// Close reports the metrics that have not been reported yet.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// NewTracer returns the VM's tracer and a function that exports what is left.
-// exporter is none, stdout or otlp; endpoint is the host:port of the receiver
-// with otlp.
+// NewTracer returns the VM's tracer and a function that exports the remaining
+// spans and stops the exporter. exporter is none, stdout or otlp; with otlp,
+// endpoint is the host:port of the receiver.
 func NewTracer(ctx context.Context, exporter, endpoint, vm string, stdout io.Writer) (trace.Tracer, func(context.Context) error, error) {
 	const name = "github.com/chestnutdyke/chestnutdyke"
 	var e sdktrace.SpanExporter
--- a/transport/telemetry/telemetry_test.go
+++ b/transport/telemetry/telemetry_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against metrics whose names the reporter refuses, which ended the
-// process at its start.
+// Guards against metrics whose names the reporter rejects. They used to
+// terminate the process at startup.
 func TestMetricsAreShown(t *testing.T) {
 	logger, err := NewLogger("info", "json", &bytes.Buffer{})
 	if err != nil {
@@ -28,6 +28,7 @@
 	}
 }
 
+// Guards against unknown log settings that are silently ignored.
 func TestUnknownLogSettingsAreRefused(t *testing.T) {
 	for _, tt := range [][2]string{{"loud", "text"}, {"info", "xml"}} {
 		if _, err := NewLogger(tt[0], tt[1], &bytes.Buffer{}); err == nil {
