--- a/transport/lifecycle/lifecycle.go
+++ b/transport/lifecycle/lifecycle.go
@@ -52,7 +52,7 @@
 	appliedConfig *state.Config
 	takingWork    bool
 	warming       map[drain.Server]time.Time // servers being warmed up, with the start time
-	spread        float64
+	spread        float64                    // in [0, 1), differs between VMs; see drain.WarmTarget
 }
 
 // New returns a Lifecycle for a VM that accepts work.
