--- a/standin/managed/check.go
+++ b/standin/managed/check.go
@@ -9,43 +9,45 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// Checker compares what clients are told with the groups' logs. Each item has
-// one writer, which writes ascending numbers.
+// Checker checks the answers that clients receive against the groups' logs. Each
+// item has a single writer, which writes ascending numbers. A Checker may be used
+// by several goroutines.
 type Checker struct {
-	mu         sync.Mutex // guards the fields below
-	acked      map[string][]ack
+	mu         sync.Mutex                // guards the fields below
+	acked      map[string][]ackedWrite   // by item, in ascending order of values
 	unknown    map[string]map[int]string // item to value to id, of writes with an unknown outcome
-	promised   []promise
+	rejected   []rejectedWrite
 	violations []string
 }
 
-// ack is an acknowledged write of an item's next value.
-type ack struct {
+// ackedWrite is an acknowledged write of an item.
+type ackedWrite struct {
 	value int
 	at    time.Time
 	id    string
 }
 
-// promise is a write of which the client was told that it is not kept.
-type promise struct {
+// rejectedWrite is a write that the client was told was not committed.
+type rejectedWrite struct {
 	id    string
 	group *Group
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker without recorded writes.
 func NewChecker() *Checker {
-	return &Checker{acked: make(map[string][]ack), unknown: make(map[string]map[int]string)}
+	return &Checker{acked: make(map[string][]ackedWrite), unknown: make(map[string]map[int]string)}
 }
 
-// Wrote records the answer to a write, or to the commit of its transaction.
+// Wrote records the code of the answer to a write, or to the commit of its
+// transaction. id is that of the write.
 func (c *Checker) Wrote(g *Group, item string, value int, id string, code statement.Code) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch code {
 	case statement.OK:
-		c.acked[item] = append(c.acked[item], ack{value, time.Now(), id})
+		c.acked[item] = append(c.acked[item], ackedWrite{value, time.Now(), id})
 	case statement.Busy, statement.Aborted, statement.ReadOnly, statement.Lagging, statement.ConnectionLimit, statement.WrongServer:
-		c.promised = append(c.promised, promise{id, g})
+		c.rejected = append(c.rejected, rejectedWrite{id, g})
 	default:
 		if c.unknown[item] == nil {
 			c.unknown[item] = make(map[int]string)
@@ -54,53 +56,55 @@
 	}
 }
 
-// Read checks the answer to a read that began at begun. It must not miss a
-// commit that was acknowledged bound before, unless a promotion dropped it. A
-// write with an unknown outcome may run late: the network can hold its bytes
-// back after its client was told, and the item then goes back to its value.
-func (c *Checker) Read(g *Group, item string, bound time.Duration, begun time.Time, a statement.Answer) {
+// Read checks the answer to a read that was sent at sentAt. The read must see
+// every commit that was acknowledged more than maxStaleness before, unless a
+// promotion dropped the commit. A write with an unknown outcome may be committed
+// late, because the network can delay its bytes until after its client got an
+// answer; reads then return the older value of that write again.
+func (c *Checker) Read(g *Group, item string, maxStaleness time.Duration, sentAt time.Time, a statement.Answer) {
 	got := 0
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(a.Rows) == 1 {
 		var err error
 		if got, err = strconv.Atoi(a.Rows[0]); err != nil {
-			c.violate("read %q of %s", a.Rows, item)
+			c.addViolation("read %q of %s, which is not a number", a.Rows, item)
 		}
 	}
 	acks := c.acked[item]
 	for i := len(acks) - 1; i >= 0 && acks[i].value > got; i-- {
-		if acks[i].at.Before(begun.Add(-bound)) && g.Commits(acks[i].id) > 0 && !g.follows(c.unknown[item][got], acks[i].id) {
-			c.violate("read %d of %s (bound %v), %v after %d was acknowledged", got, item, bound, begun.Sub(acks[i].at), acks[i].value)
+		if acks[i].at.Before(sentAt.Add(-maxStaleness)) && g.Commits(acks[i].id) > 0 && !g.isLater(c.unknown[item][got], acks[i].id) {
+			c.addViolation("read %d of %s (staleness limit %v), %v after %d was acknowledged", got, item, maxStaleness, sentAt.Sub(acks[i].at), acks[i].value)
 			return
 		}
 	}
 }
 
-func (c *Checker) violate(format string, args ...any) {
+func (c *Checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Finish checks what can be checked at the end only and returns what was
-// broken.
+// Finish checks the complete logs for rejected writes and for repeated ones, and
+// returns all violations that were found. It is called once, after the last write.
 func (c *Checker) Finish(groups map[string]*Group) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range c.promised {
-		if p.group.Commits(p.id) > 0 {
-			c.violate("write %s was committed though its client was told that nothing is kept", p.id)
+	for _, w := range c.rejected {
+		if w.group.Commits(w.id) > 0 {
+			c.addViolation("write %s was committed although its client was told that it was not", w.id)
 		}
 	}
 	for _, g := range groups {
-		for _, id := range g.repeated() {
-			c.violate("write %s is in the log twice", id)
+		for _, id := range g.repeatedIDs() {
+			c.addViolation("write %s was committed more than once", id)
 		}
 	}
 	return c.violations
 }
 
-// follows reports whether a statement is later in the log than another one.
-func (g *Group) follows(later, earlier string) bool {
+// isLater reports whether the statement with the id later comes after the one with
+// the id earlier in the log.
+func (g *Group) isLater(later, earlier string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	found := false
@@ -115,8 +119,8 @@
 	return false
 }
 
-// repeated returns the statements that are in the log more than once.
-func (g *Group) repeated() []string {
+// repeatedIDs returns the ids of the statements that are in the log more than once.
+func (g *Group) repeatedIDs() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	seen := make(map[string]int)
--- a/standin/managed/database.go
+++ b/standin/managed/database.go
@@ -12,15 +12,16 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// commit is one entry of a group's log.
-type commit struct {
-	id         string // statement that wrote it
+// logEntry is one committed write in a group's log.
+type logEntry struct {
+	id         string // of the statement that wrote it
 	customer   string
 	item, data string
 	at         time.Time
 }
 
-// Codec is the wire protocol of backend servers, from the servers' side.
+// Codec is the backend servers' side of the wire protocol between VMs and
+// backend servers: it decodes commands and encodes answers.
 type Codec interface {
 	ReadOpening(r *bufio.Reader) (group, customer, server string, err error)
 	ReadCommand(r *bufio.Reader) (statement.Command, error)
@@ -29,26 +30,29 @@
 	EncodeReport(primary bool, p state.Point, connections int) string
 }
 
-// Group is a database group: a log and the servers that hold a part of it.
+// Group models a database group: one log, and servers that have each received a
+// prefix of it.
 type Group struct {
 	Name         string
-	Lag          time.Duration // of replicas
-	PromoteDelay time.Duration
-	MaxConns     int
-	Work         time.Duration // of a statement
-	Handshake    time.Duration // of a new connection
+	Lag          time.Duration // replication lag of the replicas
+	PromoteDelay time.Duration // between an accepted order and the change of primary
+	MaxConns     int           // that each server accepts
+	Work         time.Duration // time that a statement takes
+	Handshake    time.Duration // time that opening a connection takes
 	Codec        Codec
 
-	mu      sync.Mutex // guards the fields below and those of the servers
-	term    uint64
-	starts  map[uint64]uint64 // term to the length of the log at its start
-	log     []commit
-	servers map[string]*Server
-	// lostCommits counts commits that a promotion dropped.
-	lostCommits int
+	mu   sync.Mutex // guards the fields below and those of the servers
+	term uint64
+	// termStarts maps each term to the length of the log at its start.
+	termStarts map[uint64]uint64
+	log        []logEntry
+	servers    map[string]*Server
+	// droppedCommits counts the commits that the new primary of a promotion had not
+	// received.
+	droppedCommits int
 }
 
-// Server is a backend server of a group.
+// Server models a backend server of a group.
 type Server struct {
 	ID      string
 	Zone    string
@@ -56,63 +60,66 @@
 
 	group    *Group
 	primary  bool
-	held     int  // length of the log that it has, if it does not receive
-	deaf     bool // receives nothing
-	draining bool // registers as leaving
+	received int  // length of the log prefix that a replica has received; see logLength
+	paused   bool // replication to this server is paused
+	draining bool // registered as draining
 	down     bool
 	conns    map[net.Conn]bool
 	cancel   context.CancelFunc
-	// loseAnswers makes the server break the connection after the next write
-	// it ran, instead of answering.
-	loseAnswers int
-	runs        map[string]int // runs by statement id
+	// answersToDrop is the number of coming commits after which the server closes
+	// the connection instead of answering.
+	answersToDrop int
+	executions    map[string]int // by statement id
 }
 
-// received returns the length of the log that the server has. The caller holds mu.
-func (s *Server) received() int {
+// logLength returns the length of the log prefix that the server has. The caller
+// holds the group's mu.
+func (s *Server) logLength() int {
 	g := s.group
 	if s.primary {
 		return len(g.log)
 	}
-	if s.deaf || s.down {
-		return min(s.held, len(g.log))
+	if s.paused || s.down {
+		return min(s.received, len(g.log))
 	}
 	now := time.Now()
 	n := len(g.log)
-	for n > s.held && now.Sub(g.log[n-1].at) < g.Lag {
+	for n > s.received && now.Sub(g.log[n-1].at) < g.Lag {
 		n--
 	}
-	s.held = max(s.held, n)
-	return min(s.held, len(g.log))
+	s.received = max(s.received, n)
+	return min(s.received, len(g.log))
 }
 
-// contains reports whether the server's log has the point. The caller holds mu.
+// contains reports whether the server has the log up to a point, and the promotion
+// that ended the point's term did not drop it. The caller holds the group's mu.
 func (s *Server) contains(p state.Point) bool {
 	g := s.group
-	if p.Term > g.term || uint64(s.received()) < p.Position {
+	if p.Term > g.term || uint64(s.logLength()) < p.Position {
 		return false
 	}
-	return p.Term == g.term || p.Position <= g.starts[p.Term+1]
+	return p.Term == g.term || p.Position <= g.termStarts[p.Term+1]
 }
 
+// point returns the end of the server's log. The caller holds the group's mu.
 func (s *Server) point() state.Point {
-	return state.Point{Term: s.group.term, Position: uint64(s.received())}
+	return state.Point{Term: s.group.term, Position: uint64(s.logLength())}
 }
 
-// NewGroup returns a group without servers.
+// NewGroup returns a group without servers, in term 1 and with an empty log.
 func NewGroup(name string, maxConns int, lag time.Duration, codec Codec) *Group {
 	return &Group{
 		Name: name, Lag: lag, PromoteDelay: 300 * time.Millisecond, MaxConns: maxConns, Work: 5 * time.Millisecond,
-		Handshake: 10 * time.Millisecond, Codec: codec, term: 1, starts: map[uint64]uint64{1: 0}, servers: make(map[string]*Server),
+		Handshake: 10 * time.Millisecond, Codec: codec, term: 1, termStarts: map[uint64]uint64{1: 0}, servers: make(map[string]*Server),
 	}
 }
 
-// Add adds a server, which answers at the listener until ctx is done.
+// Add adds a server, which accepts connections from l until ctx is done.
 func (g *Group) Add(ctx context.Context, id, zone string, l net.Listener, primary bool) *Server {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Server{
 		ID: id, Zone: zone, Address: l.Addr().String(), group: g, primary: primary, conns: make(map[net.Conn]bool),
-		cancel: cancel, runs: make(map[string]int),
+		cancel: cancel, executions: make(map[string]int),
 	}
 	g.mu.Lock()
 	g.servers[id] = s
@@ -121,22 +128,23 @@
 	return s
 }
 
-// Term returns the group's term.
+// Term returns the group's term, which each promotion increases by one.
 func (g *Group) Term() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.term
 }
 
-// leads reports whether the server is the primary.
-func (g *Group) leads(id string) bool {
+// isPrimary reports whether the named server is the primary.
+func (g *Group) isPrimary(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.servers[id]
 	return s != nil && s.primary
 }
 
-// promote makes the server the primary, with what it has received.
+// promote makes the named server the primary. Commits that it has not received are
+// dropped from the log.
 func (g *Group) promote(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,19 +152,19 @@
 	if s == nil || s.down || s.primary {
 		return
 	}
-	n := s.received()
-	g.lostCommits += len(g.log) - n
-	g.log = g.log[:n]
+	kept := s.logLength()
+	g.droppedCommits += len(g.log) - kept
+	g.log = g.log[:kept]
 	g.term++
-	g.starts[g.term] = uint64(n)
+	g.termStarts[g.term] = uint64(kept)
 	for _, other := range g.servers {
 		other.primary = false
-		other.held = min(other.held, n)
+		other.received = min(other.received, kept)
 	}
-	s.primary, s.deaf = true, false
+	s.primary, s.paused = true, false
 }
 
-// serve answers connections until ctx is done.
+// serve accepts connections until ctx is done, and handles each in a goroutine.
 func (s *Server) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -169,16 +177,16 @@
 	}
 }
 
-// session is one connection's state on a server.
+// session is the state of one connection to a server.
 type session struct {
 	server   *Server
 	customer string
 	inTx     bool
 	readOnly bool
 	failed   bool
-	term     uint64 // at the beginning of a writing transaction
-	writes   []commit
-	prepared map[string]statement.Command
+	term     uint64                       // in which the open read-write transaction began
+	writes   []logEntry                   // of the open transaction
+	prepared map[string]statement.Command // by name
 }
 
 func (s *Server) handle(c net.Conn) {
@@ -212,14 +220,14 @@
 	if _, err := c.Write(g.Codec.AppendOpened(nil, &statement.Answer{Code: refusal})); err != nil || refusal != statement.OK {
 		return
 	}
-	x := &session{server: s, customer: customer, prepared: make(map[string]statement.Command)}
+	sess := &session{server: s, customer: customer, prepared: make(map[string]statement.Command)}
 	for {
 		command, err := g.Codec.ReadCommand(r)
 		if err != nil {
 			return
 		}
-		a, lose := x.run(&command)
-		if lose {
+		a, drop := sess.run(&command)
+		if drop {
 			return
 		}
 		if _, err := c.Write(g.Codec.AppendAnswer(nil, &a)); err != nil {
@@ -228,37 +236,41 @@
 	}
 }
 
-// run runs one command. It reports whether the answer is to be lost.
-func (x *session) run(c *statement.Command) (statement.Answer, bool) {
+// run executes one command and returns its answer, and whether the connection is
+// to be closed instead of answering.
+func (sess *session) run(c *statement.Command) (statement.Answer, bool) {
 	switch c.Verb {
 	case statement.Read, statement.Write, statement.Execute, statement.Commit:
-		time.Sleep(x.server.group.Work)
+		time.Sleep(sess.server.group.Work)
 	}
-	g := x.server.group
+	g := sess.server.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a, lose := x.apply(c)
-	if a.Code != statement.OK && x.inTx {
-		x.failed = true
+	a, drop := sess.apply(c)
+	if a.Code != statement.OK && sess.inTx {
+		sess.failed = true
 	}
 	switch {
-	case x.inTx && x.failed:
+	case sess.inTx && sess.failed:
 		a.State = statement.FailedTx
-	case x.inTx:
+	case sess.inTx:
 		a.State = statement.InTx
 	}
-	a.At = x.server.point()
-	return a, lose
+	a.At = sess.server.point()
+	return a, drop
 }
 
-// leads reports whether the session's server may run writing statements.
-func (x *session) leads() bool {
-	return x.server.primary && (!x.inTx || x.readOnly || x.term == x.server.group.term)
+// mayWrite reports whether the session's server is the primary, and still that of
+// the term in which an open read-write transaction began.
+func (sess *session) mayWrite() bool {
+	return sess.server.primary && (!sess.inTx || sess.readOnly || sess.term == sess.server.group.term)
 }
 
-func (x *session) apply(c *statement.Command) (statement.Answer, bool) {
-	s, g := x.server, x.server.group
-	if x.failed && c.Verb != statement.Rollback && c.Verb != statement.Commit {
+// apply executes a command. Like run, it reports whether the answer is to be
+// dropped. The caller holds the group's mu.
+func (sess *session) apply(c *statement.Command) (statement.Answer, bool) {
+	s, g := sess.server, sess.server.group
+	if sess.failed && c.Verb != statement.Rollback && c.Verb != statement.Commit {
 		return statement.Refusal(statement.Malformed, ""), false
 	}
 	if c.After != (state.Point{}) && !s.contains(c.After) {
@@ -269,25 +281,25 @@
 		if !s.primary {
 			return statement.Refusal(statement.ReadOnly, s.ID), false
 		}
-		x.inTx, x.readOnly, x.term = true, false, g.term
+		sess.inTx, sess.readOnly, sess.term = true, false, g.term
 	case statement.BeginReadOnly:
-		x.inTx, x.readOnly = true, true
+		sess.inTx, sess.readOnly = true, true
 	case statement.Rollback:
-		x.end()
+		sess.endTransaction()
 	case statement.Commit:
-		return x.commit(c)
+		return sess.commit(c)
 	case statement.Read, statement.Write:
-		return x.access(c, c.Verb == statement.Write)
+		return sess.readOrWrite(c, c.Verb == statement.Write)
 	case statement.Execute:
-		p, known := x.prepared[c.Name]
+		p, known := sess.prepared[c.Name]
 		if !known {
 			return statement.Refusal(statement.UnknownStatement, ""), false
 		}
-		return x.access(c, p.Writes)
+		return sess.readOrWrite(c, p.Writes)
 	case statement.Prepare:
-		x.prepared[c.Name] = *c
+		sess.prepared[c.Name] = *c
 	case statement.Discard:
-		clear(x.prepared)
+		clear(sess.prepared)
 	case statement.StepDown:
 		s.primary = false
 		return statement.Answer{Rows: []string{g.Codec.EncodeReport(false, s.point(), len(s.conns))}}, false
@@ -297,52 +309,54 @@
 	return statement.Answer{}, false
 }
 
-func (x *session) end() {
-	x.inTx, x.failed, x.writes = false, false, nil
+func (sess *session) endTransaction() {
+	sess.inTx, sess.failed, sess.writes = false, false, nil
 }
 
-func (x *session) access(c *statement.Command, write bool) (statement.Answer, bool) {
-	s, g := x.server, x.server.group
-	if (write || x.inTx && !x.readOnly) && !x.leads() {
+func (sess *session) readOrWrite(c *statement.Command, write bool) (statement.Answer, bool) {
+	s, g := sess.server, sess.server.group
+	if (write || sess.inTx && !sess.readOnly) && !sess.mayWrite() {
 		return statement.Refusal(statement.ReadOnly, s.ID), false
 	}
-	s.runs[c.ID]++
+	s.executions[c.ID]++
 	item, data, _ := strings.Cut(c.Payload, " ")
 	if !write {
 		a := statement.Answer{Signature: s.ID}
-		for _, entry := range g.log[:s.received()] {
+		for _, entry := range g.log[:s.logLength()] {
 			if entry.item == item {
 				a.Rows = []string{entry.data}
 			}
 		}
 		return a, false
 	}
-	entry := commit{id: c.ID, customer: x.customer, item: item, data: data, at: time.Now()}
-	if x.inTx {
-		x.writes = append(x.writes, entry)
+	entry := logEntry{id: c.ID, customer: sess.customer, item: item, data: data, at: time.Now()}
+	if sess.inTx {
+		sess.writes = append(sess.writes, entry)
 		return statement.Answer{Signature: s.ID}, false
 	}
 	g.log = append(g.log, entry)
-	return statement.Answer{Signature: s.ID}, x.loses()
+	return statement.Answer{Signature: s.ID}, sess.dropsAnswer()
 }
 
-func (x *session) loses() bool {
-	if x.server.loseAnswers == 0 {
+// dropsAnswer reports whether the answer to a commit is to be dropped, and then
+// decrements answersToDrop.
+func (sess *session) dropsAnswer() bool {
+	if sess.server.answersToDrop == 0 {
 		return false
 	}
-	x.server.loseAnswers--
+	sess.server.answersToDrop--
 	return true
 }
 
-func (x *session) commit(c *statement.Command) (statement.Answer, bool) {
-	if x.failed || len(x.writes) > 0 && !x.leads() {
-		x.end()
-		return statement.Refusal(statement.ReadOnly, x.server.ID), false
+func (sess *session) commit(c *statement.Command) (statement.Answer, bool) {
+	if sess.failed || len(sess.writes) > 0 && !sess.mayWrite() {
+		sess.endTransaction()
+		return statement.Refusal(statement.ReadOnly, sess.server.ID), false
 	}
-	for _, entry := range x.writes {
+	for _, entry := range sess.writes {
 		entry.at = time.Now()
-		x.server.group.log = append(x.server.group.log, entry)
+		sess.server.group.log = append(sess.server.group.log, entry)
 	}
-	x.end()
-	return statement.Answer{Signature: x.server.ID}, x.loses()
+	sess.endTransaction()
+	return statement.Answer{Signature: sess.server.ID}, sess.dropsAnswer()
 }
--- a/standin/managed/deployment.go
+++ b/standin/managed/deployment.go
@@ -27,7 +27,7 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlfront"
 )
 
-// Ports of VMs and servers.
+// Ports of VMs and backend servers.
 const (
 	clientPort = 5000
 	linkPort   = 5001
@@ -35,32 +35,32 @@
 	serverPort = 6000
 )
 
-// Key is the key of the customer of the given number.
+// Key returns the access key of the customer with the given number.
 func Key(customer int) string { return fmt.Sprintf("key-%d", customer) }
 
-// CustomerName is the name of the customer of the given number.
+// CustomerName returns the name of the customer with the given number.
 func CustomerName(customer int) string { return fmt.Sprintf("customer-%d", customer) }
 
-// Options describe a deployment.
+// Options set the size and the timing of a deployment.
 type Options struct {
-	Zones     int
+	Zones     int // data centres
 	VMs       int // in each zone
-	Groups    int
+	Groups    int // each with a server in each zone
 	Customers int
-	Rate      float64 // of each customer
-	Lag       time.Duration
-	MaxConns  int
-	Logger    log.Interface // nil discards
-	Tracer    trace.Tracer  // nil discards
+	Rate      float64       // limit of each customer in operations a second, also its burst
+	Lag       time.Duration // replication lag of replicas
+	MaxConns  int           // that each backend server accepts
+	Logger    log.Interface // nil discards log entries
+	Tracer    trace.Tracer  // nil discards spans
 }
 
-// Deployment is a fleet of VMs with their platform, in virtual time.
+// Deployment is a fleet of VMs with its simulated platform, in virtual time.
 type Deployment struct {
 	Options
 	Net    *memnet.Network
 	Store  *Store
 	Groups map[string]*Group
-	VMs    map[string]*VM // by name; use VM while others may start
+	VMs    map[string]*VM // by name; call VM instead while VMs may be started
 
 	mu     sync.Mutex // guards VMs
 	ctx    context.Context
@@ -68,34 +68,34 @@
 	config catalog.Config
 }
 
-// VM is a VM of the fleet.
+// VM is a VM of a deployment. Node is its proxy.
 type VM struct {
 	Name, Zone string
 	Node       *chestnutdyke.Node
 	deployment *Deployment
 	host       *memnet.Host
 	cancel     context.CancelFunc
-	ended      chan struct{}
+	done       chan struct{} // closed when the node has stopped
 }
 
-// Databases of the routes to a group.
+// Kinds of routes to a group, by the consistency of their reads.
 const (
-	Latest  = "latest"  // every acknowledged commit
-	Bounded = "bounded" // at most a second old
-	Own     = "own"     // at most two seconds old, and the session's own commits
+	Latest  = "latest"  // reads see every acknowledged commit
+	Bounded = "bounded" // reads are at most one second stale
+	Own     = "own"     // reads are at most two seconds stale and see the session's own commits
 )
 
-// Database returns the database name of a route to a group.
+// Database returns the database name of the route of a kind to a group.
 func Database(kind string, group int) string { return fmt.Sprintf("%s-%d", kind, group) }
 
-// GroupName returns the name of a group.
+// GroupName returns the name of the group with the given number.
 func GroupName(group int) string { return fmt.Sprintf("group-%d", group) }
 
-// Start starts a deployment. It must be called in a synctest bubble; Stop must
-// be called at its end.
+// Start starts a deployment and waits two seconds for its VMs to be ready. It must
+// be called in a synctest bubble, and the caller must call Stop.
 func Start(o Options) *Deployment {
-	begin := time.Now().Add(-time.Hour)
-	clock.SetSource(func() time.Duration { return time.Since(begin) })
+	epoch := time.Now().Add(-time.Hour)
+	clock.SetSource(func() time.Duration { return time.Since(epoch) })
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Deployment{
 		Options: o, Net: memnet.New(1), Store: newStore(), Groups: make(map[string]*Group), VMs: make(map[string]*VM),
@@ -111,40 +111,40 @@
 	for g := range o.Groups {
 		d.startGroup(GroupName(g), g)
 	}
-	d.declare()
+	d.publishInitialConfig()
 	for z := range o.Zones {
 		for v := range o.VMs {
-			d.StartVM(fmt.Sprintf("vm-%d-%d", z, v), zone(z))
+			d.StartVM(fmt.Sprintf("vm-%d-%d", z, v), zoneName(z))
 		}
 	}
 	time.Sleep(2 * time.Second)
 	return d
 }
 
-// Stop ends the deployment.
+// Stop stops all VMs, backend servers and the network.
 func (d *Deployment) Stop() {
 	d.cancel()
 	for _, vm := range d.VMs {
-		<-vm.ended
+		<-vm.done
 	}
 	d.Net.Close()
-	// What was started ends within a second of virtual time.
+	// All goroutines that are left end within a second of virtual time.
 	time.Sleep(time.Second)
 	clock.SetSource(nil)
 }
 
-func zone(z int) string { return fmt.Sprintf("zone-%d", z) }
+func zoneName(z int) string { return fmt.Sprintf("zone-%d", z) }
 
 func (d *Deployment) startGroup(name string, index int) {
 	g := NewGroup(name, d.MaxConns, d.Lag, Backend{})
 	d.Groups[name] = g
 	d.Store.AddGroup(g)
 	for z := range d.Zones {
-		d.StartServer(g, fmt.Sprintf("%s-s%d", name, z), zone(z), z == index%d.Zones)
+		d.StartServer(g, fmt.Sprintf("%s-s%d", name, z), zoneName(z), z == index%d.Zones)
 	}
 }
 
-// StartServer starts a server of the group. It registers itself.
+// StartServer adds a server to the group and registers it in the store.
 func (d *Deployment) StartServer(g *Group, id, zone string, primary bool) *Server {
 	host := d.Net.Host(id, zone)
 	address := fmt.Sprintf("%s:%d", id, serverPort)
@@ -158,13 +158,13 @@
 	return s
 }
 
-// Report registers the server in the store, and again when its role changes,
-// until ctx is done.
+// Report registers the server in the store, and updates the registration when the
+// server becomes primary or replica, until ctx is done.
 func Report(ctx context.Context, store *Store, s *Server) {
-	registered, last := false, false
+	registered, wasPrimary := false, false
 	for ctx.Err() == nil {
-		if now := s.isPrimary(); now != last || !registered {
-			registered, last = true, now
+		if primary := s.isPrimary(); primary != wasPrimary || !registered {
+			registered, wasPrimary = true, primary
 			register(store, s)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -177,7 +177,7 @@
 	return s.primary
 }
 
-// register writes the server's registration.
+// register writes the server's registration to the store.
 func register(store *Store, s *Server) {
 	s.group.mu.Lock()
 	entry := catalog.Server{
@@ -187,10 +187,10 @@
 	store.Put(directory.Servers, directory.Entry{Name: s.ID, Server: &entry})
 }
 
-// Drain makes the server register as leaving. It goes on answering.
+// Drain registers the server as draining. The server still answers.
 func Drain(store *Store, s *Server) { setDraining(store, s, true) }
 
-// Undrain takes Drain back.
+// Undrain registers the server as no longer draining.
 func Undrain(store *Store, s *Server) { setDraining(store, s, false) }
 
 func setDraining(store *Store, s *Server, draining bool) {
@@ -200,7 +200,7 @@
 	register(store, s)
 }
 
-// Primary returns the group's primary, or nil.
+// Primary returns the group's primary, or nil if there is none.
 func (g *Group) Primary() *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,10 +212,11 @@
 	return nil
 }
 
-// Crash stops the server without a word. Its connections break.
+// Crash stops the server without a change of its registration and closes its
+// connections.
 func (s *Server) Crash() {
 	s.group.mu.Lock()
-	s.held = s.received()
+	s.received = s.logLength()
 	s.down, s.primary = true, false
 	conns := s.conns
 	s.conns = make(map[net.Conn]bool)
@@ -226,43 +227,44 @@
 	}
 }
 
-// LoseAnswers makes the server break the connection after its next n writes.
+// LoseAnswers makes the server close the connection after each of its next n
+// commits, instead of answering.
 func (s *Server) LoseAnswers(n int) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	s.loseAnswers = n
+	s.answersToDrop = n
 }
 
-// SetDeaf makes a replica receive nothing, or go on receiving.
-func (s *Server) SetDeaf(deaf bool) {
+// SetDeaf pauses or resumes replication to the server.
+func (s *Server) SetDeaf(paused bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	s.received()
-	s.deaf = deaf
+	s.logLength() // updates received
+	s.paused = paused
 }
 
-// Replicas returns the servers that follow, ordered by id.
+// Replicas returns the replicas that are up, ordered by id.
 func (g *Group) Replicas() []*Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var all []*Server
+	var replicas []*Server
 	for _, s := range g.servers {
 		if !s.primary && !s.down {
-			all = append(all, s)
+			replicas = append(replicas, s)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(replicas, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
+	return replicas
 }
 
-// LostCommits returns how many commits promotions have dropped.
-func (g *Group) LostCommits() int {
+// DroppedCommits returns the number of commits that promotions have dropped.
+func (g *Group) DroppedCommits() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lostCommits
+	return g.droppedCommits
 }
 
-// Commits returns how often statements of the id are in the log.
+// Commits returns the number of log entries that the statement with the id wrote.
 func (g *Group) Commits(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -275,7 +277,7 @@
 	return n
 }
 
-// CommitsOf returns the times of a customer's commits.
+// CommitsOf returns the times of the customer's commits that are in the log.
 func (g *Group) CommitsOf(customer string) []time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -288,15 +290,15 @@
 	return times
 }
 
-// Connections returns the number of connections to the server.
+// Connections returns the number of open connections to the server.
 func (s *Server) Connections() int {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	return len(s.conns)
 }
 
-// declare writes the configuration for the options.
-func (d *Deployment) declare() {
+// publishInitialConfig writes the configuration that the options describe.
+func (d *Deployment) publishInitialConfig() {
 	d.Configure(func(c *catalog.Config) {
 		c.TxIdle = 3 * time.Second
 		for g := range d.Options.Groups {
@@ -319,7 +321,8 @@
 	})
 }
 
-// Configure changes the operators' configuration.
+// Configure publishes a copy of the configuration, with the next version, to which
+// change was applied.
 func (d *Deployment) Configure(change func(*catalog.Config)) {
 	next := catalog.Config{
 		Version: d.config.Version + 1, Routes: slices.Clone(d.config.Routes), Customers: slices.Clone(d.config.Customers),
@@ -332,12 +335,12 @@
 	d.Store.Put(directory.Configuration, directory.Entry{Name: "main", Config: &published})
 }
 
-// StartVM starts a VM.
+// StartVM starts a VM, or starts it again after Kill or Terminate.
 func (d *Deployment) StartVM(name, zone string) *VM {
 	host := d.Net.Host(name, zone)
 	ctx, cancel := context.WithCancel(d.ctx)
 	c := client{Store: d.Store, vm: name}
-	vm := &VM{Name: name, Zone: zone, deployment: d, host: host, cancel: cancel, ended: make(chan struct{})}
+	vm := &VM{Name: name, Zone: zone, deployment: d, host: host, cancel: cancel, done: make(chan struct{})}
 	vm.Node = chestnutdyke.NewNode(ctx, chestnutdyke.NodeOptions{
 		Name: name, DataCentre: zone, Weight: 1, Workers: 2, Grace: 6 * time.Second,
 		ClientAddress: fmt.Sprintf("%s:%d", name, clientPort), LinkAddress: fmt.Sprintf("%s:%d", name, linkPort),
@@ -349,7 +352,7 @@
 	d.VMs[name] = vm
 	d.mu.Unlock()
 	go func() {
-		defer close(vm.ended)
+		defer close(vm.done)
 		if err := vm.Node.Run(); err != nil {
 			panic(err)
 		}
@@ -357,42 +360,43 @@
 	return vm
 }
 
-// VM returns the VM that was started last under the name.
+// VM returns the VM that was last started under the name. It may be called while
+// VMs are started.
 func (d *Deployment) VM(name string) *VM {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.VMs[name]
 }
 
-// Kill ends the VM's process at once; its connections break.
+// Kill stops the VM without draining it and breaks its connections.
 func (vm *VM) Kill() {
 	vm.cancel()
-	<-vm.ended
+	<-vm.done
 	vm.deployment.Net.Break(memnet.Hosts(vm.Name), memnet.All())
 }
 
-// Terminate stops the VM as planned.
+// Terminate drains the VM and then stops it.
 func (vm *VM) Terminate() {
 	vm.Node.Drain()
 	vm.Kill()
 }
 
-// Client is a client's session.
+// Client is a client's session on a VM. Its requests run one at a time.
 type Client struct {
 	conn net.Conn
 	r    *bufio.Reader
-	last int
+	last int // number of the last request, part of its id
 	name string
 }
 
-// Connect opens a session on the VM for a customer. It returns the refusal, if
-// there is one.
+// Connect opens a session on the VM for a customer. If it is refused, the client is
+// nil and the answer holds the reason.
 func (vm *VM) Connect(name, database string, customer int) (*Client, statement.Answer) {
-	return vm.ConnectKey(name, database, Key(customer))
+	return vm.ConnectWithKey(name, database, Key(customer))
 }
 
-// ConnectKey is Connect with a key.
-func (vm *VM) ConnectKey(name, database, key string) (*Client, statement.Answer) {
+// ConnectWithKey is like Connect, with the given access key.
+func (vm *VM) ConnectWithKey(name, database, key string) (*Client, statement.Answer) {
 	host := vm.deployment.Net.Host("client-"+name, vm.Zone)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -415,16 +419,16 @@
 	return c, a
 }
 
-// Close ends the session.
+// Close closes the session's connection.
 func (c *Client) Close() { c.conn.Close() }
 
-// Do sends a request and returns its id and answer. A connection that breaks
-// answers Lost.
+// Do sends a request and returns its id and answer. The answer has the code Lost if
+// the connection breaks.
 func (c *Client) Do(verb statement.Verb, payload string) (string, statement.Answer) {
 	return c.Request(statement.Request{Verb: verb, Payload: payload})
 }
 
-// Request sends a request of which the id is set here.
+// Request is like Do for a whole request, of which it sets the id.
 func (c *Client) Request(r statement.Request) (string, statement.Answer) {
 	c.last++
 	r.ID = fmt.Sprintf("%s/%d", c.name, c.last)
--- a/standin/managed/dialect.go
+++ b/standin/managed/dialect.go
@@ -1,9 +1,9 @@
-// Package managed is a model of a platform that declares deployments in a store,
-// runs database groups and promotes primaries on request. Fleets of
-// chestnutdyke.Node run on it in tests, in virtual time, with faults.
+// Package managed simulates a platform that keeps the configuration in a store,
+// runs database groups and promotes primaries on request. Tests run fleets of
+// chestnutdyke.Node on it in virtual time and inject faults.
 //
-// It follows the interfaces of the transport layer and knows no platform's
-// names. Its wire protocol is a line of JSON for each message.
+// It implements the interfaces of the transport layer and does not depend on a
+// particular platform. Messages of its wire protocols are lines of JSON.
 package managed
 
 import (
@@ -19,13 +19,15 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlfront"
 )
 
-// opening begins a connection to a backend server.
-type opening struct{ Group, Customer, Server string }
+// startMessage is the first message on a connection to a backend server.
+type startMessage struct{ Group, Customer, Server string }
 
-// Clients is the wire protocol between clients and VMs.
+// Clients implements sqlfront.Dialect, the VMs' side of the protocol between
+// clients and VMs.
 type Clients struct{}
 
-// Servers is the wire protocol between VMs and backend servers.
+// Servers implements sqlback.Dialect, the VMs' side of the protocol between VMs and
+// backend servers.
 type Servers struct{}
 
 func appendJSON(dst []byte, v any) []byte {
@@ -69,7 +71,7 @@
 
 // AppendStart implements sqlback.Dialect.
 func (Servers) AppendStart(dst []byte, group, customer, server string) []byte {
-	return appendJSON(dst, opening{group, customer, server})
+	return appendJSON(dst, startMessage{group, customer, server})
 }
 
 // ReadStarted implements sqlback.Dialect.
@@ -92,14 +94,14 @@
 	return r, err
 }
 
-// Backend is the wire protocol of Servers from the servers' side.
+// Backend implements Codec, the backend servers' side of the protocol of Servers.
 type Backend struct{}
 
 // ReadOpening implements Codec.
 func (Backend) ReadOpening(r *bufio.Reader) (group, customer, server string, err error) {
-	var o opening
-	err = readJSON(r, &o)
-	return o.Group, o.Customer, o.Server, err
+	var start startMessage
+	err = readJSON(r, &start)
+	return start.Group, start.Customer, start.Server, err
 }
 
 // ReadCommand implements Codec.
--- a/standin/managed/faults_test.go
+++ b/standin/managed/faults_test.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// failoverWithin is the time in which a change of primary must be over.
+	// failoverWithin is the longest allowed time without a write when a primary is
+	// replaced.
 	failoverWithin = 7 * time.Second
-	// configWithin is the time in which a configuration must be in force.
+	// configWithin is the time after which a configuration must be in force on all
+	// VMs.
 	configWithin = 3 * time.Second
-	// evacuateWithin is the time in which a data centre that is taken out must
-	// get no more work.
+	// evacuateWithin is the time after which a data centre that is taken out of
+	// service must get no more work.
 	evacuateWithin = 5 * time.Second
 )
 
-// Guards against a primary that is not replaced, promises that are broken, and
-// reads that miss commits while a primary crashes.
+// Guards against a crashed primary that is not replaced, and against wrong answers
+// to writes and stale reads meanwhile.
 func TestPrimaryCrash(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
 		d.Groups[GroupName(0)].Primary().Crash()
@@ -38,20 +40,20 @@
 	})
 }
 
-// Guards against a primary that is silent behind a partition and still answers
-// some VMs: its reads are old once another one is promoted.
+// Guards against reads from a primary that is behind a partition and still answers
+// the VMs on its side: they are stale once another server is promoted.
 func TestPrimaryCutOff(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
 		g := d.Groups[GroupName(0)]
 		old := g.Primary()
-		cut := d.Net.Partition(memnet.Zones(zone(0)), memnet.Zones(zone(1), zone(2)))
+		partition := d.Net.Partition(memnet.Zones(zoneName(0)), memnet.Zones(zoneName(1), zoneName(2)))
 		time.Sleep(5 * time.Second)
 		if g.Primary() == old {
 			t.Errorf("%s is still the primary", old.ID)
 		}
-		cut.Heal()
+		partition.Heal()
 		time.Sleep(3 * time.Second)
 		l.finish()
 		if l.codes[statement.OK] == 0 {
@@ -60,9 +62,9 @@
 	})
 }
 
-// Guards against commits that are lost when a primary is replaced as planned.
-func TestHandoverLosesNothing(t *testing.T) {
-	o := fes
+// Guards against commits that are lost in a planned switchover.
+func TestSwitchoverLosesNothing(t *testing.T) {
+	o := smallDeployment
 	o.Lag = 60 * time.Millisecond
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
@@ -72,59 +74,61 @@
 		Drain(d.Store, old)
 		time.Sleep(4 * time.Second)
 		if now := g.Primary(); now == nil || now == old {
-			t.Errorf("the leaving primary was not replaced")
+			t.Errorf("the draining primary was not replaced")
 		}
 		l.finish()
-		if n := g.LostCommits(); n > 0 {
+		if n := g.DroppedCommits(); n > 0 {
 			t.Errorf("%d commits were lost", n)
 		}
 	})
 }
 
-// Guards against work in a data centre that is taken out, and against
-// primaries that stay there.
+// Guards against statements that run in a data centre that is out of service, and
+// against primaries that stay there.
 func TestDataCentreTakenOut(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
-		d.Store.Put(directory.OutOfService, directory.Entry{Name: zone(0)})
+		d.Store.Put(directory.OutOfService, directory.Entry{Name: zoneName(0)})
 		time.Sleep(evacuateWithin)
 		var before, after int
 		for _, g := range d.Groups {
-			before += runsIn(g, zone(0))
+			before += executionsIn(g, zoneName(0))
 		}
 		time.Sleep(3 * time.Second)
 		l.finish()
 		for _, g := range d.Groups {
-			after += runsIn(g, zone(0))
-			if p := g.Primary(); p == nil || p.Zone == zone(0) {
-				t.Errorf("the primary of %s is still there", g.Name)
+			after += executionsIn(g, zoneName(0))
+			if p := g.Primary(); p == nil || p.Zone == zoneName(0) {
+				t.Errorf("the primary of %s is still in the data centre that is out of service", g.Name)
 			}
 		}
 		if after > before {
-			t.Errorf("%d statements ran in the data centre that is out", after-before)
+			t.Errorf("%d statements ran in the data centre that is out of service", after-before)
 		}
 	})
 }
 
-func runsIn(g *Group, zone string) int {
+// executionsIn returns the number of statements that the group's servers in the zone
+// have executed.
+func executionsIn(g *Group, zone string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
 	for _, s := range g.servers {
 		if s.Zone == zone {
-			for _, runs := range s.runs {
-				n += runs
+			for _, executions := range s.executions {
+				n += executions
 			}
 		}
 	}
 	return n
 }
 
-// Guards against an order to promote whose answer is lost and which is carried
-// out late, after the primary has come back: nothing may change then.
+// Guards against an order to promote whose answer is lost and which is executed
+// late, after another order has replaced the primary: it must change nothing.
 func TestLateOrderHasNoEffect(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
 		g := d.Groups[GroupName(0)]
@@ -143,10 +147,10 @@
 	})
 }
 
-// Guards against a fleet that cannot replace a primary because the VM that
-// orders promotions is killed, and against two VMs that use the same token.
+// Guards against a primary that is not replaced because the VM that orders
+// promotions is killed, and against two VMs that use the same fencing token.
 func TestStewardKilled(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
 		holder := d.Store.DutyHolder()
@@ -167,16 +171,16 @@
 	})
 }
 
-// Guards against failover that needs the store while it is down.
+// Guards against a failover that waits for the store while the store is down.
 func TestPrimaryCrashDuringStoreOutage(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
-		d.Store.Fail("", Silent)
+		d.Store.SetOutage("", Unresponsive)
 		time.Sleep(time.Second)
 		d.Groups[GroupName(0)].Primary().Crash()
 		time.Sleep(8 * time.Second)
-		d.Store.Fail("", Up)
+		d.Store.SetOutage("", Available)
 		l.finish()
 		if gap := l.longestGap(Latest); gap > failoverWithin {
 			t.Errorf("no write for %v", gap)
@@ -184,9 +188,9 @@
 	})
 }
 
-// Guards against reads that trust a replica which received nothing for a while.
-func TestDeafReplicas(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+// Guards against stale reads from replicas whose replication has been paused.
+func TestPausedReplication(t *testing.T) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(time.Second)
 		for _, g := range d.Groups {
@@ -203,15 +207,15 @@
 		time.Sleep(time.Second)
 		l.finish()
 		if l.codes[statement.Busy] > 0 {
-			t.Errorf("%d refusals though the primaries are well: %v", l.codes[statement.Busy], l.reasons)
+			t.Errorf("%d refusals although the primaries are available: %v", l.codes[statement.Busy], l.reasons)
 		}
 	})
 }
 
-// Guards against a write that is repeated after its answer was lost, and
-// against a commit with a lost answer that is said not to be kept.
+// Guards against a write that is retried after its answer was lost, and against a
+// client that is told that a commit with a lost answer was not made.
 func TestLostAnswers(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		for range 10 {
 			time.Sleep(300 * time.Millisecond)
@@ -221,15 +225,16 @@
 		}
 		l.finish()
 		if l.codes[statement.InDoubt] == 0 {
-			t.Error("no outcome was told to be unknown")
+			t.Error("no request was answered with an unknown outcome")
 		}
 	})
 }
 
-// Guards against requests that are cut by a planned stop, one VM after the
-// other; a session that rested was once closed with a request read.
+// Guards against requests that are cut off when VMs are drained and stopped one
+// after the other. An idle session was once closed after its next request had been
+// read.
 func TestRollingStop(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(time.Second)
 		for _, name := range []string{"vm-0-0", "vm-1-0", "vm-2-0"} {
@@ -244,35 +249,35 @@
 	})
 }
 
-// Guards against a configuration that is not in force in time while the store
-// forgets its history and leaves watches without an answer.
+// Guards against a configuration that is in force too late after the store has left
+// watches without an answer and dropped its history.
 func TestConfigurationDuringLostHistory(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
-		d.Store.Fail("", Silent)
+	inDeployment(t, smallDeployment, func(d *Deployment) {
+		d.Store.SetOutage("", Unresponsive)
 		time.Sleep(500 * time.Millisecond)
 		d.Configure(func(c *catalog.Config) { c.Customers[0].Keys = nil })
 		d.Store.Forget()
-		d.Store.Fail("", Up)
+		d.Store.SetOutage("", Available)
 		time.Sleep(configWithin)
 		for _, vm := range d.VMs {
 			c, a := vm.Connect("late-"+vm.Name, Database(Latest, 0), 0)
 			if c != nil || a.Code != statement.AccessDenied {
-				t.Errorf("%s: a revoked key is answered %s", vm.Name, a.Code)
+				t.Errorf("%s: a session with a revoked key is answered %s", vm.Name, a.Code)
 			}
 		}
 	})
 }
 
-// Guards against a key that stays valid in open sessions, also on VMs that the
-// store does not answer.
+// Guards against a revoked key that stays valid in open sessions, also on VMs that
+// the store does not answer.
 func TestRevokedKeyInOpenSessions(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		var clients []*Client
 		for _, vm := range d.VMs {
 			clients = append(clients, connect(t, vm, "open-"+vm.Name, Database(Latest, 0), 1))
 		}
-		d.Store.Fail("vm-0-0", Busy)
-		d.Store.Fail("vm-1-0", Silent)
+		d.Store.SetOutage("vm-0-0", Unavailable)
+		d.Store.SetOutage("vm-1-0", Unresponsive)
 		time.Sleep(time.Second)
 		d.Configure(func(c *catalog.Config) { c.Customers[1].Keys = nil })
 		time.Sleep(configWithin)
@@ -284,15 +289,16 @@
 	})
 }
 
-// Guards against a fleet that needs more than its own memory to start again.
+// Guards against a fleet that cannot start again after all VMs were killed, when the
+// state that they held in memory is lost.
 func TestAllKilled(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
-		names := make(map[string]string)
+	inDeployment(t, smallDeployment, func(d *Deployment) {
+		zones := make(map[string]string) // by name of the VM
 		for name, vm := range d.VMs {
-			names[name] = vm.Zone
+			zones[name] = vm.Zone
 			vm.Kill()
 		}
-		for name, zone := range names {
+		for name, zone := range zones {
 			d.StartVM(name, zone)
 		}
 		time.Sleep(time.Second)
@@ -304,45 +310,47 @@
 	})
 }
 
-// Guards against VMs of a data centre that is cut off which go on taking
-// sessions because primaries beside them still answer.
+// Guards against VMs in an isolated data centre that still accept sessions because
+// the primaries in the same data centre answer them.
 func TestCutOffVMsTakeNoSessions(t *testing.T) {
 	const noticedWithin = 1200 * time.Millisecond
-	o := fes
+	o := smallDeployment
 	o.Groups = 3
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
-		cut := d.Net.Partition(memnet.Zones(zone(0)), memnet.Zones(zone(1), zone(2)))
+		partition := d.Net.Partition(memnet.Zones(zoneName(0)), memnet.Zones(zoneName(1), zoneName(2)))
 		time.Sleep(noticedWithin)
-		for _, name := range l.names {
-			if vm := d.VM(name); vm.Node.Ready() != (vm.Zone != zone(0)) {
+		for _, name := range l.vmNames {
+			if vm := d.VM(name); vm.Node.Ready() != (vm.Zone != zoneName(0)) {
 				t.Errorf("%s of %s: ready is %v", name, vm.Zone, vm.Node.Ready())
 			}
 		}
-		// A session that is closed in place of being refused may have sent a request.
+		// The refusal must be sent: a client whose connection is only closed cannot
+		// know whether its request was run.
 		if c, a := d.VM("vm-0-0").Connect("late", Database(Latest, 0), 0); c != nil || a.Code != statement.Busy {
-			t.Errorf("a session of a VM that is cut off: %v, %s", c != nil, a.Code)
+			t.Errorf("connect to a VM that is cut off: accepted is %v, code %s", c != nil, a.Code)
 		}
-		cut.Heal()
+		partition.Heal()
 		time.Sleep(2 * time.Second)
-		for _, name := range l.names {
+		for _, name := range l.vmNames {
 			if !d.VM(name).Node.Ready() {
-				t.Errorf("%s is not ready after the cut", name)
+				t.Errorf("%s is not ready after the partition healed", name)
 			}
 		}
 		l.finish()
 	})
 }
 
-// Guards against reads that wait for a server which went silent without a reset,
-// until the statement's time-out, although another one could answer them.
+// Guards against reads that wait until the statement's time-out for a server that
+// became unreachable without a connection reset, although another server could
+// answer them.
 func TestReadsAreHedged(t *testing.T) {
-	const objective = 200 * time.Millisecond // of the routes, see declare
-	inDeployment(t, fes, func(d *Deployment) {
+	const targetLatency = 200 * time.Millisecond // of the routes, see publishInitialConfig
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		vm := d.VM("vm-0-0")
 		c := connect(t, vm, "hedged", Database(Bounded, 1), 0)
-		for range 40 { // opens connections, and allows hedges
+		for range 40 { // opens connections and earns the budget for hedged reads
 			mustDo(t, c, statement.Read, "x")
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -352,10 +360,10 @@
 			}
 		}
 		for range 20 {
-			sent := time.Now()
+			sentAt := time.Now()
 			_, a := c.Do(statement.Read, "x")
-			if took := time.Since(sent); a.Code != statement.OK || took > objective {
-				t.Errorf("a read ends after %v with %s %s, want an answer within %v", took, a.Code, a.Text, objective)
+			if took := time.Since(sentAt); a.Code != statement.OK || took > targetLatency {
+				t.Errorf("a read ended after %v with %s %s, want an answer within %v", took, a.Code, a.Text, targetLatency)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/standin/managed/limits_test.go
+++ b/standin/managed/limits_test.go
@@ -13,26 +13,25 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// limitWindow, limitOverage and limitSlack are the users' allowance above a
-// customer's limit.
+// The users allow each customer's limit to be exceeded by limitOverage and limitSlack
+// in every limitWindow.
 const (
 	limitWindow  = 5 * time.Second
-	limitOverage = 0.1
-	limitSlack   = 20
+	limitOverage = 0.1 // fraction of the limit
+	limitSlack   = 20  // operations
 )
 
-// Guards against more operations than a customer's limit allows in any window,
-// with a customer that asks for many times its rate while VMs are cut off from
-// each other, killed and started again.
+// Guards against exceeding a customer's limit when the customer asks for a multiple
+// of its rate while VMs are cut off from each other, killed and started again.
 func TestLimitHoldsUnderFaults(t *testing.T) {
-	o := fes
+	o := smallDeployment
 	o.Rate = 60
 	inDeployment(t, o, func(d *Deployment) {
 		stop := startFlood(d)
 		time.Sleep(6 * time.Second)
-		cut := d.Net.Partition(memnet.Hosts("vm-0-0"), memnet.Hosts("vm-0-1", "vm-1-0", "vm-1-1", "vm-2-0", "vm-2-1"))
+		partition := d.Net.Partition(memnet.Hosts("vm-0-0"), memnet.Hosts("vm-0-1", "vm-1-0", "vm-1-1", "vm-2-0", "vm-2-1"))
 		time.Sleep(4 * time.Second)
-		cut.Heal()
+		partition.Heal()
 		time.Sleep(time.Second)
 		for _, name := range []string{"vm-1-0", "vm-2-0", "vm-0-1"} {
 			vm := d.VM(name)
@@ -40,17 +39,17 @@
 			time.Sleep(300 * time.Millisecond)
 			d.StartVM(name, vm.Zone)
 		}
-		cut = d.Net.Partition(memnet.Zones(zone(0)), memnet.Zones(zone(1), zone(2)))
+		partition = d.Net.Partition(memnet.Zones(zoneName(0)), memnet.Zones(zoneName(1), zoneName(2)))
 		time.Sleep(4 * time.Second)
-		cut.Heal()
+		partition.Heal()
 		time.Sleep(4 * time.Second)
 		stop()
 		checkWindows(t, d)
 	})
 }
 
-// startFlood floods all VMs until the returned function is called, which waits
-// for the end.
+// startFlood starts three clients of the first customer on every VM. The returned
+// function stops them and waits until they have ended.
 func startFlood(d *Deployment) (stop func()) {
 	stopped := make(chan struct{})
 	var clients sync.WaitGroup
@@ -65,10 +64,11 @@
 	}
 }
 
-// flood writes up to a hundred times a second, several times the limit together.
-func flood(d *Deployment, vm string, n int, stop chan struct{}) {
+// flood writes up to 100 times a second. The clients of all VMs together ask for
+// several times the limit.
+func flood(d *Deployment, vm string, client int, stop chan struct{}) {
 	for {
-		c, _ := d.VM(vm).Connect(vm+string(rune('a'+n)), Database(Latest, n%2), 0)
+		c, _ := d.VM(vm).Connect(vm+string(rune('a'+client)), Database(Latest, client%2), 0)
 		for c != nil {
 			select {
 			case <-stop:
@@ -90,38 +90,39 @@
 	}
 }
 
-// checkWindows checks the commits of the first customer, which asks for more than
-// its limit, in every window: not above the allowance, and not far below.
+// checkWindows counts the commits of the first customer, which asks for more than its
+// limit, in every window. The highest count must be within the allowance and at least
+// half of the rate.
 func checkWindows(t *testing.T, d *Deployment) {
 	t.Helper()
 	var times []time.Time
 	for _, g := range d.Groups {
 		times = append(times, g.CommitsOf(CustomerName(0))...)
 	}
-	rate, burst := d.Rate, d.Rate // see declare
+	rate, burst := d.Rate, d.Rate // see publishInitialConfig
 	limit := (rate*limitWindow.Seconds()+burst)*(1+limitOverage) + limitSlack
-	most := 0
-	for _, from := range times {
+	highest := 0
+	for _, start := range times {
 		n := 0
 		for _, at := range times {
-			if !at.Before(from) && at.Sub(from) < limitWindow {
+			if !at.Before(start) && at.Sub(start) < limitWindow {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	if float64(most) > limit {
-		t.Errorf("%d operations in %v, the limit is %.0f", most, limitWindow, limit)
+	if float64(highest) > limit {
+		t.Errorf("%d operations in %v, the limit is %.0f", highest, limitWindow, limit)
 	}
-	if least := rate * limitWindow.Seconds() / 2; float64(most) < least {
-		t.Errorf("%d operations in the best %v, expected %.0f or more", most, limitWindow, least)
+	if least := rate * limitWindow.Seconds() / 2; float64(highest) < least {
+		t.Errorf("%d operations in the busiest %v, expected %.0f or more", highest, limitWindow, least)
 	}
 }
 
-// Guards against requests inside the limit that are refused until the loans of
-// shares to a ledger end, although the ledger is gone.
+// Guards against refusals of requests within the limit that last until the loans of
+// shares to a killed ledger expire.
 func TestLedgerKilled(t *testing.T) {
-	o := fes
+	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
@@ -136,10 +137,10 @@
 	})
 }
 
-// Guards against the same when a ledger stops as planned, while its links stay
-// open, and when it returns.
+// Guards against refusals of requests within the limit when a ledger is drained and
+// stopped, while its links are still open, and when it returns.
 func TestLedgerStopsAndReturns(t *testing.T) {
-	o := fes
+	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
@@ -154,64 +155,64 @@
 	})
 }
 
-// Guards against requests inside the limit that are refused because nobody knows
-// yet that a ledger's data centre is cut off without a reset.
+// Guards against refusals of requests within the limit while the other VMs have not
+// yet noticed that a ledger's data centre is cut off without connection resets.
 func TestLedgerCutOff(t *testing.T) {
-	o := fes
+	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
-		for _, half := range []int{0, 1} {
-			home := d.VM(d.VM("vm-0-0").Node.View().Ledgers(CustomerName(0))[half]).Zone
+		for _, ledger := range []int{0, 1} {
+			isolated := d.VM(d.VM("vm-0-0").Node.View().Ledgers(CustomerName(0))[ledger]).Zone
 			var others []string
 			for z := range o.Zones {
-				if zone(z) != home {
-					others = append(others, zone(z))
+				if zoneName(z) != isolated {
+					others = append(others, zoneName(z))
 				}
 			}
-			cut := d.Net.Partition(memnet.Zones(home), memnet.Zones(others...))
+			partition := d.Net.Partition(memnet.Zones(isolated), memnet.Zones(others...))
 			for _, name := range slices.Sorted(maps.Keys(d.VMs)) {
 				vm := d.VM(name)
-				if vm.Zone == home {
+				if vm.Zone == isolated {
 					continue
 				}
-				c := connect(t, vm, fmt.Sprint(name, half), Database(Bounded, 0), 0)
-				for begun := time.Now(); time.Since(begun) < 300*time.Millisecond; time.Sleep(10 * time.Millisecond) {
+				c := connect(t, vm, fmt.Sprint(name, ledger), Database(Bounded, 0), 0)
+				for start := time.Now(); time.Since(start) < 300*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 					if _, a := c.Do(statement.Read, "x"); strings.Contains(a.Text, "limit") {
 						t.Errorf("%s refused: %s", name, a.Text)
 					}
 				}
 				c.Close()
 			}
-			cut.Heal()
+			partition.Heal()
 			time.Sleep(3 * time.Second)
 		}
 	})
 }
 
-// tightRate is the limit of customers that need most of it: the load asks for
-// about 200 operations a second of each.
+// tightRate is a limit, in operations a second, that is not far above what the load
+// asks for: about 200 operations a second of each customer.
 const tightRate = 300
 
-// checkRefusals checks that hardly any operation was taken to be over its
+// checkRefusals fails the test if more than 40 operations were refused as over their
 // customer's limit.
 func (l *load) checkRefusals() {
 	l.t.Helper()
-	const most = 40
+	const maxRefused = 40
 	refused := 0
 	for reason, n := range l.reasons {
 		if strings.Contains(reason, "over the customer's limit") {
 			refused += n
 		}
 	}
-	if refused > most {
-		l.t.Errorf("%d operations inside the limit were refused", refused)
+	if refused > maxRefused {
+		l.t.Errorf("%d operations within the limit were refused", refused)
 	}
 }
 
-// Guards against shares that are spent twice when links are reset, alone or
-// while data centres are cut off, and loans end with the links.
+// Guards against shares that are spent twice when loans end because links are reset,
+// alone or together with a partition of a data centre.
 func TestLimitHoldsWhileLinksAreReset(t *testing.T) {
-	o := fes
+	o := smallDeployment
 	o.Rate = 60
 	inDeployment(t, o, func(d *Deployment) {
 		names := slices.Sorted(maps.Keys(d.VMs))
@@ -222,10 +223,10 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 		for z := range o.Zones {
-			cut := d.Net.Partition(memnet.Zones(zone(z)), memnet.Zones(zone((z+1)%o.Zones), zone((z+2)%o.Zones)))
-			cut.Break()
+			partition := d.Net.Partition(memnet.Zones(zoneName(z)), memnet.Zones(zoneName((z+1)%o.Zones), zoneName((z+2)%o.Zones)))
+			partition.Break()
 			time.Sleep(2 * time.Second)
-			cut.Heal()
+			partition.Heal()
 			time.Sleep(500 * time.Millisecond)
 		}
 		stop()
--- a/standin/managed/load_test.go
+++ b/standin/managed/load_test.go
@@ -11,51 +11,53 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// load runs clients against a deployment and checks what they are told.
+// load runs clients against a deployment and checks their answers.
 type load struct {
 	t *testing.T
 	d *Deployment
 
 	checker *Checker
-	names   []string // of the VMs
+	vmNames []string // sorted
 
 	mu      sync.Mutex // guards the fields below
 	codes   map[statement.Code]int
-	reasons map[string]int       // of refusals
-	lastOK  map[string]time.Time // by database
-	gap     map[string]time.Duration
+	reasons map[string]int           // number of refusals by code and text
+	lastOK  map[string]time.Time     // time of the last success, by database
+	maxGap  map[string]time.Duration // longest time between successes, by database
 	stop    bool
-	wg      sync.WaitGroup
+	clients sync.WaitGroup
 }
 
-// startLoad starts a writer and readers on every VM for a customer and group.
+// startLoad starts a writer and three readers on every VM. The VMs take turns in the
+// customer and the group that they work for.
 func startLoad(t *testing.T, d *Deployment) *load {
 	l := &load{
 		t: t, d: d, checker: NewChecker(), codes: make(map[statement.Code]int), reasons: make(map[string]int),
-		lastOK: make(map[string]time.Time), gap: make(map[string]time.Duration),
+		lastOK: make(map[string]time.Time), maxGap: make(map[string]time.Duration),
 	}
 	n := 0
-	l.names = slices.Sorted(maps.Keys(d.VMs))
-	for _, name := range l.names {
+	l.vmNames = slices.Sorted(maps.Keys(d.VMs))
+	for _, name := range l.vmNames {
 		customer := n % d.Customers
 		group := n % d.Options.Groups
 		n++
 		item := "item-" + name
-		l.wg.Go(func() { l.write(name, item, customer, group) })
+		l.clients.Go(func() { l.write(name, item, customer, group) })
 		for _, kind := range []string{Latest, Bounded, Own} {
-			l.wg.Go(func() { l.read(name, kind, item, customer, group) })
+			l.clients.Go(func() { l.read(name, kind, item, customer, group) })
 		}
 	}
 	return l
 }
 
-// finish ends the load and checks what can be checked at the end only.
+// finish stops the clients and fails the test for every violation that the checker
+// found.
 func (l *load) finish() {
 	l.t.Helper()
 	l.mu.Lock()
 	l.stop = true
 	l.mu.Unlock()
-	l.wg.Wait()
+	l.clients.Wait()
 	for _, v := range l.checker.Finish(l.d.Groups) {
 		l.t.Error(v)
 	}
@@ -67,18 +69,20 @@
 	return l.stop
 }
 
-// ok records a success and the time since the one before on the database.
-func (l *load) ok(database string) {
+// recordSuccess records a success on the database and the time since the previous
+// one.
+func (l *load) recordSuccess(database string) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if last, known := l.lastOK[database]; known {
-		l.gap[database] = max(l.gap[database], now.Sub(last))
+		l.maxGap[database] = max(l.maxGap[database], now.Sub(last))
 	}
 	l.lastOK[database] = now
 }
 
-func (l *load) count(a statement.Answer) {
+// countAnswer counts the answer by code and, if it is a refusal, by text.
+func (l *load) countAnswer(a statement.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.codes[a.Code]++
@@ -87,11 +91,12 @@
 	}
 }
 
-// session calls f with a session again and again, on any VM that takes one.
-func (l *load) session(name, home, database string, customer int, f func(c *Client)) {
-	names := append([]string{home}, l.names...)
+// runSessions opens a session, preferably on the VM home, calls f with it, and starts
+// over on the next VM when f returns, until the load stops.
+func (l *load) runSessions(name, home, database string, customer int, f func(c *Client)) {
+	vmNames := append([]string{home}, l.vmNames...)
 	for i := 0; !l.stopped(); i++ {
-		vm := l.d.VM(names[i%len(names)])
+		vm := l.d.VM(vmNames[i%len(vmNames)])
 		if !vm.Node.Ready() {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -106,31 +111,32 @@
 	}
 }
 
-const pace = 30 * time.Millisecond
+// requestInterval is the pause of a client between two requests.
+const requestInterval = 30 * time.Millisecond
 
-// write writes ascending values of an item, alone and in transactions.
+// write writes ascending values of an item. Every fourth write is in a transaction.
 func (l *load) write(home, item string, customer, group int) {
 	g := l.d.Groups[GroupName(group)]
 	database := Database(Latest, group)
 	value := 0
-	l.session("w-"+home, home, database, customer, func(c *Client) {
+	l.runSessions("w-"+home, home, database, customer, func(c *Client) {
 		for !l.stopped() {
 			value++
 			id, a := l.writeOnce(c, fmt.Sprintf("%s %d", item, value), value%4 == 0)
-			l.count(a)
+			l.countAnswer(a)
 			l.checker.Wrote(g, item, value, id, a.Code)
 			switch a.Code {
 			case statement.OK:
-				l.ok(database)
+				l.recordSuccess(database)
 			case statement.Lost:
 				return
 			}
-			time.Sleep(pace)
+			time.Sleep(requestInterval)
 		}
 	})
 }
 
-// writeOnce writes alone or in a transaction, and returns the write's id and
+// writeOnce writes outside or inside a transaction, and returns the write's id and
 // the answer that decides its outcome.
 func (l *load) writeOnce(c *Client, payload string, inTx bool) (string, statement.Answer) {
 	if !inTx {
@@ -150,38 +156,39 @@
 	return id, a
 }
 
-// bounds are the ages up to which routes may miss commits, see declare.
-var bounds = map[string]time.Duration{Latest: 0, Bounded: time.Second, Own: 2 * time.Second}
+// maxStaleness is the age of commits that reads may miss, by kind of route. It
+// matches publishInitialConfig.
+var maxStaleness = map[string]time.Duration{Latest: 0, Bounded: time.Second, Own: 2 * time.Second}
 
-// read reads an item and checks that no commit is missing which must be seen.
+// read reads an item repeatedly and has the checker check each answer.
 func (l *load) read(home, kind, item string, customer, group int) {
 	g := l.d.Groups[GroupName(group)]
 	database := Database(kind, group)
-	l.session("r-"+kind+"-"+home, home, database, customer, func(c *Client) {
+	l.runSessions("r-"+kind+"-"+home, home, database, customer, func(c *Client) {
 		for !l.stopped() {
-			begun := time.Now()
+			sentAt := time.Now()
 			_, a := c.Do(statement.Read, item)
-			l.count(a)
+			l.countAnswer(a)
 			switch a.Code {
 			case statement.OK:
-				l.ok(database)
-				l.checker.Read(g, item, bounds[kind], begun, a)
+				l.recordSuccess(database)
+				l.checker.Read(g, item, maxStaleness[kind], sentAt, a)
 			case statement.Lost:
 				return
 			}
-			time.Sleep(pace)
+			time.Sleep(requestInterval)
 		}
 	})
 }
 
-// longestGap returns the longest time without a success on the databases of a
-// kind of route.
+// longestGap returns the longest time between two successes on any database of a kind
+// of route.
 func (l *load) longestGap(kind string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	longest := time.Duration(0)
 	for g := range l.d.Options.Groups {
-		longest = max(longest, l.gap[Database(kind, g)])
+		longest = max(longest, l.maxGap[Database(kind, g)])
 	}
 	return longest
 }
--- a/standin/managed/managed_test.go
+++ b/standin/managed/managed_test.go
@@ -18,8 +18,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// lockOrder switches the assertion on the lock order on. It takes a stack trace
-// per lock, which is most of the time of these tests.
+// lockOrder enables the checks of the lock order. They take a stack trace per lock,
+// which would be most of the run time of these tests.
 var lockOrder = flag.Bool("lockorder", false, "check the order of locks; slow")
 
 func TestMain(m *testing.M) {
@@ -30,10 +30,10 @@
 	os.Exit(m.Run())
 }
 
-// fes is a deployment of the size of the users' smaller ones.
-var fes = Options{Zones: 3, VMs: 2, Groups: 2, Customers: 3, Rate: 1000, Lag: 10 * time.Millisecond, MaxConns: 20}
+// smallDeployment has the size of the users' smaller installations.
+var smallDeployment = Options{Zones: 3, VMs: 2, Groups: 2, Customers: 3, Rate: 1000, Lag: 10 * time.Millisecond, MaxConns: 20}
 
-// inDeployment runs a test on a deployment in virtual time.
+// inDeployment runs a test on a new deployment in virtual time.
 func inDeployment(t *testing.T, o Options, test func(d *Deployment)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	})
 }
 
-// connect opens a session or fails the test.
+// connect opens a session, and fails the test if it is refused.
 func connect(t *testing.T, vm *VM, name, database string, customer int) *Client {
 	t.Helper()
 	c, a := vm.Connect(name, database, customer)
@@ -53,7 +53,7 @@
 	return c
 }
 
-// mustDo runs a request that has to succeed.
+// mustDo runs a request, and fails the test if it is not answered OK.
 func mustDo(t *testing.T, c *Client, verb statement.Verb, payload string) statement.Answer {
 	t.Helper()
 	_, a := c.Do(verb, payload)
@@ -63,10 +63,10 @@
 	return a
 }
 
-// Guards against a path that does not reach the primary or a replica, and
+// Guards against requests that are not routed to the primary or a replica, and
 // against reads that miss the session's own write.
 func TestSessionReadsItsWrites(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		for _, kind := range []string{Latest, Own} {
 			c := connect(t, d.VM("vm-2-0"), kind, Database(kind, 1), 0)
 			for i := range 20 {
@@ -82,10 +82,10 @@
 	})
 }
 
-// Guards against transactions whose statements are spread over connections, and
-// against writes that stay after a rollback.
+// Guards against a transaction whose statements run on several connections, and
+// against writes that are kept after a rollback.
 func TestTransactions(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		c := connect(t, d.VM("vm-0-1"), "tx", Database(Latest, 0), 1)
 		mustDo(t, c, statement.Begin, "")
 		mustDo(t, c, statement.Write, "a 1")
@@ -102,29 +102,29 @@
 	})
 }
 
-// Guards against a reading transaction on a latest route that runs on a replica.
-func TestReadingTransactionSeesLatest(t *testing.T) {
-	o := fes
+// Guards against a read-only transaction on a latest route that runs on a replica.
+func TestReadOnlyTransactionSeesLatest(t *testing.T) {
+	o := smallDeployment
 	o.Lag = 500 * time.Millisecond
 	inDeployment(t, o, func(d *Deployment) {
-		w := connect(t, d.VM("vm-0-0"), "w", Database(Latest, 0), 0)
-		r := connect(t, d.VM("vm-1-0"), "r", Database(Latest, 0), 0)
+		writer := connect(t, d.VM("vm-0-0"), "w", Database(Latest, 0), 0)
+		reader := connect(t, d.VM("vm-1-0"), "r", Database(Latest, 0), 0)
 		for i := range 5 {
 			data := fmt.Sprint(i)
-			mustDo(t, w, statement.Write, "x "+data)
-			mustDo(t, r, statement.BeginReadOnly, "")
-			if a := mustDo(t, r, statement.Read, "x"); len(a.Rows) != 1 || a.Rows[0] != data {
+			mustDo(t, writer, statement.Write, "x "+data)
+			mustDo(t, reader, statement.BeginReadOnly, "")
+			if a := mustDo(t, reader, statement.Read, "x"); len(a.Rows) != 1 || a.Rows[0] != data {
 				t.Errorf("read %q after %q was acknowledged", a.Rows, data)
 			}
-			mustDo(t, r, statement.Commit, "")
+			mustDo(t, reader, statement.Commit, "")
 		}
 	})
 }
 
-// Guards against connections shared by customers, and against more connections
-// than the servers take.
-func TestConnectionsStayInsideTheCap(t *testing.T) {
-	o := fes
+// Guards against connections that customers share, and against more connections to a
+// backend server than it accepts.
+func TestConnectionLimit(t *testing.T) {
+	o := smallDeployment
 	o.MaxConns, o.Rate = 8, 4000
 	inDeployment(t, o, func(d *Deployment) {
 		done := make(chan int)
@@ -160,16 +160,16 @@
 	})
 }
 
-// Guards against traces that end at the VM which a client is connected to: each
-// hop of a statement has a span, on the VM that runs it too.
+// Guards against traces that end at the VM which the client is connected to: the VM
+// that runs the statement must record spans too.
 func TestSpanForEachHop(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
-	o := fes
+	o := smallDeployment
 	o.Tracer = sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans)).Tracer("")
 	inDeployment(t, o, func(d *Deployment) {
 		spans.Reset()
-		// The primary of a group is in one zone only, so some of these writes go
-		// through another VM.
+		// The group's primary is in one zone, so the writes from the other zones are
+		// relayed by a second VM.
 		for z := range o.Zones {
 			c := connect(t, d.VM(fmt.Sprintf("vm-%d-0", z)), "traced", Database(Latest, 0), 0)
 			mustDo(t, c, statement.Write, fmt.Sprintf("item-%d x", z))
@@ -193,61 +193,61 @@
 	})
 }
 
-// Guards against a fleet that asks the store for everything on every VM when it
-// starts: calls are paid for, and their rates grow more slowly than fleets.
-func TestStartAsksStoreLittle(t *testing.T) {
-	o := fes
+// Guards against a start at which every VM reads everything from the store. Store
+// calls cost money, and their allowed rate grows more slowly than the fleet.
+func TestStoreCallsAtStart(t *testing.T) {
+	o := smallDeployment
 	o.VMs = 8
 	inDeployment(t, o, func(d *Deployment) {
 		const (
-			perVM    = 2  // it announces itself and reads the list of members
-			perFleet = 50 // watches, duty, and VMs that hear of no other yet
+			perVM    = 2  // announcing itself and reading the list of members
+			perFleet = 50 // watches, the duty, and VMs that have not heard of another one yet
 		)
-		if calls, most := d.Store.Calls(), perVM*len(d.VMs)+perFleet; calls > most {
-			t.Errorf("%d calls by %d VMs, want %d at most", calls, len(d.VMs), most)
+		if calls, limit := d.Store.Calls(), perVM*len(d.VMs)+perFleet; calls > limit {
+			t.Errorf("%d calls by %d VMs, want %d at most", calls, len(d.VMs), limit)
 		}
 	})
 }
 
-// Guards against a fleet of which all VMs go on asking a store that is down, and
-// against one that does not notice its return.
-func TestStoreOutageAsksLittle(t *testing.T) {
-	o := fes
+// Guards against a fleet in which all VMs keep calling a store that is down, and
+// against one that does not notice when the store is back.
+func TestStoreCallsDuringOutage(t *testing.T) {
+	o := smallDeployment
 	o.VMs = 8
 	inDeployment(t, o, func(d *Deployment) {
 		const (
 			outage   = 20 * time.Second
 			kinds    = 3
-			perWatch = 2 * 2 // watchers of a kind, with pauses of half a second or more
+			perWatch = 2 * 2 // two watchers of each kind, which pause for half a second or more
 		)
 		before := d.Store.Calls()
-		d.Store.Fail("", Busy)
+		d.Store.SetOutage("", Unavailable)
 		time.Sleep(outage)
-		// One failed call a VM and kind until no VM is left that may reach the
-		// store, the watchers' calls, the steward's and the list of members, and
-		// each VM's now and then.
-		most := len(d.VMs)*kinds + int(outage.Seconds())*(kinds*perWatch+6) + len(d.VMs)*int(outage/(5*time.Second))
-		if calls := d.Store.Calls() - before; calls > most {
-			t.Errorf("%d calls by %d VMs in %v, want %d at most", calls, len(d.VMs), outage, most)
+		// One failed call for each VM and kind until no VM is left that could reach
+		// the store; then each second the watchers' calls and those of the steward
+		// and for the list of members; and a call of each VM every five seconds.
+		limit := len(d.VMs)*kinds + int(outage.Seconds())*(kinds*perWatch+6) + len(d.VMs)*int(outage/(5*time.Second))
+		if calls := d.Store.Calls() - before; calls > limit {
+			t.Errorf("%d calls by %d VMs in %v, want %d at most", calls, len(d.VMs), outage, limit)
 		}
-		d.Store.Fail("", Up)
+		d.Store.SetOutage("", Available)
 		d.Configure(func(c *catalog.Config) { c.Customers[0].Keys = nil })
-		time.Sleep(3 * time.Second) // in which a configuration must be in force
+		time.Sleep(3 * time.Second) // a configuration must be in force by then
 		for name, vm := range d.VMs {
 			if c, a := vm.Connect("late", Database(Latest, 0), 0); c != nil || a.Code != statement.AccessDenied {
-				t.Errorf("%s takes a revoked key: %s", name, a.Code)
+				t.Errorf("%s accepts a revoked key: %s", name, a.Code)
 			}
 		}
 	})
 }
 
-// Guards against VMs that start together and miss each other for good, because
-// each read a list of members from before the other one announced itself.
-func TestVMsThatStartTogetherMeet(t *testing.T) {
-	inDeployment(t, fes, func(d *Deployment) {
+// Guards against VMs that start together and never learn of each other, because
+// each read the list of members before the other one announced itself.
+func TestSimultaneousStart(t *testing.T) {
+	inDeployment(t, smallDeployment, func(d *Deployment) {
 		for name, vm := range d.VMs {
 			if n := vm.Node.View().AliveCount(); n != len(d.VMs) {
-				t.Errorf("%s hears %d of %d VMs", name, n, len(d.VMs))
+				t.Errorf("%s sees %d of %d VMs alive", name, n, len(d.VMs))
 			}
 		}
 	})
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -11,58 +11,58 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/promotion"
 )
 
-// ErrStore is what a store that is down answers.
-var ErrStore = errors.New("the store is down")
+// ErrStoreUnavailable is the error of calls to a store that refuses them.
+var ErrStoreUnavailable = errors.New("store is unavailable")
 
-// storeDelay is the time that the store takes to answer.
-const storeDelay = 4 * time.Millisecond
+// storeLatency is the time that the store takes to answer a call.
+const storeLatency = 4 * time.Millisecond
 
-// Store is the platform's store and its interface for promotions.
+// Store simulates the platform's store, its list of VMs and its interface for
+// promotions.
 type Store struct {
-	mu       sync.Mutex // guards the fields below
-	revision uint64
-	docs     map[directory.Kind]map[string]directory.Entry
-	events   map[directory.Kind][]directory.Entry
-	oldest   uint64 // revisions up to this one are forgotten
-	changed  chan struct{}
-	members  map[string]member
-	duty     promotion.Duty
-	tokens   map[string]uint64 // highest fencing token by group
-	groups   map[string]*Group
-	// down names the VMs that the store does not answer, and how.
-	down       map[string]Outage
-	loseOrders int // orders to come that are not answered and carried out late
-	orderDelay time.Duration
-	orders     []Order
-	calls      int // of all VMs, waiting watches included
+	mu            sync.Mutex // guards the fields below
+	revision      uint64
+	entries       map[directory.Kind]map[string]directory.Entry
+	history       map[directory.Kind][]directory.Entry // changes in order of revision
+	compacted     uint64                               // highest revision of which the history was dropped
+	changed       chan struct{}                        // closed and replaced at each change
+	members       map[string]member
+	duty          promotion.Duty
+	fencingTokens map[string]uint64 // highest one seen, by group
+	groups        map[string]*Group
+	outages       map[string]Outage // by name of the VM that is affected; "" affects all
+	answersToDrop int               // number of coming orders that are not answered and run after orderDelay
+	orderDelay    time.Duration
+	orders        []Order
+	calls         int // of all VMs; a watch counts again whenever it is woken
 }
 
-// Outage is a way in which the store fails a VM.
+// Outage is a way in which the store fails the calls of a VM.
 type Outage uint8
 
-// Outages.
+// Outages, in ascending order of severity: the worse of two applies.
 const (
-	Up     Outage = iota
-	Busy          // refuses at once
-	Silent        // does not answer
+	Available    Outage = iota
+	Unavailable         // calls fail at once
+	Unresponsive        // calls are never answered
 )
 
-// Order is a promotion that was ordered.
+// Order is an order to promote a server that the store received.
 type Order struct {
-	Group, Server, Holder string
-	Token                 uint64
-	Refused               bool
+	Group, Server, Holder string // Holder is the VM that sent the order
+	Token                 uint64 // fencing token
+	Refused               bool   // the token was lower than an earlier one
 }
 
 func newStore() *Store {
 	return &Store{
-		revision: 1, docs: make(map[directory.Kind]map[string]directory.Entry), events: make(map[directory.Kind][]directory.Entry),
-		changed: make(chan struct{}), members: make(map[string]member), tokens: make(map[string]uint64),
-		groups: make(map[string]*Group), down: make(map[string]Outage),
+		revision: 1, entries: make(map[directory.Kind]map[string]directory.Entry), history: make(map[directory.Kind][]directory.Entry),
+		changed: make(chan struct{}), members: make(map[string]member), fencingTokens: make(map[string]uint64),
+		groups: make(map[string]*Group), outages: make(map[string]Outage),
 	}
 }
 
-// Put writes an entry of a kind.
+// Put writes or deletes an entry under the next revision and wakes all watches.
 func (s *Store) Put(kind directory.Kind, e directory.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,93 +73,96 @@
 		server.Revision = s.revision
 		e.Server = &server
 	}
-	if s.docs[kind] == nil {
-		s.docs[kind] = make(map[string]directory.Entry)
+	if s.entries[kind] == nil {
+		s.entries[kind] = make(map[string]directory.Entry)
 	}
 	if e.Deleted {
-		delete(s.docs[kind], e.Name)
+		delete(s.entries[kind], e.Name)
 	} else {
-		s.docs[kind][e.Name] = e
+		s.entries[kind][e.Name] = e
 	}
-	s.events[kind] = append(s.events[kind], e)
+	s.history[kind] = append(s.history[kind], e)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history of changes.
+// Forget drops the history of changes. Watches after an older revision then fail
+// with directory.ErrHistoryGone.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.oldest = s.revision
-	s.events = make(map[directory.Kind][]directory.Entry)
+	s.compacted = s.revision
+	s.history = make(map[directory.Kind][]directory.Entry)
 }
 
-// Fail makes the store fail the named VM, or all VMs for "".
-func (s *Store) Fail(vm string, how Outage) {
+// SetOutage sets the outage that affects the calls of the named VM, or of all VMs for "".
+func (s *Store) SetOutage(vm string, o Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down[vm] = how
+	s.outages[vm] = o
 }
 
-// LoseOrders makes the next n orders unanswered, carried out after the delay.
+// LoseOrders leaves the next n orders without an answer, and executes them after
+// the delay.
 func (s *Store) LoseOrders(n int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseOrders, s.orderDelay = n, delay
+	s.answersToDrop, s.orderDelay = n, delay
 }
 
-// Calls returns the number of calls that the store got.
+// Calls returns the number of calls that VMs made.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// DutyHolder returns the VM that orders promotions.
+// DutyHolder returns the name of the VM that holds the duty to order promotions.
 func (s *Store) DutyHolder() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.duty.Holder
 }
 
-// Orders returns the promotions that were ordered.
+// Orders returns the orders to promote that were executed or refused.
 func (s *Store) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Order(nil), s.orders...)
 }
 
-// reach waits for the store's answer to the VM, or fails.
-func (s *Store) reach(ctx context.Context, vm string) error {
+// call counts a call of the VM, waits for the store's latency, and returns the error
+// of an outage that affects the VM.
+func (s *Store) call(ctx context.Context, vm string) error {
 	s.mu.Lock()
 	s.calls++
-	how := max(s.down[vm], s.down[""])
+	outage := max(s.outages[vm], s.outages[""])
 	s.mu.Unlock()
-	switch how {
-	case Busy:
-		return ErrStore
-	case Silent:
+	switch outage {
+	case Unavailable:
+		return ErrStoreUnavailable
+	case Unresponsive:
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	time.Sleep(storeDelay)
+	time.Sleep(storeLatency)
 	return ctx.Err()
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store { return newStore() }
 
-// Access is a VM's access to the store.
+// Access is the store and the platform as one VM uses them.
 type Access interface {
 	directory.Source
 	promotion.Duties
 	promotion.Platform
 }
 
-// Client returns the named VM's access.
+// Client returns the access of the named VM, for outages that affect only it.
 func (s *Store) Client(vm string) Access { return client{Store: s, vm: vm} }
 
-// AddGroup makes the store promote servers of the group.
+// AddGroup makes the group known, so that orders can promote its servers.
 func (s *Store) AddGroup(g *Group) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,32 +176,32 @@
 }
 
 func (c client) List(ctx context.Context, kind directory.Kind) (directory.Batch, error) {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return directory.Batch{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := directory.Batch{AsOf: c.revision}
-	for e := range maps.Values(c.docs[kind]) {
+	for e := range maps.Values(c.entries[kind]) {
 		b.Entries = append(b.Entries, e)
 	}
 	return b, nil
 }
 
 func (c client) Watch(ctx context.Context, kind directory.Kind, after uint64, wait time.Duration) (directory.Batch, error) {
-	deadline := time.NewTimer(wait)
-	defer deadline.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
-		if err := c.reach(ctx, c.vm); err != nil {
+		if err := c.call(ctx, c.vm); err != nil {
 			return directory.Batch{}, err
 		}
 		c.mu.Lock()
-		if after < c.oldest {
+		if after < c.compacted {
 			c.mu.Unlock()
 			return directory.Batch{}, directory.ErrHistoryGone
 		}
 		b := directory.Batch{AsOf: c.revision}
-		for _, e := range c.events[kind] {
+		for _, e := range c.history[kind] {
 			if e.Revision > after {
 				b.Entries = append(b.Entries, e)
 			}
@@ -211,39 +214,40 @@
 		select {
 		case <-ctx.Done():
 			return directory.Batch{}, ctx.Err()
-		case <-deadline.C:
+		case <-timer.C:
 			return b, nil
 		case <-changed:
 		}
 	}
 }
 
-// staleness is the age of lists that need not be fresh.
-const staleness = 3 * time.Second
+// memberListLag is the time after which a VM appears in lists that need not be
+// fresh.
+const memberListLag = 3 * time.Second
 
-// member is a VM in the list of members.
+// member is an entry in the list of members, which the VM announced at since.
 type member struct {
 	directory.Member
 	since time.Time
 }
 
 func (c client) Members(ctx context.Context, fresh bool) ([]directory.Member, error) {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []directory.Member
+	var listed []directory.Member
 	for m := range maps.Values(c.members) {
-		if fresh || time.Since(m.since) >= staleness {
-			all = append(all, m.Member)
+		if fresh || time.Since(m.since) >= memberListLag {
+			listed = append(listed, m.Member)
 		}
 	}
-	return all, nil
+	return listed, nil
 }
 
 func (c client) Announce(ctx context.Context, m directory.Member) error {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -253,7 +257,7 @@
 }
 
 func (c client) Retire(ctx context.Context, name string) error {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -263,7 +267,7 @@
 }
 
 func (c client) ReadDuty(ctx context.Context) (promotion.Duty, error) {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return promotion.Duty{}, err
 	}
 	c.mu.Lock()
@@ -272,13 +276,13 @@
 }
 
 func (c client) WriteDuty(ctx context.Context, d promotion.Duty) error {
-	if err := c.reach(ctx, c.vm); err != nil {
+	if err := c.call(ctx, c.vm); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if d.Revision != c.duty.Revision {
-		return errors.New("conflict")
+		return errors.New("duty was changed by another VM")
 	}
 	c.revision++
 	d.Revision = c.revision
@@ -289,38 +293,39 @@
 // Promote implements promotion.Platform.
 func (c client) Promote(ctx context.Context, group, server, holder string, token uint64) error {
 	c.mu.Lock()
-	lost := c.loseOrders > 0
-	delay := storeDelay
-	if lost {
-		c.loseOrders--
+	dropAnswer := c.answersToDrop > 0
+	delay := storeLatency
+	if dropAnswer {
+		c.answersToDrop--
 		delay = c.orderDelay
 	}
 	c.mu.Unlock()
-	if lost {
-		time.AfterFunc(delay, func() { c.carryOut(group, server, holder, token) })
+	if dropAnswer {
+		time.AfterFunc(delay, func() { c.execute(group, server, holder, token) })
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	time.Sleep(delay)
-	if !c.carryOut(group, server, holder, token) {
+	if !c.execute(group, server, holder, token) {
 		return promotion.ErrRefused
 	}
 	return nil
 }
 
-func (c client) carryOut(group, server, holder string, token uint64) bool {
+// execute runs an order to promote and reports whether the platform accepts it. An
+// accepted order promotes the server after the group's PromoteDelay.
+func (c client) execute(group, server, holder string, token uint64) bool {
 	c.mu.Lock()
-	refused := token < c.tokens[group]
-	c.tokens[group] = max(c.tokens[group], token)
+	refused := token < c.fencingTokens[group]
+	c.fencingTokens[group] = max(c.fencingTokens[group], token)
 	c.orders = append(c.orders, Order{group, server, holder, token, refused})
 	g := c.groups[group]
 	c.mu.Unlock()
 	if refused || g == nil {
 		return false
 	}
-	if g.leads(server) {
-		// An order for the present primary changes nothing.
-		return true
+	if g.isPrimary(server) {
+		return true // an order for the current primary changes nothing
 	}
 	time.AfterFunc(g.PromoteDelay, func() { g.promote(server) })
 	return true
