--- a/standin/history/check.go
+++ b/standin/history/check.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// Names of the checks.
+// Names of the checks, which verdicts and failing tests print.
 const (
-	LostWrite     = "no acknowledged write is missing"
-	DoubleWrite   = "no write is there twice"
-	FalseNotRun   = "not run is true"
-	FalseFailure  = "failed and rolled back are true"
-	RanTwice      = "at most once"
-	StaleRead     = "read your writes"
-	MixedWrites   = "transactions are whole and not mixed"
-	ForeignAnswer = "every answer belongs to its request and is whole"
-	AppendOrder   = "appends of a session keep their order"
+	LostWrite        = "no acknowledged write is missing"
+	DoubleWrite      = "no write is in the final log twice"
+	CommittedNotRun  = "nothing that was refused as not run is committed"
+	CommittedFailure = "nothing that failed or was rolled back is committed"
+	RanTwice         = "every write runs at most once"
+	StaleRead        = "sessions read their own writes"
+	MixedWrites      = "commits hold exactly one transaction"
+	WrongAnswer      = "every answer is complete and belongs to its request"
+	AppendOrder      = "appends of a session keep their order"
 )
 
-// Verdict is the result of one check.
+// Verdict is the result of one check. Name is one of the constants above.
 type Verdict struct {
 	Name       string
-	Violations []string // explanations; empty if the check holds
+	Violations []string // descriptions; empty if the check passed
 }
 
-// OK reports whether the check holds.
+// OK reports whether the check found no violation.
 func (v *Verdict) OK() bool { return len(v.Violations) == 0 }
 
 func (v *Verdict) String() string {
@@ -34,22 +34,24 @@
 	return v.Name + ": " + strings.Join(v.Violations, "; ")
 }
 
-// Check returns one verdict per check, always in the same order.
+// Check runs all checks on what clients saw and what the servers did. It returns one
+// verdict per check, always in the same order, and panics if two requests write the
+// same value.
 func Check(h History, t Truth) []Verdict {
 	c := newChecker(h, t)
 	checks := []struct {
 		name string
 		run  func(c *checker)
 	}{
-		{LostWrite, (*checker).lostWrites},
-		{DoubleWrite, (*checker).doubleWrites},
-		{FalseNotRun, (*checker).falseNotRun},
-		{FalseFailure, (*checker).falseFailures},
-		{RanTwice, (*checker).ranTwice},
-		{StaleRead, (*checker).staleReads},
-		{MixedWrites, (*checker).mixedWrites},
-		{ForeignAnswer, (*checker).foreignAnswers},
-		{AppendOrder, (*checker).appendOrder},
+		{LostWrite, (*checker).checkLostWrites},
+		{DoubleWrite, (*checker).checkDoubleWrites},
+		{CommittedNotRun, (*checker).checkNotRun},
+		{CommittedFailure, (*checker).checkFailures},
+		{RanTwice, (*checker).checkRanTwice},
+		{StaleRead, (*checker).checkStaleReads},
+		{MixedWrites, (*checker).checkMixedWrites},
+		{WrongAnswer, (*checker).checkAnswers},
+		{AppendOrder, (*checker).checkAppendOrder},
 	}
 	var verdicts []Verdict
 	for _, check := range checks {
@@ -60,7 +62,7 @@
 	return verdicts
 }
 
-// Broken returns the verdicts that do not hold.
+// Broken returns the verdicts with violations.
 func Broken(verdicts []Verdict) []Verdict {
 	var broken []Verdict
 	for _, v := range verdicts {
@@ -71,41 +73,42 @@
 	return broken
 }
 
-// unit is what commits as a whole: a transaction, or a write outside of one.
+// unit is an atomic unit of work: a transaction, or a write outside of one.
 type unit struct {
-	end        *Request // the Commit, or the write itself; nil if no commit was asked for
-	first      *Request // the Begin, or the write itself
-	changes    []Change // of the answered writes, in order
-	others     []Change // of writes that were not answered
-	idempotent bool
+	commit         *Request // the Commit, or the write itself; nil if no commit was requested
+	begin          *Request // the Begin, or the write itself
+	changes        []Change // of the answered writes and the commit, in order
+	unacknowledged []Change // of writes in the transaction with another outcome than Answered
+	idempotent     bool     // the client allows it to be committed more than once
 }
 
-// outcome is what the client knows of the unit.
+// outcome returns what the client knows about the commit of the unit.
 func (u *unit) outcome() Outcome {
-	if u.end == nil {
-		return RolledBack // a commit that was not asked for must not happen
+	if u.commit == nil {
+		return RolledBack // a commit that was not requested must not happen
 	}
-	return u.end.Outcome
+	return u.commit.Outcome
 }
 
 func (u *unit) String() string {
-	if u.end == nil {
-		return fmt.Sprintf("transaction without commit (%s)", u.first)
+	if u.commit == nil {
+		return fmt.Sprintf("transaction without commit (%s)", u.begin)
 	}
-	return u.end.String()
+	return u.commit.String()
 }
 
-// checker holds what the checks share.
+// checker holds the data that all checks use, and the violations that the running
+// check has found.
 type checker struct {
 	history    History
-	ledger     *ledger
+	index      *truthIndex
 	units      []*unit
 	unitOf     map[string]*unit // by value written
 	violations []string
 }
 
 func newChecker(h History, t Truth) *checker {
-	c := &checker{history: h, ledger: newLedger(t), unitOf: make(map[string]*unit)}
+	c := &checker{history: h, index: newTruthIndex(t), unitOf: make(map[string]*unit)}
 	open := make(map[int]*unit) // by ID of the Begin
 	for i := range h.Requests {
 		c.collect(&h.Requests[i], open)
@@ -113,31 +116,33 @@
 	return c
 }
 
+// collect adds a request to the units. open holds those of all transactions so far.
 func (c *checker) collect(r *Request, open map[int]*unit) {
 	switch {
 	case r.Kind == Begin:
-		open[r.ID] = &unit{first: r}
+		open[r.ID] = &unit{begin: r}
 		c.units = append(c.units, open[r.ID])
 	case r.Kind == Commit:
 		u := open[r.Tx]
-		u.end, u.changes = r, append(u.changes, r.Changes...)
-		c.own(u, r.Changes)
+		u.commit, u.changes = r, append(u.changes, r.Changes...)
+		c.setUnit(u, r.Changes)
 	case r.Kind == Write && r.Tx == 0:
-		u := &unit{first: r, end: r, changes: r.Changes, idempotent: r.Idempotent}
+		u := &unit{begin: r, commit: r, changes: r.Changes, idempotent: r.Idempotent}
 		c.units = append(c.units, u)
-		c.own(u, r.Changes)
+		c.setUnit(u, r.Changes)
 	case r.Kind == Write:
 		u := open[r.Tx]
 		if r.Outcome == Answered {
 			u.changes = append(u.changes, r.Changes...)
 		} else {
-			u.others = append(u.others, r.Changes...)
+			u.unacknowledged = append(u.unacknowledged, r.Changes...)
 		}
-		c.own(u, r.Changes)
+		c.setUnit(u, r.Changes)
 	}
 }
 
-func (c *checker) own(u *unit, changes []Change) {
+// setUnit records the unit as the one that writes the values of the changes.
+func (c *checker) setUnit(u *unit, changes []Change) {
 	for _, change := range changes {
 		if c.unitOf[change.Value] != nil {
 			panic("history: value " + change.Value + " is written by two requests")
@@ -146,12 +151,12 @@
 	}
 }
 
-func (c *checker) violated(format string, args ...any) {
+func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// describe names a commit for an explanation.
-func (c *checker) describe(commit int) string {
-	r := &c.ledger.truth.Commits[commit]
+// describeCommit describes a commit for a violation.
+func (c *checker) describeCommit(commit int) string {
+	r := &c.index.truth.Commits[commit]
 	return fmt.Sprintf("commit %d of %s (term %d, position %d)", commit+1, r.Server, r.Term, r.Position)
 }
--- a/standin/history/check_reads.go
+++ b/standin/history/check_reads.go
@@ -2,66 +2,69 @@
 
 import "slices"
 
-// staleReads: a read shows every acknowledged write that its session made
-// before it, or a later one, on whichever proxy it runs.
-func (c *checker) staleReads() {
-	own := make(map[string][]*unit) // session to its acknowledged units
+// checkStaleReads checks that a read sees every acknowledged write that its session
+// made before it, or a later write, on any proxy. A session that connects without its
+// token loses this guarantee for its earlier writes.
+func (c *checker) checkStaleReads() {
+	acknowledged := make(map[string][]*unit) // by session
 	moves := c.history.Moves
 	for i := range c.history.Requests {
 		r := &c.history.Requests[i]
 		for len(moves) > 0 && moves[0].After < r.ID {
 			if !moves[0].WithToken {
-				delete(own, moves[0].Session)
+				delete(acknowledged, moves[0].Session)
 			}
 			moves = moves[1:]
 		}
 		switch {
 		case r.Outcome != Answered:
 		case r.Kind == Read:
-			c.checkRead(r, own[r.Session])
+			c.checkRead(r, acknowledged[r.Session])
 		case r.Kind == ReadLog:
-			c.checkLogRead(r, own[r.Session])
+			c.checkLogRead(r, acknowledged[r.Session])
 		}
-		if u := c.endedBy(r); u != nil && r.Outcome == Answered {
-			own[r.Session] = append(own[r.Session], u)
+		if u := c.committedBy(r); u != nil && r.Outcome == Answered {
+			acknowledged[r.Session] = append(acknowledged[r.Session], u)
 		}
 	}
 }
 
-// endedBy returns the unit that the request commits, or nil.
-func (c *checker) endedBy(r *Request) *unit {
+// committedBy returns the unit that the request commits, or nil.
+func (c *checker) committedBy(r *Request) *unit {
 	for _, u := range c.units {
-		if u.end != nil && u.end.ID == r.ID {
+		if u.commit != nil && u.commit.ID == r.ID {
 			return u
 		}
 	}
 	return nil
 }
 
-func (c *checker) checkRead(r *Request, own []*unit) {
+// checkRead checks a Read against the acknowledged units of its session. If its
+// transaction wrote the key, checkReadAnswer checks the value instead.
+func (c *checker) checkRead(r *Request, acknowledged []*unit) {
 	if c.writtenInTx(r) {
 		return
 	}
-	for _, u := range own {
+	for _, u := range acknowledged {
 		if !slices.ContainsFunc(u.changes, func(ch Change) bool { return ch.Key == r.Key }) {
 			continue
 		}
 		switch {
 		case len(r.Values) == 0:
-			c.violated("%s found no value of %s, which %s wrote", r, r.Key, u)
-		case !c.follows(r.Values[0], u):
-			c.violated("%s found %q, which %s had replaced", r, r.Values[0], u)
+			c.addViolation("%s returned no value of %s, which %s wrote", r, r.Key, u)
+		case !c.isAtOrAfter(r.Values[0], u):
+			c.addViolation("%s returned %q, which %s had overwritten", r, r.Values[0], u)
 		}
 	}
 }
 
-// follows reports whether a server could hold both the value and the unit, with
-// the value written by the unit or later.
-func (c *checker) follows(value string, u *unit) bool {
-	for _, later := range c.ledger.byValue[value] {
-		for _, commit := range c.ledger.commitsOf(u.changes) {
-			p, q := c.ledger.truth.Commits[later].Point, c.ledger.truth.Commits[commit].Point
-			if c.ledger.holds(p, q) {
+// isAtOrAfter reports whether a log holds both the value and the unit, with the value
+// written by the unit or later.
+func (c *checker) isAtOrAfter(value string, u *unit) bool {
+	for _, later := range c.index.byValue[value] {
+		for _, commit := range c.index.commitsOf(u.changes) {
+			p, q := c.index.truth.Commits[later].Point, c.index.truth.Commits[commit].Point
+			if c.index.logContains(p, q) {
 				return true
 			}
 		}
@@ -69,33 +72,34 @@
 	return false
 }
 
-func (c *checker) checkLogRead(r *Request, own []*unit) {
-	for _, u := range own {
+// checkLogRead checks that a ReadLog returns all entries of the acknowledged units.
+func (c *checker) checkLogRead(r *Request, acknowledged []*unit) {
+	for _, u := range acknowledged {
 		for _, change := range u.changes {
 			if change.Key == "" && !slices.Contains(r.Values, change.Value) {
-				c.violated("%s lacks %q of %s", r, change.Value, u)
+				c.addViolation("%s did not return %q of %s", r, change.Value, u)
 			}
 		}
 	}
 }
 
-// writtenInTx reports whether the transaction of a read has written its key.
+// writtenInTx reports whether the transaction of a read has written the key before.
 func (c *checker) writtenInTx(r *Request) bool {
-	_, written := c.ownValue(r)
+	_, written := c.valueInTx(r)
 	return written
 }
 
-// ownValue returns the value that the transaction of a read gave its key.
-func (c *checker) ownValue(r *Request) (value string, written bool) {
+// valueInTx returns the value that the transaction of a read gave the key before.
+func (c *checker) valueInTx(r *Request) (value string, written bool) {
 	if r.Tx == 0 {
 		return "", false
 	}
 	for i := range c.history.Requests[:r.ID-1] {
-		q := &c.history.Requests[i]
-		if q.Tx != r.Tx || q.Outcome != Answered {
+		earlier := &c.history.Requests[i]
+		if earlier.Tx != r.Tx || earlier.Outcome != Answered {
 			continue
 		}
-		for _, change := range q.Changes {
+		for _, change := range earlier.Changes {
 			if change.Key == r.Key {
 				value, written = change.Value, true
 			}
@@ -104,16 +108,16 @@
 	return value, written
 }
 
-// foreignAnswers: an answer has as many rows as it says, repeats what its
+// checkAnswers checks that an answer has as many rows as it states, returns what its
 // request wrote, and holds values that belong to what it read.
-func (c *checker) foreignAnswers() {
+func (c *checker) checkAnswers() {
 	for i := range c.history.Requests {
 		r := &c.history.Requests[i]
 		if r.Outcome != Answered {
 			continue
 		}
 		if r.Rows != len(r.Values) {
-			c.violated("%s has %d rows and says %d", r, len(r.Values), r.Rows)
+			c.addViolation("%s returned %d rows and stated %d", r, len(r.Values), r.Rows)
 		}
 		switch r.Kind {
 		case Read:
@@ -126,6 +130,7 @@
 	}
 }
 
+// checkReturned checks the values that a Write or Commit returns.
 func (c *checker) checkReturned(r *Request) {
 	var want []string
 	for _, change := range r.Changes {
@@ -134,14 +139,16 @@
 		}
 	}
 	if !slices.Equal(r.Values, want) {
-		c.violated("%s returned %q, want %q", r, r.Values, want)
+		c.addViolation("%s returned %q, want %q", r, r.Values, want)
 	}
 }
 
+// checkReadAnswer checks that a Read returns at most one value, and that this is the
+// value that its transaction wrote or one that was committed for the key.
 func (c *checker) checkReadAnswer(r *Request) {
-	if value, written := c.ownValue(r); written {
+	if value, written := c.valueInTx(r); written {
 		if !slices.Equal(r.Values, []string{value}) {
-			c.violated("%s found %q after its transaction wrote %q", r, r.Values, value)
+			c.addViolation("%s returned %q after its transaction wrote %q", r, r.Values, value)
 		}
 		return
 	}
@@ -149,27 +156,27 @@
 		return
 	}
 	if len(r.Values) > 1 {
-		c.violated("%s found %d values of one key", r, len(r.Values))
+		c.addViolation("%s returned %d values of one key", r, len(r.Values))
 	}
-	for _, commit := range c.ledger.byValue[r.Values[0]] {
-		if slices.Contains(c.ledger.truth.Commits[commit].Changes, Change{Key: r.Key, Value: r.Values[0]}) {
+	for _, commit := range c.index.byValue[r.Values[0]] {
+		if slices.Contains(c.index.truth.Commits[commit].Changes, Change{Key: r.Key, Value: r.Values[0]}) {
 			return
 		}
 	}
-	c.violated("%s found %q, which was never committed as a value of %s", r, r.Values[0], r.Key)
+	c.addViolation("%s returned %q, which was never committed as a value of %s", r, r.Values[0], r.Key)
 }
 
-// checkLogAnswer requires that the entries are all those that some server held
-// at some time.
+// checkLogAnswer checks that a ReadLog returns a whole log, as it was up to some
+// commit.
 func (c *checker) checkLogAnswer(r *Request) {
 	if len(r.Values) == 0 {
 		return
 	}
 	last := r.Values[len(r.Values)-1]
-	for _, commit := range c.ledger.byValue[last] {
-		if slices.Equal(r.Values, c.ledger.entries(c.ledger.truth.Commits[commit].Point)) {
+	for _, commit := range c.index.byValue[last] {
+		if slices.Equal(r.Values, c.index.logEntries(c.index.truth.Commits[commit].Point)) {
 			return
 		}
 	}
-	c.violated("%s found %d entries up to %q that no server ever held as a whole", r, len(r.Values), last)
+	c.addViolation("%s returned %d entries up to %q, which were never the whole log of a server", r, len(r.Values), last)
 }
--- a/standin/history/check_test.go
+++ b/standin/history/check_test.go
@@ -5,146 +5,146 @@
 	"testing"
 )
 
-// script builds a history and a truth by hand. Term 1 begins at position 1.
-type script struct {
-	h History
-	t Truth
+// scenario builds a history and the matching truth. Term 1 begins at position 1.
+type scenario struct {
+	history History
+	truth   Truth
 }
 
-func newScript() *script {
-	return &script{t: Truth{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
+func newScenario() *scenario {
+	return &scenario{truth: Truth{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
 }
 
-// request adds a request that ended.
-func (s *script) request(r Request) int {
-	r.ID = len(s.h.Requests) + 1
-	s.h.Requests = append(s.h.Requests, r)
+// request adds a request, with its result, and returns its ID.
+func (s *scenario) request(r Request) int {
+	r.ID = len(s.history.Requests) + 1
+	s.history.Requests = append(s.history.Requests, r)
 	return r.ID
 }
 
-func (s *script) write(session string, o Outcome, changes ...Change) int {
+func (s *scenario) write(session string, o Outcome, changes ...Change) int {
 	return s.request(Request{Session: session, Kind: Write, Changes: changes, Result: Result{Outcome: o}})
 }
 
-func (s *script) inTx(tx int, session string, kind Kind, o Outcome, changes ...Change) {
+func (s *scenario) inTx(tx int, session string, kind Kind, o Outcome, changes ...Change) {
 	s.request(Request{Session: session, Tx: tx, Kind: kind, Changes: changes, Result: Result{Outcome: o}})
 }
 
-func (s *script) read(session, key string, values ...string) {
+func (s *scenario) read(session, key string, values ...string) {
 	s.request(Request{
 		Session: session, Kind: Read, Key: key,
 		Result: Result{Outcome: Answered, Values: values, Rows: len(values)},
 	})
 }
 
-func (s *script) readLog(session string, values ...string) {
+func (s *scenario) readLog(session string, values ...string) {
 	s.request(Request{
 		Session: session, Kind: ReadLog,
 		Result: Result{Outcome: Answered, Values: values, Rows: len(values)},
 	})
 }
 
-func (s *script) commit(term, position uint64, changes ...Change) {
-	s.t.Commits = append(s.t.Commits, CommitRecord{Point: Point{Term: term, Position: position}, Server: "a", Changes: changes})
+func (s *scenario) commit(term, position uint64, changes ...Change) {
+	s.truth.Commits = append(s.truth.Commits, CommitRecord{Point: Point{Term: term, Position: position}, Server: "a", Changes: changes})
 }
 
-func (s *script) term(term, baseTerm, basePosition uint64) {
-	s.t.Terms = append(s.t.Terms, TermStart{Term: term, Base: Point{Term: baseTerm, Position: basePosition}})
-	s.t.Final = Point{Term: term, Position: 100}
+func (s *scenario) term(term, baseTerm, basePosition uint64) {
+	s.truth.Terms = append(s.truth.Terms, TermStart{Term: term, Base: Point{Term: baseTerm, Position: basePosition}})
+	s.truth.Final = Point{Term: term, Position: 100}
 }
 
 func put(key, value string) Change { return Change{Key: key, Value: value} }
 func entry(value string) Change    { return Change{Value: value} }
 
-// Guards against a checker that misses a fault, or that reports a fault in a
-// history that is right.
+// Guards against checks that miss a violation, and against checks that report one in
+// a correct history.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		script func(s *script)
+		build  func(s *scenario)
 		broken []string
 	}{
-		{"empty", func(*script) {}, nil},
-		{"write and read", func(s *script) {
+		{"empty", func(*scenario) {}, nil},
+		{"write and read", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
 			s.read("s", "k", "1")
 		}, nil},
-		{"unknown writes may be there or not", func(s *script) {
+		{"unknown writes may be there or not", func(s *scenario) {
 			s.write("s", Unknown, entry("1"))
 			s.write("s", Unknown, entry("2"))
 			s.write("s", Pending, entry("3"))
 			s.commit(1, 2, entry("1"))
 			s.commit(1, 3, entry("3"))
 		}, nil},
-		{"lost: never committed", func(s *script) {
+		{"lost: never committed", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 		}, []string{LostWrite}},
-		{"lost: dropped by a promotion", func(s *script) {
+		{"lost: dropped by a promotion", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.commit(1, 5, entry("1"))
 			s.term(2, 1, 4)
 		}, []string{LostWrite}},
-		{"kept by a promotion", func(s *script) {
+		{"kept by a promotion", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.commit(1, 4, entry("1"))
 			s.term(2, 1, 4)
 		}, nil},
-		{"unacknowledged write dropped by a promotion", func(s *script) {
+		{"unacknowledged write dropped by a promotion", func(s *scenario) {
 			s.write("s", Unknown, entry("1"))
 			s.commit(1, 5, entry("1"))
 			s.term(2, 1, 4)
 		}, nil},
-		{"twice", func(s *script) {
+		{"twice", func(s *scenario) {
 			s.write("s", Unknown, entry("1"))
 			s.commit(1, 2, entry("1"))
 			s.commit(1, 3, entry("1"))
 		}, []string{DoubleWrite, RanTwice}},
-		{"twice, and dropped once", func(s *script) {
+		{"twice, and dropped once", func(s *scenario) {
 			s.write("s", Unknown, entry("1"))
 			s.commit(1, 5, entry("1"))
 			s.commit(2, 6, entry("1"))
 			s.term(2, 1, 4)
 		}, []string{RanTwice}},
-		{"twice as allowed", func(s *script) {
+		{"twice as allowed", func(s *scenario) {
 			s.request(Request{Session: "s", Kind: Write, Idempotent: true, Changes: []Change{put("k", "1")}, Result: Result{Outcome: Answered}})
 			s.commit(1, 2, put("k", "1"))
 			s.commit(1, 3, put("k", "1"))
 		}, nil},
-		{"not run, but committed and dropped later", func(s *script) {
+		{"not run, but committed and dropped later", func(s *scenario) {
 			s.write("s", NotRun, entry("1"))
 			s.commit(1, 5, entry("1"))
 			s.term(2, 1, 4)
-		}, []string{FalseNotRun}},
-		{"commit not run, but committed", func(s *script) {
+		}, []string{CommittedNotRun}},
+		{"commit not run, but committed", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Commit, NotRun)
 			s.commit(1, 2, entry("1"))
-		}, []string{FalseNotRun}},
-		{"statement of a transaction not run, but committed", func(s *script) {
+		}, []string{CommittedNotRun}},
+		{"statement of a transaction not run, but committed", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Write, NotRun, entry("2"))
 			s.inTx(tx, "s", Commit, Answered)
 			s.commit(1, 2, entry("1"), entry("2"))
-		}, []string{FalseNotRun, MixedWrites}},
-		{"failed, but committed", func(s *script) {
+		}, []string{CommittedNotRun, MixedWrites}},
+		{"failed, but committed", func(s *scenario) {
 			s.write("s", Failed, entry("1"))
 			s.commit(1, 2, entry("1"))
-		}, []string{FalseFailure}},
-		{"rolled back, but committed", func(s *script) {
+		}, []string{CommittedFailure}},
+		{"rolled back, but committed", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Rollback, Answered)
 			s.commit(1, 2, entry("1"))
-		}, []string{FalseFailure}},
-		{"client left before the commit, but committed", func(s *script) {
+		}, []string{CommittedFailure}},
+		{"client left before the commit, but committed", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.commit(1, 2, entry("1"))
-		}, []string{FalseFailure}},
-		{"whole transaction", func(s *script) {
+		}, []string{CommittedFailure}},
+		{"whole transaction", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, put("k", "1"))
 			s.request(Request{Session: "s", Tx: tx, Kind: Read, Key: "k", Result: Result{Outcome: Answered, Values: []string{"1"}, Rows: 1}})
@@ -154,58 +154,58 @@
 			s.read("s", "k", "1")
 			s.readLog("s", "2")
 		}, nil},
-		{"commit with a last change", func(s *script) {
+		{"commit with a last change", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Commit, Answered, entry("2"))
 			s.commit(1, 2, entry("1"), entry("2"))
 		}, nil},
-		{"last change lost", func(s *script) {
+		{"last change lost", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Commit, Answered, entry("2"))
 			s.commit(1, 2, entry("1"))
 		}, []string{MixedWrites}},
-		{"half a transaction", func(s *script) {
+		{"half a transaction", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, entry("1"))
 			s.inTx(tx, "s", Write, Answered, entry("2"))
 			s.inTx(tx, "s", Commit, Unknown)
 			s.commit(1, 2, entry("1"))
 		}, []string{MixedWrites}},
-		{"mixed transactions", func(s *script) {
+		{"mixed transactions", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.write("t", Unknown, entry("2"))
 			s.commit(1, 2, entry("1"), entry("2"))
 		}, []string{MixedWrites}},
-		{"a value that nobody wrote", func(s *script) {
+		{"a value that nobody wrote", func(s *scenario) {
 			s.commit(1, 2, entry("1"))
 		}, []string{MixedWrites}},
-		{"transaction does not see its own write", func(s *script) {
+		{"transaction does not see its own write", func(s *scenario) {
 			tx := s.request(Request{Session: "s", Kind: Begin, Result: Result{Outcome: Answered}})
 			s.inTx(tx, "s", Write, Answered, put("k", "1"))
 			s.request(Request{Session: "s", Tx: tx, Kind: Read, Key: "k", Result: Result{Outcome: Answered}})
-		}, []string{ForeignAnswer}},
-		{"own write not found", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"own write not found", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
 			s.read("s", "k")
 		}, []string{StaleRead}},
-		{"older value than the own one", func(s *script) {
+		{"older value than the own one", func(s *scenario) {
 			s.write("t", Answered, put("k", "0"))
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "0"))
 			s.commit(1, 3, put("k", "1"))
 			s.read("s", "k", "0")
 		}, []string{StaleRead}},
-		{"later value than the own one", func(s *script) {
+		{"later value than the own one", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.write("t", Unknown, put("k", "2"))
 			s.commit(1, 2, put("k", "1"))
 			s.commit(1, 3, put("k", "2"))
 			s.read("s", "k", "2")
 		}, nil},
-		{"value of an old primary that lacks the own write", func(s *script) {
+		{"value of an old primary that lacks the own write", func(s *scenario) {
 			s.write("t", Unknown, put("k", "0"))
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 5, put("k", "0"))
@@ -213,40 +213,40 @@
 			s.term(2, 1, 4)
 			s.read("s", "k", "0")
 		}, []string{StaleRead}},
-		{"another session may read older data", func(s *script) {
+		{"another session may read older data", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
 			s.read("t", "k")
 		}, nil},
-		{"read after a move with the token", func(s *script) {
+		{"read after a move with the token", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
-			s.h.Moves = append(s.h.Moves, Move{Session: "s", Proxy: "vm-2", After: 1, WithToken: true})
+			s.history.Moves = append(s.history.Moves, Move{Session: "s", Proxy: "vm-2", After: 1, WithToken: true})
 			s.read("s", "k")
 		}, []string{StaleRead}},
-		{"read after a move without the token", func(s *script) {
+		{"read after a move without the token", func(s *scenario) {
 			s.write("s", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
-			s.h.Moves = append(s.h.Moves, Move{Session: "s", Proxy: "vm-2", After: 1})
+			s.history.Moves = append(s.history.Moves, Move{Session: "s", Proxy: "vm-2", After: 1})
 			s.read("s", "k")
 		}, nil},
-		{"own entry not in the log", func(s *script) {
+		{"own entry not in the log", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.write("s", Answered, entry("2"))
 			s.commit(1, 2, entry("1"))
 			s.commit(1, 3, entry("2"))
 			s.readLog("s", "1")
 		}, []string{StaleRead}},
-		{"value of another key", func(s *script) {
+		{"value of another key", func(s *scenario) {
 			s.write("t", Answered, put("other", "1"))
 			s.commit(1, 2, put("other", "1"))
 			s.read("s", "k", "1")
-		}, []string{ForeignAnswer}},
-		{"value that was rolled back", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"value that was rolled back", func(s *scenario) {
 			s.write("t", Failed, put("k", "1"))
 			s.read("s", "k", "1")
-		}, []string{ForeignAnswer}},
-		{"answer of another write", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"answer of another write", func(s *scenario) {
 			s.write("t", Answered, put("k", "1"))
 			s.commit(1, 2, put("k", "1"))
 			s.request(Request{
@@ -254,33 +254,33 @@
 				Result: Result{Outcome: Answered, Values: []string{"1"}, Rows: 1},
 			})
 			s.commit(1, 3, put("k", "2"))
-		}, []string{ForeignAnswer}},
-		{"rows missing at the end", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"rows missing at the end", func(s *scenario) {
 			s.write("t", Answered, entry("1"))
 			s.write("t", Answered, entry("2"))
 			s.commit(1, 2, entry("1"))
 			s.commit(1, 3, entry("2"))
 			s.request(Request{Session: "s", Kind: ReadLog, Result: Result{Outcome: Answered, Values: []string{"1"}, Rows: 2}})
-		}, []string{ForeignAnswer}},
-		{"rows missing in the middle", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"rows missing in the middle", func(s *scenario) {
 			s.write("t", Answered, entry("1"))
 			s.write("t", Answered, entry("2"))
 			s.commit(1, 2, entry("1"))
 			s.commit(1, 3, entry("2"))
 			s.readLog("s", "2")
-		}, []string{ForeignAnswer}},
-		{"half a transaction read", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"half a transaction read", func(s *scenario) {
 			s.write("t", Answered, entry("1"), entry("2"))
 			s.commit(1, 2, entry("1"), entry("2"))
 			s.readLog("s", "1")
-		}, []string{ForeignAnswer}},
-		{"appends out of order", func(s *script) {
+		}, []string{WrongAnswer}},
+		{"appends out of order", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.write("s", Answered, entry("2"))
 			s.commit(1, 2, entry("2"))
 			s.commit(1, 3, entry("1"))
 		}, []string{AppendOrder}},
-		{"appends of two sessions in any order", func(s *script) {
+		{"appends of two sessions in any order", func(s *scenario) {
 			s.write("s", Answered, entry("1"))
 			s.write("t", Answered, entry("2"))
 			s.commit(1, 2, entry("2"))
@@ -288,10 +288,10 @@
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScript()
-			c.script(s)
+			s := newScenario()
+			c.build(s)
 			var broken []string
-			for _, v := range Broken(Check(s.h, s.t)) {
+			for _, v := range Broken(Check(s.history, s.truth)) {
 				broken = append(broken, v.Name)
 				t.Log(v.String())
 			}
@@ -302,8 +302,8 @@
 	}
 }
 
-// Guards against a recorder that mixes up results or forgets where a session
-// moved.
+// Guards against a recorder that assigns results to the wrong requests, or loses the
+// order of requests and connections of a session.
 func TestRecorder(t *testing.T) {
 	r := NewRecorder()
 	r.Moved("s", "vm-1", false)
--- a/standin/history/check_writes.go
+++ b/standin/history/check_writes.go
@@ -2,59 +2,60 @@
 
 import "slices"
 
-// lostWrites: a write whose answer arrived is in the final log.
-func (c *checker) lostWrites() {
+// checkLostWrites checks that the final log holds every acknowledged write.
+func (c *checker) checkLostWrites() {
 	for _, u := range c.units {
 		if u.outcome() != Answered || len(u.changes) == 0 {
 			continue
 		}
-		commits := c.ledger.commitsOf(u.changes)
-		if !slices.ContainsFunc(commits, c.ledger.survives) {
-			c.violated("%s was acknowledged, and the final log lacks it (it was %s)", u, c.describeAll(commits))
+		commits := c.index.commitsOf(u.changes)
+		if !slices.ContainsFunc(commits, c.index.inFinalLog) {
+			c.addViolation("%s was acknowledged, but is not in the final log (it was %s)", u, c.describeLast(commits))
 		}
 	}
 }
 
-func (c *checker) describeAll(commits []int) string {
+// describeLast describes the last of a unit's commits for a violation.
+func (c *checker) describeLast(commits []int) string {
 	if len(commits) == 0 {
 		return "never committed"
 	}
-	return c.describe(commits[len(commits)-1])
+	return c.describeCommit(commits[len(commits)-1])
 }
 
-// doubleWrites: the final log holds a write once, unless the client allowed
-// more.
-func (c *checker) doubleWrites() {
+// checkDoubleWrites checks that the final log holds a write at most once, unless the
+// client allowed it to run more than once.
+func (c *checker) checkDoubleWrites() {
 	for _, u := range c.units {
 		n := 0
-		for _, commit := range c.ledger.commitsOf(u.changes) {
-			if c.ledger.survives(commit) {
+		for _, commit := range c.index.commitsOf(u.changes) {
+			if c.index.inFinalLog(commit) {
 				n++
 			}
 		}
 		if n > 1 && !u.idempotent {
-			c.violated("the final log holds %s %d times", u, n)
+			c.addViolation("the final log holds %s %d times", u, n)
 		}
 	}
 }
 
-// ranTwice: no server ever committed again what had been committed, unless the
-// client allowed it.
-func (c *checker) ranTwice() {
+// checkRanTwice checks that no write was committed more than once, including commits
+// that promotions dropped, unless the client allowed it.
+func (c *checker) checkRanTwice() {
 	for _, u := range c.units {
-		if commits := c.ledger.commitsOf(u.changes); len(commits) > 1 && !u.idempotent {
-			c.violated("%s was committed %d times, first as %s, last as %s",
-				u, len(commits), c.describe(commits[0]), c.describe(commits[len(commits)-1]))
+		if commits := c.index.commitsOf(u.changes); len(commits) > 1 && !u.idempotent {
+			c.addViolation("%s was committed %d times, first as %s, last as %s",
+				u, len(commits), c.describeCommit(commits[0]), c.describeCommit(commits[len(commits)-1]))
 		}
 	}
 }
 
-// falseNotRun: what was refused as not run is in no log at any time. That holds
-// for whole units and for single statements of transactions.
-func (c *checker) falseNotRun() {
+// checkNotRun checks that no server ever committed what was refused as not run, be it
+// a whole unit or a single statement of a transaction.
+func (c *checker) checkNotRun() {
 	for _, u := range c.units {
 		if u.outcome() == NotRun {
-			c.mustNotBeCommitted(u, u.changes)
+			c.checkNotCommitted(u, u.changes)
 		}
 	}
 	for i := range c.history.Requests {
@@ -62,78 +63,78 @@
 		if r.Tx == 0 || r.Outcome != NotRun || len(r.Changes) == 0 {
 			continue
 		}
-		if commits := c.ledger.commitsOf(r.Changes); len(commits) > 0 {
-			c.violated("%s is in %s", r, c.describe(commits[0]))
+		if commits := c.index.commitsOf(r.Changes); len(commits) > 0 {
+			c.addViolation("%s was committed in %s", r, c.describeCommit(commits[0]))
 		}
 	}
 }
 
-// falseFailures: a database server's error, and the statement that a
-// transaction was rolled back, mean that nothing was committed; so does a
-// commit that was never asked for.
-func (c *checker) falseFailures() {
+// checkFailures checks that nothing was committed of units that the database server
+// answered with an error, that were reported as rolled back, or whose commit was never
+// requested.
+func (c *checker) checkFailures() {
 	for _, u := range c.units {
 		if o := u.outcome(); o == Failed || o == RolledBack {
-			c.mustNotBeCommitted(u, u.changes)
+			c.checkNotCommitted(u, u.changes)
 		}
 	}
 }
 
-func (c *checker) mustNotBeCommitted(u *unit, changes []Change) {
-	if commits := c.ledger.commitsOf(changes); len(commits) > 0 {
-		c.violated("%s was committed as %s", u, c.describe(commits[0]))
+func (c *checker) checkNotCommitted(u *unit, changes []Change) {
+	if commits := c.index.commitsOf(changes); len(commits) > 0 {
+		c.addViolation("%s was committed as %s", u, c.describeCommit(commits[0]))
 	}
 }
 
-// mixedWrites: a commit holds exactly the changes of one unit, in order, none of
-// which the client saw fail.
-func (c *checker) mixedWrites() {
-	for i := range c.ledger.truth.Commits {
+// checkMixedWrites checks that every commit holds exactly the answered changes of one
+// unit, in order.
+func (c *checker) checkMixedWrites() {
+	for i := range c.index.truth.Commits {
 		c.checkCommit(i)
 	}
 }
 
 func (c *checker) checkCommit(commit int) {
-	changes := c.ledger.truth.Commits[commit].Changes
+	changes := c.index.truth.Commits[commit].Changes
 	if len(changes) == 0 {
 		return
 	}
 	u := c.unitOf[changes[0].Value]
 	switch {
 	case u == nil:
-		c.violated("%s holds %q, which no request wrote", c.describe(commit), changes[0].Value)
+		c.addViolation("%s holds %q, which no request wrote", c.describeCommit(commit), changes[0].Value)
 	case !slices.Equal(changes, u.changes):
-		c.violated("%s holds %v, but %s wrote %v (unanswered: %v)", c.describe(commit), changes, u, u.changes, u.others)
+		c.addViolation("%s holds %v, but %s wrote %v (unacknowledged: %v)", c.describeCommit(commit), changes, u, u.changes, u.unacknowledged)
 	}
 }
 
-// appendOrder: the final log holds the acknowledged entries of each session in
-// the order of its requests.
-func (c *checker) appendOrder() {
-	place := make(map[string]int)
-	for i, entry := range c.ledger.entries(c.ledger.truth.Final) {
-		if _, seen := place[entry]; !seen {
-			place[entry] = i
+// checkAppendOrder checks that the final log holds the acknowledged entries of each
+// session in the order of its requests.
+func (c *checker) checkAppendOrder() {
+	positions := make(map[string]int) // of the first occurrence in the final log
+	for i, entry := range c.index.logEntries(c.index.truth.Final) {
+		if _, seen := positions[entry]; !seen {
+			positions[entry] = i
 		}
 	}
-	last := make(map[string]string) // session to its latest entry
+	last := make(map[string]string) // last entry of each session
 	for _, u := range c.acknowledgedInOrder() {
 		for _, change := range u.changes {
-			at, present := place[change.Value]
+			at, present := positions[change.Value]
 			if change.Key != "" || !present {
 				continue
 			}
-			session := u.end.Session
-			if before, any := last[session]; any && at < place[before] {
-				c.violated("%s appended %q after %q, and the log holds it before", session, change.Value, before)
+			session := u.commit.Session
+			if previous, ok := last[session]; ok && at < positions[previous] {
+				c.addViolation("%s appended %q after %q, but the log holds it before", session, change.Value, previous)
 			}
 			last[session] = change.Value
 		}
 	}
 }
 
-// acknowledgedInOrder returns the acknowledged units by the invocation of their
-// commit. Idempotent ones are left out, because a late repetition is allowed.
+// acknowledgedInOrder returns the acknowledged units in the order in which their
+// commits were invoked. It omits idempotent units, which may be repeated late.
 func (c *checker) acknowledgedInOrder() []*unit {
 	var units []*unit
 	for _, u := range c.units {
@@ -141,6 +142,6 @@
 			units = append(units, u)
 		}
 	}
-	slices.SortFunc(units, func(a, b *unit) int { return a.end.ID - b.end.ID })
+	slices.SortFunc(units, func(a, b *unit) int { return a.commit.ID - b.commit.ID })
 	return units
 }
--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -1,9 +1,9 @@
-// Package history records what the clients of a database proxy saw and checks
-// it against what the database group really did. It knows nothing of the proxy:
-// the rules are those that clients rely on.
+// Package history records what the clients of a database proxy saw and checks it
+// against what the servers of the database group did. The checks do not depend on
+// the proxy: they are the guarantees that clients rely on.
 //
-// Every value that a history writes is unique, so that a value in an answer or
-// in a log names the request that wrote it.
+// Every value that a history writes is unique, so that a value in an answer or in a
+// log identifies the request that wrote it.
 package history
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Change is one change to the data: a key gets a value, or, without a key, the
-// value is appended to the ordered log.
+// Change is one change to the data: it sets the value of a key or, without a key,
+// appends the value to an ordered log.
 type Change struct {
 	Key   string
 	Value string
@@ -28,7 +28,7 @@
 	Write                // makes its changes; outside a transaction it commits them
 	Begin                // begins a transaction
 	Commit               // makes its changes, and commits the transaction
-	Rollback             // undoes it
+	Rollback             // rolls the transaction back
 )
 
 var kindNames = [...]string{"read", "read of the log", "write", "begin", "commit", "rollback"}
@@ -40,39 +40,39 @@
 
 // Outcomes.
 const (
-	Pending    Outcome = iota // has not ended
+	Pending    Outcome = iota // no answer or error yet
 	Answered                  // the complete answer arrived
-	Failed                    // the database server's error arrived, so the request had no effect
-	NotRun                    // refused with the statement that it was not run
-	RolledBack                // the transaction is said to have been rolled back
-	Unknown                   // it may or may not have taken effect
+	Failed                    // the database server answered with an error, so the request had no effect
+	NotRun                    // refused; the refusal says that it was not run
+	RolledBack                // the answer says that the transaction was rolled back
+	Unknown                   // it may have taken effect
 )
 
 var outcomeNames = [...]string{"pending", "answered", "failed", "not run", "rolled back", "unknown"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Request is one request of a session. A session has one request at a time.
+// Request is one request of a session. A session has at most one pending request.
 type Request struct {
 	ID         int // from 1 in order of invocation
 	Session    string
-	Tx         int // ID of the Begin of the transaction in which it runs; zero if none
+	Tx         int // ID of the Begin of its transaction; zero if none
 	Kind       Kind
 	Key        string   // of a Read
 	Changes    []Change // of a Write or Commit, in order
-	Returning  bool     // the answer repeats the values that Changes give to keys
+	Returning  bool     // the answer returns the values that Changes give to keys
 	Idempotent bool     // the client allows it to run more than once
 	Invoked    time.Time
 	Result
 }
 
-// Result is the end of a request.
+// Result is how a request ended.
 type Result struct {
 	Outcome Outcome
 	Ended   time.Time
-	Code    string   // SQLSTATE, or the text of an error without one
+	Code    string   // SQLSTATE, or the text of an error that has none
 	Values  []string // rows of the answer
-	Rows    int      // number of rows that the answer says it has
+	Rows    int      // number of rows that the answer states
 }
 
 func (r *Request) String() string {
@@ -86,16 +86,16 @@
 	return s + ")"
 }
 
-// Move says that a session connected to a proxy.
+// Move records that a session connected to a proxy, the first time or again.
 type Move struct {
 	Session   string
 	Proxy     string
-	After     int  // ID of the session's latest request; zero if none
-	WithToken bool // the session took along what proves its writes
+	After     int  // ID of the session's last request before; zero if none
+	WithToken bool // the session presented the token of its earlier writes
 }
 
-// History is what the clients saw.
+// History is what the clients saw: their requests and their connections.
 type History struct {
-	Requests []Request // by ID
-	Moves    []Move    // in order
+	Requests []Request // ordered by ID
+	Moves    []Move    // in the order in which they happened
 }
--- a/standin/history/recorder.go
+++ b/standin/history/recorder.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Recorder records a history. Sessions may use it at the same time.
+// Recorder records a history. Its methods may be called concurrently.
 type Recorder struct {
 	mu      sync.Mutex // guards history
 	history History
 }
 
-// NewRecorder returns a recorder without events.
+// NewRecorder returns a recorder with an empty history.
 func NewRecorder() *Recorder { return &Recorder{} }
 
 // Moved records that a session connected to a proxy, with or without the token
@@ -29,18 +29,18 @@
 	r.history.Moves = append(r.history.Moves, Move{Session: session, Proxy: proxy, After: after, WithToken: withToken})
 }
 
-// Invoke records that a request begins, and returns its ID.
-func (r *Recorder) Invoke(q Request) int {
+// Invoke records that a request begins. It sets and returns the request's ID.
+func (r *Recorder) Invoke(request Request) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q.ID = len(r.history.Requests) + 1
-	q.Invoked = time.Now()
-	q.Result = Result{}
-	r.history.Requests = append(r.history.Requests, q)
-	return q.ID
+	request.ID = len(r.history.Requests) + 1
+	request.Invoked = time.Now()
+	request.Result = Result{}
+	r.history.Requests = append(r.history.Requests, request)
+	return request.ID
 }
 
-// End records the result of a request.
+// End records the result of the request that Invoke returned the ID of.
 func (r *Recorder) End(id int, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +48,7 @@
 	r.history.Requests[id-1].Result = result
 }
 
-// History returns what has been recorded.
+// History returns a copy of what has been recorded so far.
 func (r *Recorder) History() History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/history/truth.go
+++ b/standin/history/truth.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Point is a place in a log: the term and position of a record.
+// Point is a position in a log: the term and position of a record.
 type Point struct {
 	Term     uint64
 	Position uint64
@@ -19,82 +19,83 @@
 	Changes []Change
 }
 
-// TermStart says on which record a term builds.
+// TermStart tells after which record the log of a term begins.
 type TermStart struct {
 	Term uint64
 	Base Point // zero if the log was empty
 }
 
-// Truth is what the servers of a database group did.
+// Truth is what the servers of a database group did, as the group recorded it.
 type Truth struct {
 	Commits []CommitRecord // in the order in which they happened
 	Terms   []TermStart    // in any order
-	Final   Point          // last record of the final primary
+	Final   Point          // last record of the primary at the end
 }
 
-// ledger answers questions on a Truth.
-type ledger struct {
+// truthIndex finds commits of a Truth. Commits are identified by their index in
+// Truth.Commits.
+type truthIndex struct {
 	truth   Truth
-	bases   map[uint64]Point
-	byValue map[string][]int // commits that hold a value, in order
+	bases   map[uint64]Point // by term
+	byValue map[string][]int // commits that hold a value, in ascending order
 }
 
-func newLedger(t Truth) *ledger {
-	l := &ledger{truth: t, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
+func newTruthIndex(t Truth) *truthIndex {
+	x := &truthIndex{truth: t, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
 	for _, s := range t.Terms {
-		l.bases[s.Term] = s.Base
+		x.bases[s.Term] = s.Base
 	}
 	for i := range t.Commits {
 		for _, c := range t.Commits[i].Changes {
-			l.byValue[c.Value] = append(l.byValue[c.Value], i)
+			x.byValue[c.Value] = append(x.byValue[c.Value], i)
 		}
 	}
-	return l
+	return x
 }
 
-// holds reports whether a log that ends at end holds the record at p.
-func (l *ledger) holds(end, p Point) bool {
+// logContains reports whether the log that ends at end contains the record at p.
+func (x *truthIndex) logContains(end, p Point) bool {
 	for end.Term > p.Term {
-		end = l.bases[end.Term]
+		end = x.bases[end.Term]
 	}
 	return end.Term == p.Term && p.Position <= end.Position
 }
 
-// commitsOf returns the commits that hold any value of the changes.
-func (l *ledger) commitsOf(changes []Change) []int {
+// commitsOf returns the commits that hold a value of any of the changes.
+func (x *truthIndex) commitsOf(changes []Change) []int {
 	var found []int
 	for _, c := range changes {
-		found = append(found, l.byValue[c.Value]...)
+		found = append(found, x.byValue[c.Value]...)
 	}
 	slices.Sort(found)
 	return slices.Compact(found)
 }
 
-// survives reports whether the final primary holds the commit.
-func (l *ledger) survives(commit int) bool {
-	return l.holds(l.truth.Final, l.truth.Commits[commit].Point)
+// inFinalLog reports whether the primary at the end holds the commit.
+func (x *truthIndex) inFinalLog(commit int) bool {
+	return x.logContains(x.truth.Final, x.truth.Commits[commit].Point)
 }
 
-// log returns the commits of the log that ends at the given record, in order.
-func (l *ledger) log(end Point) []int {
+// commitsUpTo returns the commits of the log that ends at the given record, in order.
+func (x *truthIndex) commitsUpTo(end Point) []int {
 	var found []int
-	for i := range l.truth.Commits {
-		if l.holds(end, l.truth.Commits[i].Point) {
+	for i := range x.truth.Commits {
+		if x.logContains(end, x.truth.Commits[i].Point) {
 			found = append(found, i)
 		}
 	}
 	slices.SortFunc(found, func(a, b int) int {
-		return cmp.Compare(l.truth.Commits[a].Position, l.truth.Commits[b].Position)
+		return cmp.Compare(x.truth.Commits[a].Position, x.truth.Commits[b].Position)
 	})
 	return found
 }
 
-// entries returns the log entries that a server holds whose log ends at the
-// given record.
-func (l *ledger) entries(end Point) []string {
+// logEntries returns the values without a key in the log that ends at the given
+// record, in order.
+func (x *truthIndex) logEntries(end Point) []string {
 	var entries []string
-	for _, i := range l.log(end) {
-		for _, c := range l.truth.Commits[i].Changes {
+	for _, i := range x.commitsUpTo(end) {
+		for _, c := range x.truth.Commits[i].Changes {
 			if c.Key == "" {
 				entries = append(entries, c.Value)
 			}
