--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -6,28 +6,28 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Outage is the way in which a store is out of service.
+// Outage is a way in which a store fails all calls.
 type Outage int
 
 // Outages.
 const (
-	InService Outage = iota
-	Refusing         // connections are cut and new ones refused
-	Hanging          // connections are accepted, and calls wait until the outage ends
+	InService Outage = iota // no outage
+	Refusing                // connections are closed and new ones refused
+	Hanging                 // connections are accepted, and calls wait until the outage ends
 )
 
-// Kind is the kind of a call.
-type Kind int
+// CallKind is the kind of a call.
+type CallKind int
 
 // Kinds of calls.
 const (
-	Get Kind = iota
+	Get CallKind = iota
 	Watch
 	Put
 	ListVMs
 )
 
-// Calls counts calls by kind.
+// Calls holds the number of calls of each kind.
 type Calls struct {
 	Get     uint64
 	Watch   uint64
@@ -38,15 +38,16 @@
 // Total returns the number of calls of all kinds.
 func (c Calls) Total() uint64 { return c.Get + c.Watch + c.Put + c.ListVMs }
 
-// faultTable holds the faults that a test has ordered, and counts calls.
+// faultTable holds the faults that tests inject, the servers that they affect, and the
+// number of calls.
 type faultTable struct {
-	mu      lockrank.Mutex // guards the fields below
-	outage  Outage
-	changed chan struct{} // closed and replaced when outage changes
-	latency time.Duration
-	lose    int
-	calls   Calls
-	servers map[*Server]struct{}
+	mu            lockrank.Mutex // guards the fields below
+	outage        Outage
+	changed       chan struct{} // closed and replaced when outage changes
+	latency       time.Duration
+	answersToDrop int // number of coming conditional updates that are not answered
+	calls         Calls
+	servers       map[*Server]struct{}
 }
 
 func newFaultTable() *faultTable {
@@ -57,7 +58,7 @@
 	}
 }
 
-// setOutage returns the servers that must follow.
+// setOutage changes the outage and returns the servers that have to apply it.
 func (t *faultTable) setOutage(o Outage) []*Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,22 +81,23 @@
 func (t *faultTable) loseAnswers(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lose = n
+	t.answersToDrop = n
 }
 
-// losesAnswer uses up one lost answer.
-func (t *faultTable) losesAnswer() bool {
+// dropsAnswer reports whether the answer to a conditional update is to be dropped, and
+// then decrements answersToDrop.
+func (t *faultTable) dropsAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lose == 0 {
+	if t.answersToDrop == 0 {
 		return false
 	}
-	t.lose--
+	t.answersToDrop--
 	return true
 }
 
-// arrive counts a call and returns its latency.
-func (t *faultTable) arrive(k Kind) time.Duration {
+// countCall counts a call and returns the time by which it is delayed.
+func (t *faultTable) countCall(k CallKind) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch k {
@@ -118,13 +120,13 @@
 	return t.outage, t.changed
 }
 
-func (t *faultTable) callsSeen() Calls {
+func (t *faultTable) callCounts() Calls {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.calls
 }
 
-// register adds a server that follows outages.
+// register adds a server that outages affect.
 func (t *faultTable) register(s *Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/store/http.go
+++ b/standin/store/http.go
@@ -14,7 +14,7 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/storeapi"
 )
 
-// putOverhead is the room in a Put around its value.
+// putOverhead is the size in bytes that a Put may have besides its value.
 const putOverhead = 1 << 10
 
 func (s *Store) routes() *http.ServeMux {
@@ -28,18 +28,19 @@
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// enter counts a call and waits as long as faults make it wait. It cuts the
-// connection if the store is out of service in that way.
-func (s *Store) enter(r *http.Request, k Kind) {
-	latency := s.faults.arrive(k)
-	s.passOutage(r.Context())
+// begin counts a call and delays it according to the faults. It aborts the call and
+// closes its connection during an outage that refuses connections.
+func (s *Store) begin(r *http.Request, k CallKind) {
+	latency := s.faults.countCall(k)
+	s.waitForOutage(r.Context())
 	if latency > 0 {
 		sleep(r.Context(), latency)
 	}
 }
 
-// passOutage waits for the end of an outage that hangs calls.
-func (s *Store) passOutage(ctx context.Context) {
+// waitForOutage waits until an outage that hangs calls ends. It aborts the call when
+// an outage refuses connections, or when ctx ends.
+func (s *Store) waitForOutage(ctx context.Context) {
 	for {
 		outage, changed := s.faults.state()
 		switch outage {
@@ -56,6 +57,7 @@
 	}
 }
 
+// sleep waits for the duration, and aborts the call if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -66,22 +68,24 @@
 	}
 }
 
-// leave answers a call with JSON, after an outage that began during it.
-func (s *Store) leave(w http.ResponseWriter, r *http.Request, status int, body any) {
-	s.passOutage(r.Context())
+// answer answers a call with JSON, after the end of an outage that began during it.
+func (s *Store) answer(w http.ResponseWriter, r *http.Request, status int, body any) {
+	s.waitForOutage(r.Context())
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a failed connection is the caller's concern
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller's connection does
 }
 
+// validName reports whether no part of the object name between slashes is empty.
 func validName(name string) bool {
 	return !slices.Contains(strings.Split(name, "/"), "")
 }
 
+// serveGet answers a read or a watch of an object.
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	name, query := r.PathValue("name"), r.URL.Query()
 	watch := query.Has("after")
-	s.enter(r, kindOfGet(watch))
+	s.begin(r, getKind(watch))
 	if !validName(name) {
 		http.Error(w, "invalid object name", http.StatusBadRequest)
 		return
@@ -97,26 +101,26 @@
 		http.Error(w, "object does not exist", http.StatusNotFound)
 		return
 	}
-	s.leave(w, r, http.StatusOK, o)
+	s.answer(w, r, http.StatusOK, o)
 }
 
-func kindOfGet(watch bool) Kind {
+func getKind(watch bool) CallKind {
 	if watch {
 		return Watch
 	}
 	return Get
 }
 
-// mustDecide runs a decision, and ends the handler if the request ended first.
+// mustDecide runs a decision, and aborts the call if the request ended first.
 func (s *Store) mustDecide(r *http.Request, name string, decision func()) {
 	if !s.decide(r.Context(), name, decision) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// watchOf reads the parameters of a watch. Without a wait it does not wait; a
-// wait above the longest allowed is shortened.
-func watchOf(query url.Values) (after uint64, wait time.Duration, err error) {
+// parseWatch parses the parameters of a watch. The wait is zero if it is missing, and
+// at most storeapi.MaxWait.
+func parseWatch(query url.Values) (after uint64, wait time.Duration, err error) {
 	after, err = strconv.ParseUint(query.Get("after"), 10, 64)
 	if err != nil || !query.Has("wait") {
 		return after, 0, err
@@ -125,8 +129,10 @@
 	return after, min(wait, storeapi.MaxWait), err
 }
 
+// serveWatch answers with the object once its version is above the given one, or with
+// status 304 after the wait.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, name string, query url.Values) {
-	after, wait, err := watchOf(query)
+	after, wait, err := parseWatch(query)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -138,13 +144,13 @@
 		var changed <-chan struct{}
 		s.mustDecide(r, name, func() { o, changed = s.objects.newer(name, after) })
 		if changed == nil {
-			s.leave(w, r, http.StatusOK, o)
+			s.answer(w, r, http.StatusOK, o)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			s.passOutage(r.Context())
+			s.waitForOutage(r.Context())
 			w.WriteHeader(http.StatusNotModified)
 			return
 		case <-r.Context().Done():
@@ -153,10 +159,12 @@
 	}
 }
 
+// servePut executes a conditional update. It answers with the updated object, or with
+// status 409 and the current object if the version differs.
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	put, status, reason := readPut(w, r)
-	s.enter(r, Put)
+	s.begin(r, Put)
 	if reason == "" && !validName(name) {
 		status, reason = http.StatusBadRequest, "invalid object name"
 	}
@@ -167,17 +175,18 @@
 	var o storeapi.Object
 	var updated bool
 	s.mustDecide(r, name, func() { o, updated = s.objects.update(name, put) })
-	if s.faults.losesAnswer() {
+	if s.faults.dropsAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	if !updated {
-		s.leave(w, r, http.StatusConflict, o)
+		s.answer(w, r, http.StatusConflict, o)
 		return
 	}
-	s.leave(w, r, http.StatusOK, o)
+	s.answer(w, r, http.StatusOK, o)
 }
 
-// readPut reads a conditional update. The reason is empty if it is valid.
+// readPut decodes a conditional update. The reason is empty if the update is valid;
+// otherwise status and reason are the answer.
 func readPut(w http.ResponseWriter, r *http.Request) (put storeapi.Put, status int, reason string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, storeapi.MaxValue+putOverhead))
 	if err != nil {
@@ -195,12 +204,13 @@
 	return put, http.StatusOK, ""
 }
 
+// serveVMs answers with the list of VMs that calls see now.
 func (s *Store) serveVMs(w http.ResponseWriter, r *http.Request) {
-	s.enter(r, ListVMs)
+	s.begin(r, ListVMs)
 	var vms []storeapi.VM
 	s.mustDecide(r, storeapi.PathVMs, func() { vms = s.vms.get(time.Now()) })
 	if vms == nil {
 		vms = []storeapi.VM{}
 	}
-	s.leave(w, r, http.StatusOK, vms)
+	s.answer(w, r, http.StatusOK, vms)
 }
--- a/standin/store/objects.go
+++ b/standin/store/objects.go
@@ -9,7 +9,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// objectTable holds the objects and wakes their watches.
+// objectTable holds the objects and notifies their watches of updates.
 type objectTable struct {
 	mu      lockrank.Mutex // guards objects and changed
 	objects map[string]storeapi.Object
@@ -31,8 +31,8 @@
 	return o, ok
 }
 
-// newer returns the object if its version is above the given one, or else a
-// channel that is closed when the object is next updated.
+// newer returns the object if its version is above the given one. Otherwise it returns
+// a channel that is closed at the object's next update.
 func (t *objectTable) newer(name string, after uint64) (o storeapi.Object, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,18 +45,19 @@
 	return storeapi.Object{}, t.changed[name]
 }
 
-// update changes the object if it has the given version. Otherwise it returns
-// the present object, whose version is zero if it does not exist.
+// update updates the object if it has the version of the Put. Otherwise it returns the
+// current object, whose version is zero if it does not exist.
 func (t *objectTable) update(name string, p storeapi.Put) (o storeapi.Object, updated bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if present := t.objects[name]; present.Version != p.Version {
-		present.Name = name
-		return present, false
+	if current := t.objects[name]; current.Version != p.Version {
+		current.Name = name
+		return current, false
 	}
 	return t.put(name, p.Value), true
 }
 
+// set updates the object regardless of its version.
 func (t *objectTable) set(name string, value json.RawMessage) storeapi.Object {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,17 +79,19 @@
 	return o
 }
 
-// vmTable holds the lists of VMs that have not been superseded for all calls.
+// vmTable holds the list of VMs that calls see, and the later ones that they do not
+// see before the lag is over.
 type vmTable struct {
 	lag time.Duration
 
 	mu    lockrank.Mutex // guards lists
-	lists []vmList       // ascending by time; the first is the one that calls see
+	lists []vmList       // by visibleAt, ascending; calls see the first
 }
 
+// vmList is a list of VMs that calls see from a time on.
 type vmList struct {
-	visible time.Time
-	vms     []storeapi.VM
+	visibleAt time.Time
+	vms       []storeapi.VM
 }
 
 func newVMTable(lag time.Duration) *vmTable {
@@ -98,13 +101,14 @@
 func (t *vmTable) set(vms []storeapi.VM, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lists = append(t.lists, vmList{visible: now.Add(t.lag), vms: slices.Clone(vms)})
+	t.lists = append(t.lists, vmList{visibleAt: now.Add(t.lag), vms: slices.Clone(vms)})
 }
 
+// get returns the list that calls see at the time now, and forgets older ones.
 func (t *vmTable) get(now time.Time) []storeapi.VM {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for len(t.lists) > 1 && !t.lists[1].visible.After(now) {
+	for len(t.lists) > 1 && !t.lists[1].visibleAt.After(now) {
 		t.lists = t.lists[1:]
 	}
 	return t.lists[0].vms
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,8 +1,8 @@
-// Package store is a stand-in for the platform's object API, protocol/storeapi,
-// with faults that a test can cause.
+// Package store simulates the platform's object API of package storeapi, with faults
+// that tests inject.
 //
-// HTTP goroutines decode requests and wait; a pool of workers runs the decisions
-// over shared tables. Lock order: objectTable, vmTable, faultTable.
+// HTTP goroutines decode requests, wait and encode answers; a pool of workers runs the
+// decisions over shared tables. Lock order: objectTable, vmTable, faultTable.
 package store
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// Ranks of this package's locks.
+// Ranks of this package's locks, in lock order.
 const (
 	rankObjects lockrank.Rank = 410
 	rankVMs     lockrank.Rank = 420
@@ -27,18 +27,18 @@
 
 const (
 	defaultWorkers = 4
-	queueCount     = 16 // objects are spread over this many queues
-	queueLimit     = 1024
+	queueCount     = 16   // objects are distributed over the queues by a hash of their names
+	queueLimit     = 1024 // decisions that wait in a queue
 )
 
-// Options describe a store.
+// Options set the behaviour of a store.
 type Options struct {
-	ListLag time.Duration // after which a change of the list of VMs is seen
+	ListLag time.Duration // after which calls see a change of the list of VMs
 	Workers int           // zero means 4
 }
 
-// Store is a running store. It implements http.Handler. Its methods may be
-// called at any time.
+// Store is a running store. It implements http.Handler. Its methods may be called
+// concurrently.
 type Store struct {
 	mux      *http.ServeMux
 	objects  *objectTable
@@ -46,22 +46,22 @@
 	faults   *faultTable
 	pool     *pool.Pool
 	queues   []*pool.Queue
-	seed     maphash.Seed
+	hashSeed maphash.Seed // for the distribution over queues
 	stopPool context.CancelFunc
 	running  sync.WaitGroup
 }
 
-// New starts an empty store. Close it.
+// New starts an empty store. The caller must call Close.
 func New(o Options) *Store {
 	if o.Workers == 0 {
 		o.Workers = defaultWorkers
 	}
 	s := &Store{
-		objects: newObjectTable(),
-		vms:     newVMTable(o.ListLag),
-		faults:  newFaultTable(),
-		pool:    pool.New(o.Workers),
-		seed:    maphash.MakeSeed(),
+		objects:  newObjectTable(),
+		vms:      newVMTable(o.ListLag),
+		faults:   newFaultTable(),
+		pool:     pool.New(o.Workers),
+		hashSeed: maphash.MakeSeed(),
 	}
 	for range queueCount {
 		s.queues = append(s.queues, s.pool.NewQueue(queueLimit))
@@ -73,46 +73,47 @@
 	return s
 }
 
-// Close stops the store's workers. Close its servers first.
+// Close stops the store's workers. The store's servers must be closed before.
 func (s *Store) Close() {
 	s.stopPool()
 	s.running.Wait()
 }
 
-// Object returns the named object. It is not counted as a call.
+// Object returns the named object, if it exists. It does not count as a call.
 func (s *Store) Object(name string) (storeapi.Object, bool) { return s.objects.get(name) }
 
-// Set gives an object a value regardless of its version, as another client of
-// the platform may. It is not counted as a call.
+// Set updates an object unconditionally, as an update by another client of the platform
+// looks to VMs. It does not count as a call.
 func (s *Store) Set(name string, value json.RawMessage) storeapi.Object {
 	return s.objects.set(name, value)
 }
 
-// SetVMs changes the platform's list of VMs. Calls see it after the lag.
+// SetVMs changes the platform's list of VMs. Calls see the change after ListLag.
 func (s *Store) SetVMs(vms []storeapi.VM) { s.vms.set(vms, time.Now()) }
 
-// SetOutage begins or ends an outage.
+// SetOutage starts an outage, or ends it with InService. Servers have closed or
+// reopened their listeners when it returns.
 func (s *Store) SetOutage(o Outage) {
 	for _, server := range s.faults.setOutage(o) {
-		server.apply()
+		server.applyOutage()
 	}
 }
 
-// SetLatency delays every call by the given time before it has an effect.
+// SetLatency sets the time by which every call is delayed before it takes effect.
 func (s *Store) SetLatency(d time.Duration) { s.faults.setLatency(d) }
 
-// LoseAnswers makes the store cut the connections of the next n conditional
-// updates after it has handled them and before it answers.
+// LoseAnswers makes the store execute the next n conditional updates and then close
+// their connections instead of answering.
 func (s *Store) LoseAnswers(n int) { s.faults.loseAnswers(n) }
 
 // Calls returns the number of calls that have arrived, by kind.
-func (s *Store) Calls() Calls { return s.faults.callsSeen() }
+func (s *Store) Calls() Calls { return s.faults.callCounts() }
 
-// decide runs a decision about an object on a worker. It reports false if the
-// request ended first.
+// decide runs a decision about an object on a worker and waits for it. It reports false
+// if ctx ended first; the decision may then still run.
 func (s *Store) decide(ctx context.Context, name string, decision func()) bool {
 	done := make(chan struct{})
-	queue := s.queues[maphash.String(s.seed, name)%queueCount]
+	queue := s.queues[maphash.String(s.hashSeed, name)%queueCount]
 	queue.PostAlways(func() {
 		decision()
 		close(done)
