--- a/standin/fleet/faults.go
+++ b/standin/fleet/faults.go
@@ -2,11 +2,11 @@
 
 import "github.com/chestnutdyke/chestnutdyke/standin/memnet"
 
-// CutOffVM cuts a VM off from all data centres and from the platform. Clients
-// reach it still.
+// CutOffVM cuts a VM off from all data centres and from the platform. Clients still
+// reach it.
 func (f *Fleet) CutOffVM(vm int) *memnet.Cut {
-	rest := append([]string{storeZone}, f.Profile.DataCentres...)
-	return f.Net.Partition(memnet.Hosts(vmHost(vm)), memnet.Zones(rest...))
+	others := append([]string{storeZone}, f.Profile.DataCentres...)
+	return f.Net.Partition(memnet.Hosts(vmHost(vm)), memnet.Zones(others...))
 }
 
 // CutOffClients cuts the clients off from a VM.
@@ -14,9 +14,9 @@
 	return f.Net.Partition(memnet.Hosts(vmHost(vm)), memnet.Zones(clientZone))
 }
 
-// ResetVM makes the connections between a VM and everything but the clients
-// fail at both ends. New connections can be opened at once.
+// ResetVM breaks a VM's connections to all data centres and to the platform at both
+// ends. New connections can be opened at once.
 func (f *Fleet) ResetVM(vm int) {
-	rest := append([]string{storeZone}, f.Profile.DataCentres...)
-	f.Net.Break(memnet.Hosts(vmHost(vm)), memnet.Zones(rest...))
+	others := append([]string{storeZone}, f.Profile.DataCentres...)
+	f.Net.Break(memnet.Hosts(vmHost(vm)), memnet.Zones(others...))
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -20,40 +20,41 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pgbackend"
 )
 
-// Secret is the fleet's secret.
+// Secret is the secret with which the VMs of a fleet authenticate to each other.
 const Secret = "secret-of-the-fleet"
 
-// Login of the VMs at backend servers.
+// Credentials of the VMs at backend servers.
 const (
 	backendUser     = "proxy"
 	backendPassword = "password-of-the-proxy"
 )
 
-// BackendLogin returns the login of the VMs at backend servers, for clients that
-// go there directly.
+// BackendLogin returns the VMs' credentials at backend servers, also for clients that
+// connect to a server without a proxy.
 func BackendLogin() pgbackend.Credentials {
 	return pgbackend.Credentials{User: backendUser, Password: backendPassword}
 }
 
-// Options choose how a fleet runs.
+// Options set how a fleet runs.
 type Options struct {
-	// TCP uses loopback addresses of the machine, without the profile's delays.
-	// The default is an in-memory network with them.
+	// TCP runs the fleet on loopback addresses of the machine, without the profile's
+	// delays. The default is an in-memory network with these delays.
 	TCP  bool
-	Seed uint64
-	// NoVMs starts no VM; the configuration lists them all the same.
+	Seed uint64 // of the in-memory network
+	// NoVMs starts no VMs, although the configuration lists them.
 	NoVMs bool
-	// Adjust changes the options of each VM.
+	// Adjust, if not nil, changes the options of each VM before it starts.
 	Adjust func(o *chestnutdyke.Options)
 	Logger log.Interface
 	Scope  tally.Scope
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. VMs are identified by their number in the profile, from
+// zero.
 type Fleet struct {
 	Profile Profile
-	Net     *memnet.Network // nil with TCP
-	Groups  map[string]*dbgroup.Group
+	Net     *memnet.Network           // nil with TCP
+	Groups  map[string]*dbgroup.Group // by name
 	Store   *store.Store
 
 	options     Options
@@ -61,20 +62,22 @@
 
 	mu      sync.Mutex // guards the fields below
 	config  *state.Config
-	vms     map[int]*running
-	started bool // all VMs of the profile were started once
+	vms     map[int]*vmProcess // the running ones, by number
+	started bool               // Start has started all VMs of the profile
 }
 
-// running is a VM that runs.
-type running struct {
+// vmProcess is a running VM.
+type vmProcess struct {
 	vm     *chestnutdyke.VM
 	cancel context.CancelFunc
-	done   chan error
+	done   chan error // receives the result of Run
 }
 
-// Start starts the database groups and all VMs of the profile.
+// Start starts the database groups, the store and, unless NoVMs is set, all VMs of the
+// profile. It does not wait until the VMs are ready; see WaitReady. The caller must
+// call Close.
 func Start(p Profile, o Options) (*Fleet, error) {
-	f := &Fleet{Profile: p, options: o, Groups: make(map[string]*dbgroup.Group), vms: make(map[int]*running)}
+	f := &Fleet{Profile: p, options: o, Groups: make(map[string]*dbgroup.Group), vms: make(map[int]*vmProcess)}
 	if !o.TCP {
 		f.Net = memnet.New(o.Seed)
 		f.Net.SetDefaultDelay(p.InsideDC, p.BetweenDCs)
@@ -107,8 +110,8 @@
 	return f, nil
 }
 
-// Host returns the network of a host in a zone: a data centre, the clients' or
-// the platform's.
+// Host returns the network as seen by a host in a zone: a data centre, the clients'
+// zone or the platform's.
 func (f *Fleet) Host(host, zone string) network.Network {
 	if f.Net == nil {
 		return network.TCP{}
@@ -116,6 +119,7 @@
 	return f.Net.Host(host, zone)
 }
 
+// startGroup starts the database group with the given number.
 func (f *Fleet) startGroup(i int, name string) error {
 	p := f.Profile
 	login := BackendLogin()
@@ -126,7 +130,7 @@
 			Name:             fmt.Sprintf("%s-%c", name, 'a'+s),
 			DataCentre:       dc,
 			Network:          f.Host(host, dc),
-			Address:          address(host, wirePort),
+			Address:          address(host, postgresPort),
 			ControlAddress:   address(host, controlPort),
 			Slots:            p.Slots,
 			Connections:      p.Connections,
@@ -143,7 +147,7 @@
 	return nil
 }
 
-// StartVM starts the VM with the given number, which must not run.
+// StartVM starts the VM with the given number, which must not be running.
 func (f *Fleet) StartVM(i int) error {
 	dc, host := f.Profile.DataCentreOf(i), vmHost(i)
 	f.mu.Lock()
@@ -152,7 +156,7 @@
 	o := chestnutdyke.Options{
 		Name:          VMName(i),
 		DataCentre:    dc,
-		ClientAddress: address(host, wirePort),
+		ClientAddress: address(host, postgresPort),
 		PeerAddress:   address(host, peerPort),
 		AdminAddress:  address(host, adminPort),
 		Store:         StoreAddress(),
@@ -172,7 +176,7 @@
 		return eris.Wrapf(err, "start %s", o.Name)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{vm: vm, cancel: cancel, done: make(chan error, 1)}
+	r := &vmProcess{vm: vm, cancel: cancel, done: make(chan error, 1)}
 	go func() { r.done <- vm.Run(ctx) }()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +184,7 @@
 	return nil
 }
 
-// VM returns the VM with the given number, or nil if it does not run.
+// VM returns the VM with the given number, or nil if it is not running.
 func (f *Fleet) VM(i int) *chestnutdyke.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -190,7 +194,9 @@
 	return nil
 }
 
-// KillVM ends a VM at once, as if its host failed.
+// KillVM stops a VM without draining it, as if its host had failed, and waits until it
+// has ended. It returns the error with which the VM ended, and does nothing if the VM
+// is not running.
 func (f *Fleet) KillVM(i int) error {
 	f.mu.Lock()
 	r := f.vms[i]
@@ -203,7 +209,8 @@
 	return <-r.done
 }
 
-// StopVM stops a VM without cutting requests.
+// StopVM drains a VM, so that no request is cut off, and then stops it. It fails if
+// draining does, and the VM then keeps running.
 func (f *Fleet) StopVM(ctx context.Context, i int) error {
 	if vm := f.VM(i); vm != nil {
 		if err := vm.Drain(ctx); err != nil {
@@ -213,15 +220,15 @@
 	return f.KillVM(i)
 }
 
-// Isolation is a data centre that is cut off from everything but the clients.
+// Isolation is a network partition around a data centre, which only clients can reach.
 type Isolation struct {
-	fleet *Fleet
-	dc    string
-	cut   *memnet.Cut
+	fleet     *Fleet
+	dc        string
+	partition *memnet.Cut
 }
 
-// Isolate cuts a data centre off from the other data centres and from the
-// platform, and its servers' replication with it. Clients reach it still.
+// Isolate cuts a data centre, and the replication of its servers, off from the other
+// data centres and from the platform. Clients still reach it.
 func (f *Fleet) Isolate(dc string) *Isolation {
 	others := []string{storeZone}
 	for _, name := range f.Profile.DataCentres {
@@ -229,19 +236,19 @@
 			others = append(others, name)
 		}
 	}
-	i := &Isolation{fleet: f, dc: dc, cut: f.Net.Partition(memnet.Zones(dc), memnet.Zones(others...))}
+	i := &Isolation{fleet: f, dc: dc, partition: f.Net.Partition(memnet.Zones(dc), memnet.Zones(others...))}
 	i.isolateReplication(true)
 	return i
 }
 
 // Heal ends the isolation.
 func (i *Isolation) Heal() {
-	i.cut.Heal()
+	i.partition.Heal()
 	i.isolateReplication(false)
 }
 
-// isolateReplication is needed because the groups' replication does not use the
-// network.
+// isolateReplication stops or resumes the replication of the data centre's servers,
+// which does not use the network and so ignores its partitions.
 func (i *Isolation) isolateReplication(isolated bool) {
 	for _, g := range i.fleet.Groups {
 		for _, s := range g.Servers() {
@@ -252,16 +259,16 @@
 	}
 }
 
-// Close stops everything.
+// Close stops all VMs, the database groups, the store and the network.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	vms := f.vms
-	f.vms = make(map[int]*running)
+	processes := f.vms
+	f.vms = make(map[int]*vmProcess)
 	f.mu.Unlock()
-	for _, r := range vms {
+	for _, r := range processes {
 		r.cancel()
 	}
-	for _, r := range vms {
+	for _, r := range processes {
 		<-r.done
 	}
 	for _, g := range f.Groups {
@@ -278,8 +285,9 @@
 	}
 }
 
-// Connect connects a client of the customer to a VM and a route, with a session
-// token; the text "new" is that of a session that has written nothing.
+// Connect connects a client of the customer to a route on a VM. The token is empty for
+// a connection without a session, NewSession for a new session, or the token of an
+// earlier connection.
 func (f *Fleet) Connect(ctx context.Context, customer, route string, vm int, token string) (*pgx.Conn, error) {
 	cfg, err := f.ClientConfig(customer, route, vm, token)
 	if err != nil {
@@ -288,9 +296,9 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// ClientConfig returns the configuration with which Connect connects.
+// ClientConfig returns the configuration that Connect uses.
 func (f *Fleet) ClientConfig(customer, route string, vm int, token string) (*pgx.ConnConfig, error) {
-	cfg, err := pgx.ParseConfig(fmt.Sprintf("host=%s port=%d sslmode=disable", vmHost(vm), wirePort))
+	cfg, err := pgx.ParseConfig(fmt.Sprintf("host=%s port=%d sslmode=disable", vmHost(vm), postgresPort))
 	if err != nil {
 		return nil, eris.Wrap(err, "client connection")
 	}
@@ -307,17 +315,16 @@
 	return cfg, nil
 }
 
-// DialVM opens a connection to the client address of a VM, from the clients'
-// host.
+// DialVM opens a connection from the clients' host to the client address of a VM.
 func (f *Fleet) DialVM(ctx context.Context, vm int) (net.Conn, error) {
-	return f.Host(clientHost, clientZone).Dial(ctx, address(vmHost(vm), wirePort))
+	return f.Host(clientHost, clientZone).Dial(ctx, address(vmHost(vm), postgresPort))
 }
 
-// SessionParameter is the name of the session token among the parameters.
+// SessionParameter is the run-time parameter that holds the session token.
 const SessionParameter = "chestnutdyke.session"
 
-// NewSession stands for the token of a session that has written nothing.
+// NewSession is passed to Connect as the token of a session that has written nothing.
 const NewSession = "new"
 
-// Token returns the session token that the VM last reported to the client.
+// Token returns the session token that the VM last reported on the connection.
 func Token(c *pgx.Conn) string { return c.PgConn().ParameterStatus(SessionParameter) }
--- a/standin/fleet/platform.go
+++ b/standin/fleet/platform.go
@@ -14,15 +14,16 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// storePort is the port of the store.
+// storePort is the port of the store's API.
 const storePort = 8080
 
-// readyPoll is how often WaitReady looks at the VMs.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the time between two checks of WaitReady.
+const readyPollInterval = 50 * time.Millisecond
 
-// StoreAddress is the address of the store.
+// StoreAddress returns the address of the store.
 func StoreAddress() string { return address(storeHost, storePort) }
 
+// startStore starts the store and writes the profile's configuration to it.
 func (f *Fleet) startStore() error {
 	f.Store = store.New(store.Options{})
 	server, err := f.Store.Serve(f.Host(storeHost, storeZone), StoreAddress())
@@ -34,7 +35,7 @@
 	return f.publish()
 }
 
-// publish writes the configuration to the store.
+// publish writes the current configuration and its ticket to the store.
 func (f *Fleet) publish() error {
 	value, err := ticketfile.EncodeObject(&ticket.Object{
 		Config: f.config,
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// Change makes the next ticket: change gets a copy of the configuration, which
-// is then written to the store.
+// Change applies change to a copy of the configuration, and writes the copy to the
+// store under the next ticket number.
 func (f *Fleet) Change(change func(c *state.Config)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,17 +67,18 @@
 		return err
 	}
 	change(next)
-	next.Ticket = state.TicketID{Number: f.config.Ticket.Number + 1, Digest: digest(f.config.Ticket.Number + 1)}
+	next.Ticket = state.TicketID{Number: f.config.Ticket.Number + 1, Digest: ticketDigest(f.config.Ticket.Number + 1)}
 	f.config = next
 	return f.publish()
 }
 
-// SetDataCentre changes the state of a data centre by a ticket.
+// SetDataCentre changes the service state of a data centre with a ticket.
 func (f *Fleet) SetDataCentre(dc string, s state.ServiceState) error {
 	return f.Change(func(c *state.Config) { c.DataCentres[dc].State = s })
 }
 
-// seeds are the first VMs of all data centres.
+// seeds returns the first VM of each data centre, as the partners that VMs contact when
+// they start.
 func (f *Fleet) seeds() []membership.Partner {
 	var seeds []membership.Partner
 	for i := range min(len(f.Profile.DataCentres), f.Profile.VMs) {
@@ -89,25 +91,26 @@
 	return seeds
 }
 
-// WaitReady waits until all running VMs take work.
+// WaitReady waits until all running VMs are ready. If ctx ends before, the error names
+// one that is not.
 func (f *Fleet) WaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
-		waiting := f.notReady()
-		if waiting == "" {
+		name := f.unreadyVM()
+		if name == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "%s does not take work", waiting)
+			return eris.Wrapf(ctx.Err(), "%s is not ready", name)
 		case <-ticker.C:
 		}
 	}
 }
 
-// notReady returns the name of a VM that does not take work, or an empty text.
-func (f *Fleet) notReady() string {
+// unreadyVM returns the name of a running VM that is not ready, or "" if all are.
+func (f *Fleet) unreadyVM() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, r := range f.vms {
--- a/standin/fleet/profile.go
+++ b/standin/fleet/profile.go
@@ -1,5 +1,5 @@
-// Package fleet runs a whole fleet in one process: VMs, database groups and the
-// store, over an in-memory network with the delays of a profile.
+// Package fleet runs a whole fleet in one process: VMs, simulated database groups and a
+// simulated store, on an in-memory network with the delays of a profile.
 package fleet
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Profile describes a user's installation.
+// Profile describes a user's installation: its size, load and timing.
 type Profile struct {
 	Name             string
 	DataCentres      []string
@@ -22,25 +22,25 @@
 	InsideDC         time.Duration // one way
 	Groups           []string
 	ServersPerGroup  int
-	Slots            int
-	Connections      int // per backend server, all VMs together
-	ConnectCost      time.Duration
-	StatementCost    time.Duration
-	ReplicationDelay time.Duration
+	Slots            int           // statements that a backend server runs at the same time
+	Connections      int           // that a backend server accepts from all VMs together
+	ConnectCost      time.Duration // time in which a backend server opens a connection
+	StatementCost    time.Duration // time in which a backend server runs a statement
+	ReplicationDelay time.Duration // from primary to replica
 	VMs              int
 	Customers        []Customer
-	ViewStaleness    time.Duration // age that the routes named "views-GROUP" accept
-	Deadline         time.Duration
+	ViewStaleness    time.Duration // staleness limit of the routes named "views-GROUP"
+	Deadline         time.Duration // of requests on all routes
 }
 
-// Customer is a customer with its share of the load.
+// Customer is a customer with its limit, from which benchmarks also derive its load.
 type Customer struct {
 	Name  string
-	Rate  float64 // requests a second over the whole fleet
+	Rate  float64 // requests a second, over the whole fleet
 	Burst float64 // requests
 }
 
-// Fes is the installation of the Régie Municipale des Cuirs de Reliure de Fès.
+// Fes returns the profile of the Régie Municipale des Cuirs de Reliure de Fès.
 func Fes() Profile {
 	return Profile{
 		Name:             "fes",
@@ -62,7 +62,7 @@
 	}
 }
 
-// Peachtree is the installation of the Peachtree Bonsai Guardians.
+// Peachtree returns the profile of the Peachtree Bonsai Guardians.
 func Peachtree() Profile {
 	return Profile{
 		Name:             "peachtree",
@@ -84,7 +84,7 @@
 	}
 }
 
-// customers returns eight customers, two of them large.
+// customers returns eight customers, of which the named ones have higher limits.
 func customers(large ...string) []Customer {
 	var all []Customer
 	for _, name := range large {
@@ -96,20 +96,20 @@
 	return all
 }
 
-// Key returns the key of a customer.
+// Key returns the access key of a customer.
 func Key(customer string) string { return "key-of-" + customer }
 
-// VMName returns the name of the VM with the given number. VMs are spread over
-// the data centres in turn.
+// VMName returns the name of the VM with the given number.
 func VMName(i int) string { return fmt.Sprintf("vm-%d", i+1) }
 
-// DataCentreOf returns the data centre of the VM with the given number.
+// DataCentreOf returns the data centre of the VM with the given number. VMs are
+// assigned to the data centres in turn.
 func (p *Profile) DataCentreOf(vm int) string { return p.DataCentres[vm%len(p.DataCentres)] }
 
-// Config returns the profile's configuration under the given ticket number.
+// Config returns the profile's configuration with the given ticket number.
 func (p *Profile) Config(ticket uint64) *state.Config {
 	c := &state.Config{
-		Ticket:      state.TicketID{Number: ticket, Digest: digest(ticket)},
+		Ticket:      state.TicketID{Number: ticket, Digest: ticketDigest(ticket)},
 		Customers:   make(map[string]*state.Customer),
 		Groups:      make(map[string]*state.Group),
 		Routes:      make(map[string]*state.Route),
@@ -132,8 +132,9 @@
 	return c
 }
 
-// digest stands in for the digest of a ticket file.
-func digest(ticket uint64) string {
+// ticketDigest returns a digest in place of that of a ticket file, which fleets do not
+// have.
+func ticketDigest(ticket uint64) string {
 	sum := sha256.Sum256([]byte(strconv.FormatUint(ticket, 10)))
 	return hex.EncodeToString(sum[:])
 }
@@ -163,7 +164,7 @@
 		g.Servers = append(g.Servers, state.BackendServer{
 			Name:           fmt.Sprintf("%s-%c", name, 'a'+s),
 			DataCentre:     p.serverDataCentre(i, s),
-			Address:        address(host, wirePort),
+			Address:        address(host, postgresPort),
 			ControlAddress: address(host, controlPort),
 			Connections:    p.Connections,
 			Slots:          p.Slots,
@@ -173,32 +174,37 @@
 	return g
 }
 
-// serverDataCentre spreads the servers of a group over the data centres, with
-// the first primaries in different ones.
+// serverDataCentre returns the data centre of a group's server. The servers of a group
+// are assigned to the data centres in turn, and so are the first servers of the groups,
+// which are the initial primaries.
 func (p *Profile) serverDataCentre(group, server int) string {
 	return p.DataCentres[(group+server)%len(p.DataCentres)]
 }
 
-// Ports of the hosts.
+// Ports of VMs and backend servers.
 const (
-	wirePort    = 5432
-	peerPort    = 7432
-	controlPort = 8432
-	adminPort   = 9432
+	postgresPort = 5432 // of both, for clients and VMs respectively
+	peerPort     = 7432
+	controlPort  = 8432
+	adminPort    = 9432
 )
 
-// Ports by which control traffic can be told apart.
+// Ports by which tests and benchmarks recognise control traffic.
 const (
 	PeerPort    = peerPort    // of VMs, for other VMs
 	ControlPort = controlPort // of backend servers, for status queries
 )
 
-// Every VM and every backend server has a host of its own.
+// vmHost returns the address of the host on which only the given VM runs.
 func vmHost(vm int) string { return fmt.Sprintf("127.1.%d.%d", vm/200, vm%200+1) }
+
+// serverHost returns the address of the host on which only the given backend server
+// runs.
 func serverHost(group, server int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 2+server, group/200, group%200+1)
 }
 
+// Hosts and zones of the store and of clients.
 const (
 	storeHost  = "127.100.0.1"
 	clientHost = "127.101.0.1"
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// settingsFile is the settings of a VM, in the form that its daemon reads.
+// settingsFile holds the settings of a VM in the format of the daemon's settings file.
 type settingsFile struct {
 	VM         string `yaml:"vm"`
 	DataCentre string `yaml:"data_centre"`
@@ -29,18 +29,18 @@
 	} `yaml:"backend"`
 }
 
+// seedSettings is an entry of the list of seeds.
 type seedSettings struct {
 	VM      string `yaml:"vm"`
 	Address string `yaml:"address"`
 }
 
-// WriteSettings writes a settings file for each VM of the profile into the
-// folder, for daemons that run as processes of their own, and returns the
-// files' paths.
-func (f *Fleet) WriteSettings(folder string) ([]string, error) {
+// WriteSettings writes a settings file for each VM of the profile into the directory,
+// for daemons that run as separate processes, and returns the paths of the files.
+func (f *Fleet) WriteSettings(dir string) ([]string, error) {
 	const passwordFile = "backend-password"
-	if err := os.WriteFile(filepath.Join(folder, passwordFile), []byte(backendPassword), 0o600); err != nil {
-		return nil, eris.Wrap(err, "write the password of the VMs")
+	if err := os.WriteFile(filepath.Join(dir, passwordFile), []byte(backendPassword), 0o600); err != nil {
+		return nil, eris.Wrap(err, "write the password file of the VMs")
 	}
 	var paths []string
 	for i := range f.Profile.VMs {
@@ -48,21 +48,22 @@
 		s.Backend.PasswordFile = passwordFile
 		data, err := yaml.Marshal(s)
 		if err != nil {
-			return nil, eris.Wrapf(err, "settings of %s", s.VM)
+			return nil, eris.Wrapf(err, "write the settings of %s", s.VM)
 		}
-		path := filepath.Join(folder, fmt.Sprintf("%s.yaml", s.VM))
+		path := filepath.Join(dir, fmt.Sprintf("%s.yaml", s.VM))
 		if err := os.WriteFile(path, data, 0o600); err != nil {
-			return nil, eris.Wrapf(err, "settings of %s", s.VM)
+			return nil, eris.Wrapf(err, "write the settings of %s", s.VM)
 		}
 		paths = append(paths, path)
 	}
 	return paths, nil
 }
 
+// settingsOf returns the settings of a VM without the path of the password file.
 func (f *Fleet) settingsOf(vm int) settingsFile {
 	host := vmHost(vm)
 	s := settingsFile{VM: VMName(vm), DataCentre: f.Profile.DataCentreOf(vm), Store: StoreAddress()}
-	s.Addresses.Clients = address(host, wirePort)
+	s.Addresses.Clients = address(host, postgresPort)
 	s.Addresses.Peers = address(host, PeerPort)
 	s.Addresses.Admin = address(host, adminPort)
 	s.FleetSecret.Inline = Secret
