--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -1,5 +1,5 @@
-// Package chestnutdyke is a database proxy with session consistency. A VM is
-// one process of a fleet; see docs/design.md.
+// Package chestnutdyke is a database proxy that keeps sessions consistent when
+// they move between VMs. A VM is one process of a fleet; see docs/design.md.
 package chestnutdyke
 
 import (
@@ -37,44 +37,47 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/store"
 )
 
-// Options describe a VM. Fields without a default are required.
+// Options configure a VM. Fields without a default are required.
 type Options struct {
-	Name       string // as in the tickets; unique among the VMs that run at a time
+	Name       string // as in the tickets; unique among running VMs
 	DataCentre string
-	// ClientAddress, PeerAddress and AdminAddress are where the VM listens for
-	// clients, other VMs and operators, host:port. Without an AdminAddress there
-	// is no admin interface.
+	// ClientAddress, PeerAddress and AdminAddress are the host:port on which the
+	// VM listens for clients, other VMs and operators. An empty AdminAddress
+	// disables the admin interface.
 	ClientAddress, PeerAddress, AdminAddress string
-	// Advertise is where other VMs reach PeerAddress; default PeerAddress.
+	// Advertise is the address at which other VMs reach PeerAddress; default
+	// PeerAddress.
 	Advertise string
-	// Store is the address of the platform's store, host:port; empty if there is
-	// none, and then Seeds must lead to a VM that has a configuration.
+	// Store is the host:port of the platform's store. If it is empty, the VM gets
+	// its configuration from other VMs, so Seeds must lead to one that has it.
 	Store string
-	// Seeds are VMs to contact before the configuration is known.
+	// Seeds are the VMs contacted before a configuration is known.
 	Seeds []membership.Partner
-	// Secret is shared by all VMs. It signs session tokens and messages.
+	// Secret is shared by all VMs and signs session tokens and messages between VMs.
 	Secret []byte
-	// Backend is the login of the VM at backend servers.
+	// Backend holds the VM's credentials for backend servers.
 	Backend pgbackend.Credentials
-	// TLS is for clients; nil refuses encryption.
+	// TLS configures client connections; nil rejects requests for TLS.
 	TLS *tls.Config
 
 	Workers         int           // default 8
 	MaxSessions     int           // default 4096
-	SessionQueue    int           // events that may wait for one session; default 32
-	DefaultDeadline time.Duration // of requests on routes that state none; default 5 s
-	// FirstProcess says that no process of this name ran within the last 30 s, so
-	// that none can have lent connections. Leave it false unless that is certain.
+	SessionQueue    int           // maximum queued events of one session; default 32
+	DefaultDeadline time.Duration // for requests on routes without a deadline; default 5 s
+	// FirstProcess states that no process with this name ran within the last 30 s,
+	// so none can have connections on loan to other VMs. Leave it false unless that
+	// is certain.
 	FirstProcess bool
 
 	// Network defaults to the operating system's TCP.
 	Network network.Network
-	Logger  log.Interface // default: the log package's
-	Scope   tally.Scope   // default: none
-	Metrics http.Handler  // shown by the admin interface; default: none
-	Tracer  trace.Tracer  // default: none
+	Logger  log.Interface // default: the default logger of apex/log
+	Scope   tally.Scope   // default: metrics are discarded
+	Metrics http.Handler  // served by the admin interface; default: none
+	Tracer  trace.Tracer  // default: spans are discarded
 
-	// Session, Queueing and StaticShares choose baselines for measurements.
+	// Session, Queueing and StaticShares select simpler algorithms, which serve as
+	// baselines in benchmarks.
 	Session      session.Options
 	Queueing     queueing.Options
 	StaticShares bool
@@ -110,30 +113,32 @@
 	}
 }
 
-// VM is one process of the fleet.
+// VM is one process of the fleet, configured by tickets. See Node for a VM whose
+// deployment is declared in a platform's store.
 type VM struct {
-	options   Options
-	tables    *state.Tables
-	pool      *pool.Pool
-	sessions  *sessions.Sessions
-	backends  *pgbackend.Backends
-	groups    *groups.Driver
-	views     *groups.Views
-	limits    *limits.Limits
-	exchange  *exchange.Exchange
-	lifecycle *lifecycle.Lifecycle
-	control   *groupctl.HTTP
-	store     *store.Client // nil if there is none
-	roster    roster
-	tasks     sync.WaitGroup // cancel requests that are being passed on
-	clients   net.Listener
-	admin     net.Listener // nil if there is none
+	options          Options
+	tables           *state.Tables
+	pool             *pool.Pool
+	sessions         *sessions.Sessions
+	backends         *pgbackend.Backends
+	groups           *groups.Driver
+	groupViews       *groups.Views
+	limits           *limits.Limits
+	exchange         *exchange.Exchange
+	lifecycle        *lifecycle.Lifecycle
+	groupControl     *groupctl.HTTP
+	store            *store.Client // nil without Options.Store
+	liveVMs          liveVMCache
+	forwardedCancels sync.WaitGroup // cancel requests being forwarded to other VMs
+	clientListener   net.Listener
+	adminListener    net.Listener // nil without Options.AdminAddress
 }
 
-// New returns a VM that listens but does not serve yet.
+// New creates a VM and opens its listeners. It serves once Run is called. The
+// error says which address cannot be listened on.
 func New(o Options) (*VM, error) {
 	o.setDefaults()
-	v := &VM{options: o, pool: pool.New(o.Workers), control: groupctl.NewHTTP(o.Network)}
+	v := &VM{options: o, pool: pool.New(o.Workers), groupControl: groupctl.NewHTTP(o.Network)}
 	v.tables = state.NewTables(state.Self{
 		Name:        o.Name,
 		DataCentre:  o.DataCentre,
@@ -156,34 +161,34 @@
 
 func (v *VM) listen() error {
 	var err error
-	if v.clients, err = v.options.Network.Listen(v.options.ClientAddress); err != nil {
+	if v.clientListener, err = v.options.Network.Listen(v.options.ClientAddress); err != nil {
 		return eris.Wrap(err, "listen for clients")
 	}
 	if v.options.AdminAddress == "" {
 		return nil
 	}
-	if v.admin, err = v.options.Network.Listen(v.options.AdminAddress); err != nil {
+	if v.adminListener, err = v.options.Network.Listen(v.options.AdminAddress); err != nil {
 		return errors.Join(eris.Wrap(err, "listen for operators"), v.closeListeners())
 	}
 	return nil
 }
 
 func (v *VM) closeListeners() error {
-	err := v.clients.Close()
-	if v.admin != nil {
-		err = errors.Join(err, v.admin.Close())
+	err := v.clientListener.Close()
+	if v.adminListener != nil {
+		err = errors.Join(err, v.adminListener.Close())
 	}
 	return err
 }
 
-// Tables returns the VM's tables.
+// Tables returns the VM's shared state, which tests inspect.
 func (v *VM) Tables() *state.Tables { return v.tables }
 
 // Address returns the address at which clients connect.
-func (v *VM) Address() string { return v.clients.Addr().String() }
+func (v *VM) Address() string { return v.clientListener.Addr().String() }
 
-// Run serves until ctx is done. Then it stops at once; call Drain before to
-// stop without cutting requests.
+// Run serves until ctx is done and then stops at once, which interrupts running
+// requests. Call Drain first to let them finish.
 func (v *VM) Run(ctx context.Context) error {
 	poolCtx, stopPool := context.WithCancel(context.Background())
 	defer stopPool()
@@ -194,13 +199,13 @@
 	stop := context.AfterFunc(ctx, v.sessions.Close)
 	defer stop()
 	clients := &pgserver.Server{
-		Listener: v.clients,
+		Listener: v.clientListener,
 		TLS:      v.options.TLS,
 		Sessions: v.sessions,
 		Logger:   v.options.Logger,
 	}
 	g.Go(func() error { return clients.Run(ctx) })
-	if v.admin != nil {
+	if v.adminListener != nil {
 		g.Go(func() error { return v.adminServer().Run(ctx) })
 	}
 	g.Go(func() error { return v.limits.Run(ctx) })
@@ -209,8 +214,8 @@
 	g.Go(func() error { return v.backends.Run(ctx) })
 	g.Go(func() error { return v.lifecycle.Run(ctx) })
 	err := g.Wait()
-	v.tasks.Wait()
-	v.control.Close()
+	v.forwardedCancels.Wait()
+	v.groupControl.Close()
 	if v.store != nil {
 		v.store.Close()
 	}
@@ -220,16 +225,16 @@
 
 func (v *VM) adminServer() *admin.Server {
 	return admin.New(admin.Options{
-		Listener: v.admin,
+		Listener: v.adminListener,
 		Status:   v.Status,
-		Ready:    v.notReady,
+		Ready:    v.notReadyReason,
 		Metrics:  v.options.Metrics,
 		Logger:   v.options.Logger,
 	})
 }
 
-// notReady returns why the VM takes no work, or an empty text if it does.
-func (v *VM) notReady() string {
+// notReadyReason returns why the VM accepts no requests, or "" if it is ready.
+func (v *VM) notReadyReason() string {
 	self := v.tables.Self
 	cfg := v.tables.Config.Current()
 	switch {
@@ -243,12 +248,13 @@
 	return ""
 }
 
-// Ready reports whether the VM takes work: it has a configuration, is in
-// service, and a majority of its voters confirms it.
-func (v *VM) Ready() bool { return v.notReady() == "" }
+// Ready reports whether the VM accepts requests: it has a configuration, is in
+// service, and a majority of its voters confirms its incarnation.
+func (v *VM) Ready() bool { return v.notReadyReason() == "" }
 
-// Drain refuses new sessions, lends the VM's shares to others, and waits until
-// each session has ended its request and transaction, or ctx is done.
+// Drain refuses new sessions, lends the VM's shares to other VMs, and waits until
+// no session has a running request or transaction. It returns an error if ctx
+// ends first.
 func (v *VM) Drain(ctx context.Context) error {
 	v.exchange.SetState(state.Leaving)
 	v.limits.Leave()
--- a/failover_test.go
+++ b/failover_test.go
@@ -9,15 +9,15 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// failoverTarget is the aim for the time from the isolation of a primary to the
-// first acknowledged write.
+// failoverTarget is the longest allowed time from the isolation of a primary to
+// the first acknowledged write.
 const failoverTarget = time.Second
 
 // appendUntilAcknowledged appends entries until one is acknowledged, and
-// returns that entry. Every attempt uses an entry of its own, because one whose
+// returns that entry. Every attempt uses a different entry, because a write whose
 // outcome is unknown must not be repeated.
-func (w *world) appendUntilAcknowledged(c *pgx.Conn, name string) string {
-	w.t.Helper()
+func (h *harness) appendUntilAcknowledged(c *pgx.Conn, name string) string {
+	h.t.Helper()
 	for n := range 100 {
 		entry := fmt.Sprintf("%s-%d", name, n)
 		_, err := c.Exec(background, "APPEND log '"+entry+"'")
@@ -25,41 +25,40 @@
 			return entry
 		}
 		if got := sqlState(err); got != "08007" {
-			w.t.Fatalf("%s: SQLSTATE %q, want 08007 (%v)", entry, got, err)
+			h.t.Fatalf("%s: SQLSTATE %q, want 08007 (%v)", entry, got, err)
 		}
 	}
-	w.t.Fatal("no write was acknowledged")
+	h.t.Fatal("no write was acknowledged")
 	return ""
 }
 
-// checkLog fails the test unless the log holds each acknowledged entry once and
-// no entry twice.
-func (w *world) checkLog(acknowledged ...string) {
-	w.t.Helper()
-	primary := w.group.Primary()
+// checkLog fails the test if the primary's log lacks an acknowledged entry or holds
+// an entry twice.
+func (h *harness) checkLog(acknowledged ...string) {
+	h.t.Helper()
+	primary := h.group.Primary()
 	log := primary.Entries()
 	for _, a := range acknowledged {
 		if !slices.Contains(log, a) {
-			w.t.Errorf("acknowledged entry %q is missing from %s: %q", a, primary.Name(), log)
+			h.t.Errorf("acknowledged entry %q is missing from %s: %q", a, primary.Name(), log)
 		}
 	}
 	sorted := slices.Clone(log)
 	slices.Sort(sorted)
 	if unique := slices.Compact(slices.Clone(sorted)); len(unique) != len(log) {
-		w.t.Errorf("an entry is in the log twice: %q", log)
+		h.t.Errorf("an entry is in the log twice: %q", log)
 	}
 }
 
-// Guards against acknowledged writes that are lost, against acknowledgement by
-// the old primary, and against a long gap, when a primary is cut off from
-// everything but one VM.
+// Guards against lost acknowledged writes, acknowledgements by the old primary and
+// a long write outage, when a primary can be reached by only one VM.
 func TestIsolatedPrimaryIsReplaced(t *testing.T) {
-	inWorld(t, func(w *world) {
-		north, south := w.connect(0, ""), w.connect(1, "")
-		before := w.appendUntilAcknowledged(south, "before")
-		cut := w.fleet.Isolate("north")
+	withFleet(t, func(h *harness) {
+		north, south := h.connect(0, ""), h.connect(1, "")
+		before := h.appendUntilAcknowledged(south, "before")
+		partition := h.fleet.Isolate("north")
 		isolated := time.Now()
-		after := w.appendUntilAcknowledged(south, "after")
+		after := h.appendUntilAcknowledged(south, "after")
 		gap := time.Since(isolated)
 		t.Logf("first acknowledged write after %v", gap)
 		if gap > failoverTarget {
@@ -68,58 +67,58 @@
 		if _, err := north.Exec(background, "APPEND log 'isolated'"); err == nil {
 			t.Error("a write through the isolated primary was acknowledged")
 		}
-		cut.Heal()
+		partition.Heal()
 		time.Sleep(5 * time.Second)
-		healed := w.appendUntilAcknowledged(north, "healed")
+		healed := h.appendUntilAcknowledged(north, "healed")
 		time.Sleep(time.Second)
-		w.checkLog(before, after, healed)
-		old := w.group.Server("ledger-a")
-		if !slices.Equal(old.Entries(), w.group.Primary().Entries()) {
+		h.checkLog(before, after, healed)
+		old := h.group.Server("ledger-a")
+		if !slices.Equal(old.Entries(), h.group.Primary().Entries()) {
 			t.Errorf("log of the old primary is %q", old.Entries())
 		}
-		w.close(north)
-		w.close(south)
+		h.close(north)
+		h.close(south)
 	})
 }
 
-// Guards against a failover that needs a failed server, and against requests
-// that fail although a new primary is there before their deadline.
+// Guards against a failover that needs the failed server, and against requests
+// that fail although a new primary is available before their deadline.
 func TestStoppedPrimaryIsReplaced(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(1, "")
-		before := w.appendUntilAcknowledged(c, "before")
-		w.group.Server("ledger-a").Stop()
+	withFleet(t, func(h *harness) {
+		c := h.connect(1, "")
+		before := h.appendUntilAcknowledged(c, "before")
+		h.group.Server("ledger-a").Stop()
 		stopped := time.Now()
-		w.exec(c, "SELECT 1")
-		after := w.appendUntilAcknowledged(c, "after")
+		h.exec(c, "SELECT 1")
+		after := h.appendUntilAcknowledged(c, "after")
 		gap := time.Since(stopped)
 		t.Logf("first acknowledged write after %v", gap)
 		if gap > failoverTarget {
 			t.Errorf("first acknowledged write after %v, want at most %v", gap, failoverTarget)
 		}
-		w.checkLog(before, after)
-		w.close(c)
+		h.checkLog(before, after)
+		h.close(c)
 	})
 }
 
-// Guards against reads that wait for a replica which is cut off.
+// Guards against reads that keep waiting for a replica that does not respond.
 func TestReadLeavesIsolatedReplica(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(1, "")
-		w.exec(c, "APPEND log 'x'")
+	withFleet(t, func(h *harness) {
+		c := h.connect(1, "")
+		h.exec(c, "APPEND log 'x'")
 		time.Sleep(100 * time.Millisecond)
-		if got := w.query(c, "SELECT server()"); got != "ledger-b" {
+		if got := h.query(c, "SELECT server()"); got != "ledger-b" {
 			t.Fatalf("read from %s, want ledger-b", got)
 		}
-		w.group.Server("ledger-b").Pause()
+		h.group.Server("ledger-b").Pause()
 		start := time.Now()
-		if got := w.query(c, "SELECT server()"); got == "ledger-b" {
+		if got := h.query(c, "SELECT server()"); got == "ledger-b" {
 			t.Errorf("read from the paused replica")
 		}
-		if d := time.Since(start); d > time.Second {
-			t.Errorf("read took %v", d)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Errorf("read took %v", elapsed)
 		}
-		w.group.Server("ledger-b").Resume()
-		w.close(c)
+		h.group.Server("ledger-b").Resume()
+		h.close(c)
 	})
 }
--- a/golden_test.go
+++ b/golden_test.go
@@ -16,16 +16,16 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenSessions compares whole sessions, message by message and with their
-// time, with files under testdata/golden. It guards against any change of what
-// clients and backend servers see that nobody meant.
+// TestGoldenSessions compares the messages of whole sessions and their times with
+// files under testdata/golden. It guards against unintended changes of what
+// clients and backend servers see.
 func TestGoldenSessions(t *testing.T) {
 	sessions := []struct {
 		name string
-		run  func(w *world)
+		run  func(h *harness)
 	}{
 		{"plain", goldenPlain},
-		{"move", goldenMove},
+		{"move", goldenMoveToAnotherVM},
 		{"bounded-staleness", goldenBoundedStaleness},
 		{"cancel", goldenCancel},
 		{"late-answer", goldenLateAnswer},
@@ -36,10 +36,10 @@
 	for _, s := range sessions {
 		t.Run(s.name, func(t *testing.T) {
 			var got string
-			inWorld(t, func(w *world) {
-				w.record()
-				s.run(w)
-				got = w.recorder.transcript()
+			withFleet(t, func(h *harness) {
+				h.startRecording()
+				s.run(h)
+				got = h.recorder.transcript()
 			})
 			compareGolden(t, s.name, got)
 		})
@@ -64,77 +64,77 @@
 	}
 }
 
-func goldenPlain(w *world) {
-	c := w.connect(0, "")
-	w.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
-	w.query(c, "SELECT value FROM kv WHERE key = $1", "skin-1")
+func goldenPlain(h *harness) {
+	c := h.connect(0, "")
+	h.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
+	h.query(c, "SELECT value FROM kv WHERE key = $1", "skin-1")
 	tx, err := c.Begin(background)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if _, err := tx.Exec(background, "UPDATE kv SET value = 'reserved' WHERE key = 'skin-1'"); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if err := tx.Commit(background); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.close(c)
+	h.close(c)
 }
 
-func goldenMove(w *world) {
-	a := w.connect(0, "")
-	w.exec(a, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
+func goldenMoveToAnotherVM(h *harness) {
+	a := h.connect(0, "")
+	h.exec(a, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
 	token := fleet.Token(a)
-	w.close(a)
-	b := w.connect(1, token)
-	w.query(b, "SELECT value FROM kv WHERE key = 'skin-1'")
-	w.close(b)
+	h.close(a)
+	b := h.connect(1, token)
+	h.query(b, "SELECT value FROM kv WHERE key = 'skin-1'")
+	h.close(b)
 }
 
-func goldenBoundedStaleness(w *world) {
-	c := w.connect(1, "")
-	w.query(c, "SELECT server()")
-	w.exec(c, "SET chestnutdyke.max_staleness = '500ms'")
-	w.query(c, "SELECT server()")
-	w.close(c)
+func goldenBoundedStaleness(h *harness) {
+	c := h.connect(1, "")
+	h.query(c, "SELECT server()")
+	h.exec(c, "SET chestnutdyke.max_staleness = '500ms'")
+	h.query(c, "SELECT server()")
+	h.close(c)
 }
 
-func goldenCancel(w *world) {
-	c := w.connect(0, "")
+func goldenCancel(h *harness) {
+	c := h.connect(0, "")
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		if err := c.PgConn().CancelRequest(background); err != nil {
-			w.t.Error(err)
+			h.t.Error(err)
 		}
 	}()
 	if _, err := c.Exec(background, "SELECT pg_sleep(3)"); err == nil {
-		w.t.Error("cancelled request succeeded")
+		h.t.Error("cancelled request succeeded")
 	}
-	w.query(c, "SELECT server()")
-	w.close(c)
+	h.query(c, "SELECT server()")
+	h.close(c)
 }
 
-// goldenLateAnswer has an answer that comes after the deadline of its request,
-// followed by another request.
-func goldenLateAnswer(w *world) {
-	c := w.connect(0, "")
-	w.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
-	w.group.Server("ledger-a").DelayNextAnswer(8 * time.Second)
+// goldenLateAnswer sends a request whose answer arrives after its deadline, and
+// then another request.
+func goldenLateAnswer(h *harness) {
+	c := h.connect(0, "")
+	h.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
+	h.group.Server("ledger-a").DelayNextAnswer(8 * time.Second)
 	if _, err := c.Exec(background, "UPDATE kv SET value = 'late' WHERE key = 'skin-1'"); sqlState(err) != "08007" {
-		w.t.Errorf("late answer: %v", err)
+		h.t.Errorf("late answer: %v", err)
 	}
-	w.query(c, "SELECT server()")
-	w.close(c)
+	h.query(c, "SELECT server()")
+	h.close(c)
 }
 
-func goldenLost(m dbgroup.Moment) func(w *world) {
-	return func(w *world) {
-		c := w.connect(0, "")
-		w.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: m})
+func goldenLost(m dbgroup.Moment) func(h *harness) {
+	return func(h *harness) {
+		c := h.connect(0, "")
+		h.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: m})
 		if _, err := c.Exec(background, "INSERT INTO kv VALUES ('skin-1', 'free')", pgx.QueryExecModeSimpleProtocol); sqlState(err) != "08007" {
-			w.t.Errorf("lost connection: %v", err)
+			h.t.Errorf("lost connection: %v", err)
 		}
-		w.query(c, "SELECT count(*) FROM kv")
-		w.close(c)
+		h.query(c, "SELECT count(*) FROM kv")
+		h.close(c)
 	}
 }
--- a/layers_test.go
+++ b/layers_test.go
@@ -11,47 +11,47 @@
 
 const modulePath = "github.com/chestnutdyke/chestnutdyke/"
 
-// layers from the lowest to the highest. A package may import packages of its
-// own layer and of lower ones.
+// layers are ordered from the lowest to the highest. A package may import packages
+// of its own layer and of lower ones.
 var layers = []string{"state", "coordination", "protocol", "transport"}
 
-// ioPackages do I/O or encoding, which the two lowest layers leave to others.
+// ioPackages do I/O or encoding and are not allowed in the two lowest layers.
 var ioPackages = []string{
 	"net", "net/http", "encoding/json", "encoding/binary", "os", "syscall",
 	"github.com/jackc/pgx/v5", "go.yaml.in/yaml/v3",
 }
 
-// Guards against decisions that open sockets or encode messages, and against a
-// layer that depends on one above it.
+// Guards against state and coordination code that does I/O or encodes messages,
+// and against a layer that depends on a higher one.
 func TestImportsFollowLayers(t *testing.T) {
-	for rank, layer := range layers {
+	for level, layer := range layers {
 		for _, dir := range packageDirs(t, layer) {
 			pkg, err := build.ImportDir(dir, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, imported := range pkg.Imports {
-				checkImport(t, rank, dir, imported)
+				checkImport(t, level, dir, imported)
 			}
 		}
 	}
 }
 
-func checkImport(t *testing.T, rank int, dir, imported string) {
+func checkImport(t *testing.T, level int, dir, imported string) {
 	t.Helper()
-	if rank < 2 {
+	if level < 2 {
 		for _, p := range ioPackages {
 			if imported == p || strings.HasPrefix(imported, p+"/") && strings.Contains(p, ".") {
 				t.Errorf("%s imports %s", dir, imported)
 			}
 		}
 	}
-	rest, own := strings.CutPrefix(imported, modulePath)
-	if !own {
+	rest, inModule := strings.CutPrefix(imported, modulePath)
+	if !inModule {
 		return
 	}
 	layer, _, _ := strings.Cut(rest, "/")
-	if i := slices.Index(layers, layer); i < 0 || i > rank {
+	if i := slices.Index(layers, layer); i < 0 || i > level {
 		t.Errorf("%s imports %s, which is not in a lower layer", dir, imported)
 	}
 }
--- a/node.go
+++ b/node.go
@@ -29,20 +29,20 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlfront"
 )
 
-// NodeOptions describe a VM whose deployment is declared in a platform's store.
-// Network, Dialects, Source, Duties and Platform are the parts that depend on
-// the platform.
+// NodeOptions configure a VM whose deployment is declared in a platform's store.
+// Network, Clients, Servers, Source, Duties and Platform are the parts that
+// depend on the platform.
 type NodeOptions struct {
 	Name          string
 	DataCentre    string
-	Weight        float64 // processor share; VMs hold connections in proportion to it
+	Weight        float64 // relative CPU capacity; VMs hold backend connections in proportion to it
 	ClientAddress string
-	LinkAddress   string   // where other VMs reach this one
-	ReadyAddress  string   // HTTP: readiness, for load balancers
-	AdminAddress  string   // HTTP: metrics and readiness; empty for none
-	Seeds         []string // link addresses of VMs that may run
+	LinkAddress   string   // host:port at which other VMs reach this one
+	ReadyAddress  string   // HTTP readiness endpoint for load balancers; empty for none
+	AdminAddress  string   // HTTP metrics and readiness endpoint; empty for none
+	Seeds         []string // link addresses of VMs that may be running
 	Workers       int
-	Grace         time.Duration // from Drain's call to the time at which the process must have ended
+	Grace         time.Duration // from the call of Drain until the process must have exited
 
 	Network  network.Network
 	Clients  sqlfront.Dialect
@@ -58,56 +58,59 @@
 }
 
 const (
-	// settleTime is how long a new VM waits for links to the others before it
-	// says that it is ready: without them it would open connections of its own.
-	settleTime = 600 * time.Millisecond
-	// provenWithin is the age of a proof of lead up to which a group counts as
-	// served by this VM.
-	provenWithin = 1500 * time.Millisecond
-	// cutOffProof is the age of a proof from which a group counts as not served
-	// by a VM that hears of no other data centre. Primaries of its own data
-	// centre go on proving their lead until others replace them.
-	cutOffProof   = 800 * time.Millisecond
-	isolationTick = 100 * time.Millisecond
-	// rotationTime is how long the platform goes on sending new sessions to a
-	// VM that is not ready: two misses, one second apart.
-	rotationTime = 2200 * time.Millisecond
-	// exitMargin is left of the grace period for the process to end.
+	// warmUpTime is how long a new VM waits for links to other VMs before it
+	// reports ready. Without links it would open backend connections itself
+	// instead of using those of the other VMs.
+	warmUpTime = 600 * time.Millisecond
+	// maxProofAge is how old the latest proof of a primary's leadership may be for
+	// its group to count as reachable from this VM.
+	maxProofAge = 1500 * time.Millisecond
+	// maxProofAgeCutOff replaces maxProofAge if this VM reaches no other data
+	// centre. Primaries in the VM's own data centre keep proving their leadership
+	// until VMs elsewhere have replaced them.
+	maxProofAgeCutOff      = 800 * time.Millisecond
+	isolationCheckInterval = 100 * time.Millisecond
+	// deregistrationDelay is how long the platform keeps sending new sessions to a
+	// VM that is not ready: it takes two failed checks, one second apart.
+	deregistrationDelay = 2200 * time.Millisecond
+	// exitMargin is the part of the grace period reserved for the exit of the
+	// process.
 	exitMargin = 700 * time.Millisecond
 )
 
-// Node is a VM whose deployment is declared in a platform's store.
+// Node is a VM whose deployment is declared in a platform's store. It runs until
+// the context passed to NewNode is done.
 type Node struct {
-	o        NodeOptions
-	ctx      context.Context
-	pool     *pool.Pool
-	table    *catalog.Table
-	leads    *leadership.Table
-	quota    *quota.Table
-	links    *fleetlink.Links
-	fleet    *dispatch.Dispatcher
-	executor *sqlback.Executor
-	gate     *admission.Gate
-	front    *sqlfront.Server
-	dir      *directory.Directory
-	steward  *promotion.Steward
-	started  time.Duration
+	options    NodeOptions
+	ctx        context.Context
+	pool       *pool.Pool
+	catalog    *catalog.Table
+	leaders    *leadership.Table
+	quota      *quota.Table
+	links      *fleetlink.Links
+	dispatcher *dispatch.Dispatcher
+	executor   *sqlback.Executor
+	admission  *admission.Gate
+	frontend   *sqlfront.Server
+	directory  *directory.Directory
+	promoter   *promotion.Steward
+	started    time.Duration
 
-	settled   atomic.Bool // this VM has had time to meet the others
-	isolated  atomic.Bool // this VM serves less than others would in its place
-	leaving   atomic.Bool
-	leavingAt atomic.Int64 // clock reading when Drain was called; zero before
+	warmedUp       atomic.Bool // warmUpTime has passed since the start
+	isolated       atomic.Bool // other VMs can reach more primaries than this one
+	draining       atomic.Bool
+	drainStartedAt atomic.Int64 // clock reading in ns when Drain was called; zero before
 }
 
-// NewNode wires a VM, which works from Run's call until ctx is done.
+// NewNode creates a VM. It serves from the call of Run until ctx is done.
 func NewNode(ctx context.Context, o NodeOptions) *Node {
-	n := &Node{o: o, ctx: ctx, started: clock.Now(), pool: pool.New(o.Workers), table: catalog.NewTable(), leads: leadership.NewTable()}
+	n := &Node{options: o, ctx: ctx, started: clock.Now(), pool: pool.New(o.Workers), catalog: catalog.NewTable(), leaders: leadership.NewTable()}
 	n.quota = quota.NewTable(n.started)
 	n.links = fleetlink.New(ctx, o.Network, n.pool, fleetwire.Status{
 		Name: o.Name, Address: o.LinkAddress, DataCentre: o.DataCentre, Weight: o.Weight, Incarnation: time.Now().UnixNano(),
 	}, o.Logger)
 	n.executor = sqlback.New(sqlback.Options{
-		Network: o.Network, Dialect: o.Servers, Pool: n.pool, Table: n.table, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
+		Network: o.Network, Dialect: o.Servers, Pool: n.pool, Table: n.catalog, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
 		Chosen: func(customer string, s *catalog.Server) bool {
 			vm, ok := n.links.View().Executor(customer, s)
 			return ok && vm == o.Name
@@ -116,61 +119,61 @@
 			n.links.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Unreachable = unreachable })
 		},
 	})
-	n.gate = admission.New(n.table, n.quota, n.links, o.Logger, o.Scope)
-	n.fleet = dispatch.New(dispatch.Options{
-		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.gate, Quota: n.quota, Leads: n.leads, Table: n.table, Logger: o.Logger,
+	n.admission = admission.New(n.catalog, n.quota, n.links, o.Logger, o.Scope)
+	n.dispatcher = dispatch.New(dispatch.Options{
+		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.admission, Quota: n.quota, Leads: n.leaders, Table: n.catalog, Logger: o.Logger,
 	})
-	n.front = sqlfront.New(sqlfront.Options{
-		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.Clients, Pool: n.pool, Table: n.table,
-		Leads: n.leads, View: n.links.View, Runner: n.fleet, Admitter: n.gate, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
+	n.frontend = sqlfront.New(sqlfront.Options{
+		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.Clients, Pool: n.pool, Table: n.catalog,
+		Leads: n.leaders, View: n.links.View, Runner: n.dispatcher, Admitter: n.admission, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
 	})
 	member := directory.Member{Name: o.Name, Address: o.LinkAddress}
-	n.dir = directory.New(o.Source, n.links, n.table, n.leads, member, o.Logger, o.Scope)
-	n.fleet.Use(n.dir)
-	n.steward = promotion.New(promotion.Options{
-		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.fleet, Reports: o.Servers, Table: n.table, Leads: n.leads,
+	n.directory = directory.New(o.Source, n.links, n.catalog, n.leaders, member, o.Logger, o.Scope)
+	n.dispatcher.Use(n.directory)
+	n.promoter = promotion.New(promotion.Options{
+		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.Servers, Table: n.catalog, Leads: n.leaders,
 		View: n.links.View, Logger: o.Logger, Scope: o.Scope,
 	})
 	return n
 }
 
-// Run works until the context of NewNode is done. It returns an error if an
-// address cannot be listened on.
+// Run serves until the context passed to NewNode is done. It returns an error if
+// the VM cannot listen on one of its addresses.
 func (n *Node) Run() error {
-	n.o.Logger.WithFields(log.Fields{"vm": n.o.Name, "data_centre": n.o.DataCentre}).Info("vm: started.")
-	defer n.o.Logger.WithField("vm", n.o.Name).Info("vm: stopped.")
+	n.options.Logger.WithFields(log.Fields{"vm": n.options.Name, "data_centre": n.options.DataCentre}).Info("vm: started.")
+	defer n.options.Logger.WithField("vm", n.options.Name).Info("vm: stopped.")
 	g, ctx := errgroup.WithContext(n.ctx)
 	g.Go(func() error { return n.pool.Run(ctx) })
 	g.Go(func() error { return n.links.Run(ctx) })
 	g.Go(func() error { return n.executor.Run(ctx) })
-	g.Go(func() error { return n.dir.Run(ctx) })
-	g.Go(func() error { return n.steward.Run(ctx) })
-	g.Go(func() error { return n.front.Run(ctx) })
+	g.Go(func() error { return n.directory.Run(ctx) })
+	g.Go(func() error { return n.promoter.Run(ctx) })
+	g.Go(func() error { return n.frontend.Run(ctx) })
 	g.Go(func() error { return n.watchIsolation(ctx) })
-	for _, address := range []string{n.o.ReadyAddress, n.o.AdminAddress} {
+	for _, address := range []string{n.options.ReadyAddress, n.options.AdminAddress} {
 		if address != "" {
 			g.Go(func() error { return n.serveAdmin(ctx, address) })
 		}
 	}
-	for _, seed := range n.o.Seeds {
+	for _, seed := range n.options.Seeds {
 		n.links.Meet(seed)
 	}
 	return g.Wait()
 }
 
-// View returns what the VM knows of the fleet.
+// View returns the latest known state of the fleet.
 func (n *Node) View() *placement.View { return n.links.View() }
 
-// Ready reports whether the VM should be sent new sessions.
+// Ready reports whether load balancers should send new sessions to the VM.
 func (n *Node) Ready() bool {
-	return n.settled.Load() && !n.isolated.Load() && !n.leaving.Load() && n.table.Current().Config != nil
+	return n.warmedUp.Load() && !n.isolated.Load() && !n.draining.Load() && n.catalog.Current().Config != nil
 }
 
-// watchIsolation keeps new sessions away from a VM that is cut off from most
-// VMs and from most primaries, until ctx is done. Sessions that rest are closed,
-// so that their clients connect to VMs that can serve them.
+// watchIsolation makes the VM not ready while it is cut off from most VMs and most
+// primaries. It also closes idle sessions then, so that their clients reconnect
+// to VMs that can serve them. It returns when ctx is done.
 func (n *Node) watchIsolation(ctx context.Context) error {
-	ticker := time.NewTicker(isolationTick)
+	ticker := time.NewTicker(isolationCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -178,33 +181,33 @@
 			return nil
 		case <-ticker.C:
 		}
-		if clock.Now()-n.started >= settleTime {
-			n.settled.Store(true)
+		if clock.Now()-n.started >= warmUpTime {
+			n.warmedUp.Store(true)
 		}
-		isolated := n.settled.Load() && n.isIsolated()
+		isolated := n.warmedUp.Load() && n.isIsolated()
 		if isolated != n.isolated.Load() {
 			n.isolated.Store(isolated)
-			n.o.Logger.WithField("isolated", isolated).Warn("vm: isolation changed.")
+			n.options.Logger.WithField("isolated", isolated).Warn("vm: isolation changed.")
 		}
-		n.front.Shed(isolated || n.shedding())
+		n.frontend.Shed(isolated || n.deregistered())
 	}
 }
 
-// isIsolated reports whether other VMs would serve clients better.
+// isIsolated reports whether other VMs are likely to reach more primaries.
 func (n *Node) isIsolated() bool {
 	view := n.links.View()
 	if view.CutOff() {
-		unproven, _ := n.unproven(cutOffProof)
+		unproven, _ := n.countUnproven(maxProofAgeCutOff)
 		return unproven > 0
 	}
-	unproven, groups := n.unproven(provenWithin)
+	unproven, groups := n.countUnproven(maxProofAge)
 	return view.Isolated() && 2*unproven > groups
 }
 
-// unproven returns the number of groups, and how many have a primary that has
-// not proven its lead to this VM within the time.
-func (n *Node) unproven(within time.Duration) (unproven, total int) {
-	config := n.table.Current().Config
+// countUnproven returns the number of groups, and how many of them have a primary
+// whose latest proof of leadership to this VM is older than maxAge.
+func (n *Node) countUnproven(maxAge time.Duration) (unproven, total int) {
+	config := n.catalog.Current().Config
 	if config == nil {
 		return 0, 0
 	}
@@ -215,8 +218,8 @@
 			continue
 		}
 		groups[r.Group] = true
-		n.leads.With(r.Group, func(g *leadership.Group) {
-			if now-g.ProvenAt() > within {
+		n.leaders.With(r.Group, func(g *leadership.Group) {
+			if now-g.ProvenAt() > maxAge {
 				unproven++
 			}
 		})
@@ -224,38 +227,40 @@
 	return unproven, len(groups)
 }
 
-// shedding reports whether a leaving VM has left the rotation.
-func (n *Node) shedding() bool {
-	at := n.leavingAt.Load()
-	return at != 0 && clock.Now()-time.Duration(at) >= rotationTime
+// deregistered reports whether Drain was called long enough ago that load
+// balancers no longer send new sessions.
+func (n *Node) deregistered() bool {
+	at := n.drainStartedAt.Load()
+	return at != 0 && clock.Now()-time.Duration(at) >= deregistrationDelay
 }
 
-// Drain ends the VM's work: it takes no new sessions, lets open transactions
-// end for half of the grace period, closes sessions that rest, and returns when
-// none are open or the grace period is about to end.
+// Drain prepares the VM for its exit. It reports not ready, waits half of the grace
+// period for open transactions before it ends them, and closes idle sessions. It
+// returns when no session is open and no statement runs, or when the grace period
+// is about to end.
 func (n *Node) Drain() {
-	begin := clock.Now()
-	n.leaving.Store(true)
-	n.leavingAt.Store(int64(begin))
-	n.o.Logger.WithField("sessions", n.front.Open()).Info("vm: planned stop.")
+	start := clock.Now()
+	n.draining.Store(true)
+	n.drainStartedAt.Store(int64(start))
+	n.options.Logger.WithField("sessions", n.frontend.Open()).Info("vm: planned stop.")
 	n.links.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Leaving = true })
-	ended := false
+	transactionsEnded := false
 	for {
-		passed := clock.Now() - begin
-		if !ended && passed >= n.o.Grace/2 {
-			n.front.EndTransactions()
-			ended = true
+		elapsed := clock.Now() - start
+		if !transactionsEnded && elapsed >= n.options.Grace/2 {
+			n.frontend.EndTransactions()
+			transactionsEnded = true
 		}
-		if passed >= n.o.Grace-exitMargin || passed >= rotationTime && n.front.Open() == 0 && n.executor.Open() == 0 {
+		if elapsed >= n.options.Grace-exitMargin || elapsed >= deregistrationDelay && n.frontend.Open() == 0 && n.executor.Open() == 0 {
 			return
 		}
-		time.Sleep(isolationTick)
+		time.Sleep(isolationCheckInterval)
 	}
 }
 
-// serveAdmin serves readiness and metrics at an address.
+// serveAdmin serves readiness and metrics over HTTP at the address.
 func (n *Node) serveAdmin(ctx context.Context, address string) error {
-	listener, err := n.o.Network.Listen(address)
+	listener, err := n.options.Network.Listen(address)
 	if err != nil {
 		return err
 	}
@@ -265,5 +270,5 @@
 		}
 		return "not ready"
 	}
-	return admin.New(admin.Options{Listener: listener, Ready: ready, Metrics: n.o.Metrics, Logger: n.o.Logger}).Run(ctx)
+	return admin.New(admin.Options{Listener: listener, Ready: ready, Metrics: n.options.Metrics, Logger: n.options.Logger}).Run(ctx)
 }
--- a/recorder_test.go
+++ b/recorder_test.go
@@ -15,8 +15,8 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// recorder writes down the wire protocol messages of a session: between the
-// client and the VM, and between the VM and backend servers.
+// recorder records the wire protocol messages of sessions: between clients and
+// VMs, and between VMs and backend servers.
 type recorder struct {
 	start time.Time
 
@@ -25,6 +25,7 @@
 	conns  map[string]int
 }
 
+// event is one recorded message.
 type event struct {
 	at   time.Duration
 	hop  string
@@ -36,14 +37,15 @@
 	return &recorder{start: time.Now(), conns: make(map[string]int)}
 }
 
-// network returns a network whose dialled connections are recorded. names maps
-// addresses to names; connections to other addresses are not recorded.
-func (r *recorder) network(inner network.Network, names map[string]string) network.Network {
-	return recordingNetwork{Network: inner, r: r, names: names}
+// wrap returns a network that records the connections dialled through it. names
+// maps addresses to the names used in the transcript; connections to other
+// addresses are not recorded.
+func (r *recorder) wrap(inner network.Network, names map[string]string) network.Network {
+	return recordingNetwork{Network: inner, recorder: r, names: names}
 }
 
-// transcript returns the recorded messages in order of time. Messages at the
-// same time are ordered by hop, so that the transcript is the same every time.
+// transcript returns the recorded messages ordered by time. Messages with the same
+// time are ordered by hop, which makes the transcript deterministic.
 func (r *recorder) transcript() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,8 +74,8 @@
 
 type recordingNetwork struct {
 	network.Network
-	r     *recorder
-	names map[string]string
+	recorder *recorder
+	names    map[string]string
 }
 
 func (n recordingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
@@ -82,23 +84,23 @@
 	if err != nil || name == "" {
 		return conn, err
 	}
-	n.r.mu.Lock()
-	n.r.conns[name]++
-	hop := fmt.Sprintf("%s#%d", name, n.r.conns[name])
-	n.r.mu.Unlock()
-	return &recordingConn{Conn: conn, r: n.r, hop: hop, out: splitter{untyped: true}}, nil
+	n.recorder.mu.Lock()
+	n.recorder.conns[name]++
+	hop := fmt.Sprintf("%s#%d", name, n.recorder.conns[name])
+	n.recorder.mu.Unlock()
+	return &recordingConn{Conn: conn, recorder: n.recorder, hop: hop, out: messageSplitter{untyped: true}}, nil
 }
 
 type recordingConn struct {
 	net.Conn
-	r       *recorder
-	hop     string
-	out, in splitter
+	recorder *recorder
+	hop      string
+	out, in  messageSplitter
 }
 
 func (c *recordingConn) Write(b []byte) (int, error) {
 	for _, m := range c.out.split(b) {
-		c.r.add(c.hop, "-> "+describeFrontend(m))
+		c.recorder.add(c.hop, "-> "+describeFrontend(m))
 	}
 	return c.Conn.Write(b)
 }
@@ -106,7 +108,7 @@
 func (c *recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for _, m := range c.in.split(b[:n]) {
-		c.r.add(c.hop, "<- "+describeBackend(m))
+		c.recorder.add(c.hop, "<- "+describeBackend(m))
 	}
 	return n, err
 }
@@ -114,39 +116,39 @@
 func (c *recordingConn) Close() error {
 	err := c.Conn.Close()
 	if err == nil {
-		c.r.add(c.hop, "closed")
+		c.recorder.add(c.hop, "closed")
 	}
 	return err
 }
 
-// splitter cuts a stream into messages.
-type splitter struct {
-	untyped bool // the next message has no type, as at start-up
-	rest    []byte
+// messageSplitter splits a byte stream into wire protocol messages.
+type messageSplitter struct {
+	untyped bool // the next message has no type byte, like the start-up message
+	buffer  []byte
 }
 
-func (s *splitter) split(b []byte) [][]byte {
-	s.rest = append(s.rest, b...)
+func (s *messageSplitter) split(b []byte) [][]byte {
+	s.buffer = append(s.buffer, b...)
 	var messages [][]byte
 	for {
 		header := 1
 		if s.untyped {
 			header = 0
 		}
-		if len(s.rest) < header+4 {
+		if len(s.buffer) < header+4 {
 			return messages
 		}
-		size := header + int(binary.BigEndian.Uint32(s.rest[header:]))
-		if len(s.rest) < size {
+		size := header + int(binary.BigEndian.Uint32(s.buffer[header:]))
+		if len(s.buffer) < size {
 			return messages
 		}
-		m := s.rest[:size:size]
+		m := s.buffer[:size:size]
 		if s.untyped {
 			m = append([]byte{0}, m...)
 			s.untyped = false
 		}
 		messages = append(messages, m)
-		s.rest = s.rest[size:]
+		s.buffer = s.buffer[size:]
 	}
 }
 
--- a/session_end_test.go
+++ b/session_end_test.go
@@ -14,11 +14,11 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// Guards against a cancel request that hits the next user of the connection,
-// and against a cancelled request that goes on.
+// Guards against a cancel request that cancels a later request on the same backend
+// connection, and against a cancelled request that keeps running.
 func TestCancel(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
 		ctx, cancel := context.WithTimeout(background, 50*time.Millisecond)
 		defer cancel()
 		start := time.Now()
@@ -32,23 +32,23 @@
 		if got := sqlState(err); got != "57014" {
 			t.Errorf("SQLSTATE %q, want 57014 (%v)", got, err)
 		}
-		if d := time.Since(start); d > time.Second {
-			t.Errorf("cancelled after %v", d)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Errorf("cancelled after %v", elapsed)
 		}
-		w.query(c, "SELECT server()")
-		w.close(c)
+		h.query(c, "SELECT server()")
+		h.close(c)
 	})
 }
 
-// Guards against a cancel request that is lost because the load balancer sent
-// it to another VM.
+// Guards against a lost cancel request when the load balancer sends it to another
+// VM than the session's.
 func TestCancelThroughAnotherVM(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
 		var sent sync.WaitGroup
 		sent.Go(func() {
 			time.Sleep(50 * time.Millisecond)
-			other := w.clientConfig(1, "")
+			other := h.clientConfig(1, "")
 			conn, err := other.DialFunc(background, "tcp", "")
 			if err != nil {
 				t.Error(err)
@@ -69,20 +69,20 @@
 			t.Errorf("SQLSTATE %q, want 57014 (%v)", got, err)
 		}
 		sent.Wait()
-		w.close(c)
+		h.close(c)
 	})
 }
 
-// Guards against a planned stop that cuts a transaction.
+// Guards against a planned stop that interrupts a transaction.
 func TestDrainWaitsForTransactions(t *testing.T) {
-	inWorld(t, func(w *world) {
-		idle, busy := w.connect(0, ""), w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		idle, busy := h.connect(0, ""), h.connect(0, "")
 		tx, err := busy.Begin(background)
 		if err != nil {
 			t.Fatal(err)
 		}
 		drained := make(chan error, 1)
-		go func() { drained <- w.fleet.VM(0).Drain(background) }()
+		go func() { drained <- h.fleet.VM(0).Drain(background) }()
 		time.Sleep(100 * time.Millisecond)
 		if err := idle.Ping(background); err == nil {
 			t.Error("idle session was not closed")
@@ -96,25 +96,25 @@
 		if err := <-drained; err != nil {
 			t.Error(err)
 		}
-		if n := len(w.group.Commits()); n != 1 {
+		if n := len(h.group.Commits()); n != 1 {
 			t.Errorf("%d commits, want 1", n)
 		}
 	})
 }
 
-// Guards against a planned stop that cuts an answer which the client has not
-// read yet. The answer is larger than what the network holds.
+// Guards against a planned stop that truncates an answer which the client is still
+// reading. The answer is larger than the network's buffers.
 func TestStopLeavesAnswersWhole(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
 		const entries = 30
 		for i := range entries {
-			w.exec(c, "APPEND log '"+strconv.Itoa(i)+strings.Repeat("x", 64<<10)+"'")
+			h.exec(c, "APPEND log '"+strconv.Itoa(i)+strings.Repeat("x", 64<<10)+"'")
 		}
 		results := c.PgConn().Exec(background, "SELECT entry FROM log")
 		time.Sleep(100 * time.Millisecond)
 		stopped := make(chan error, 1)
-		go func() { stopped <- w.fleet.StopVM(background, 0) }()
+		go func() { stopped <- h.fleet.StopVM(background, 0) }()
 		time.Sleep(time.Second)
 		read, err := results.ReadAll()
 		if err != nil || len(read) != 1 || len(read[0].Rows) != entries {
@@ -126,8 +126,8 @@
 	})
 }
 
-// Guards against a refusal that the client does not see because its connection
-// is closed first.
+// Guards against a connection that is closed before the client has received the
+// reason for the refused login.
 func TestRefusedLoginSaysWhy(t *testing.T) {
 	tests := []struct {
 		name, user, database, key, code string
@@ -136,9 +136,9 @@
 		{"unknown customer", "nobody", "ledger", fleet.Key("bindery"), "28P01"},
 		{"unknown route", "bindery", "other", fleet.Key("bindery"), "3D000"},
 	}
-	inWorld(t, func(w *world) {
+	withFleet(t, func(h *harness) {
 		for _, tt := range tests {
-			cfg := w.clientConfig(0, "")
+			cfg := h.clientConfig(0, "")
 			cfg.User, cfg.Database, cfg.Password = tt.user, tt.database, tt.key
 			_, err := pgx.ConnectConfig(background, cfg)
 			if got := sqlState(err); got != tt.code {
@@ -148,15 +148,15 @@
 	})
 }
 
-// Guards against a request that gets an error of the network in place of an
-// answer, because it crossed the end of its session in a planned stop.
+// Guards against a request that gets a network error instead of an answer because
+// a planned stop closes its session while the request is on its way.
 func TestDrainAnswersCrossingRequests(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withFleet(t, func(h *harness) {
 		const clients = 20
-		var working sync.WaitGroup
+		var running sync.WaitGroup
 		for range clients {
-			c := w.connect(0, "")
-			working.Go(func() {
+			c := h.connect(0, "")
+			running.Go(func() {
 				for {
 					_, err := c.Exec(background, "SELECT 1")
 					if err == nil {
@@ -171,9 +171,9 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		if err := w.fleet.VM(0).Drain(background); err != nil {
+		if err := h.fleet.VM(0).Drain(background); err != nil {
 			t.Error(err)
 		}
-		working.Wait()
+		running.Wait()
 	})
 }
--- a/session_test.go
+++ b/session_test.go
@@ -12,27 +12,27 @@
 
 var background = context.Background()
 
-// Guards against a write taken for a read that is lost or refused.
+// Guards against losing or refusing a write that was classified as a read.
 func TestSelectThatWritesRunsOnPrimary(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
-		w.exec(c, "SET chestnutdyke.max_staleness = '1h'")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
+		h.exec(c, "SET chestnutdyke.max_staleness = '1h'")
 		if _, err := c.Exec(background, "SELECT write_kv('a', '1')"); err != nil {
 			t.Fatal(err)
 		}
-		if n := len(w.group.Commits()); n != 1 {
+		if n := len(h.group.Commits()); n != 1 {
 			t.Errorf("%d commits, want 1", n)
 		}
-		w.exec(c, "RESET chestnutdyke.max_staleness")
-		if got := w.query(c, "SELECT value FROM kv WHERE key = 'a'"); got != "1" {
+		h.exec(c, "RESET chestnutdyke.max_staleness")
+		if got := h.query(c, "SELECT value FROM kv WHERE key = 'a'"); got != "1" {
 			t.Errorf("value %q, want 1", got)
 		}
-		w.close(c)
+		h.close(c)
 	})
 }
 
-// Guards against a write taken for a read that fails because the server parsed
-// and described it before it refused to run it.
+// Guards against an error for a write that was classified as a read: the replica
+// parses and describes the statement before it refuses to run it.
 func TestSelectThatWritesByExtendedProtocol(t *testing.T) {
 	modes := map[string]pgx.QueryExecMode{
 		"unnamed statement":   pgx.QueryExecModeExec,
@@ -41,55 +41,55 @@
 	}
 	for name, mode := range modes {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				c := w.connect(0, "")
+			withFleet(t, func(h *harness) {
+				c := h.connect(0, "")
 				for _, value := range []string{"1", "2"} {
-					if got := w.query(c, "SELECT write_kv($1, $2)", mode, "a", value); got != value {
+					if got := h.query(c, "SELECT write_kv($1, $2)", mode, "a", value); got != value {
 						t.Errorf("answer %q, want %q", got, value)
 					}
 				}
-				if n := len(w.group.Commits()); n != 2 {
+				if n := len(h.group.Commits()); n != 2 {
 					t.Errorf("%d commits, want 2", n)
 				}
-				w.close(c)
+				h.close(c)
 			})
 		})
 	}
 }
 
-// Guards against settings and prepared statements of one session showing up in
-// another that gets the same backend connection.
+// Guards against settings and prepared statements of one session leaking into
+// another that uses the same backend connection.
 func TestSessionStateStaysWithItsSession(t *testing.T) {
-	inWorld(t, func(w *world) {
-		a, b := w.connect(0, ""), w.connect(0, "")
-		w.exec(a, "SET application_name = 'inventory'")
+	withFleet(t, func(h *harness) {
+		a, b := h.connect(0, ""), h.connect(0, "")
+		h.exec(a, "SET application_name = 'inventory'")
 		if _, err := a.Prepare(background, "stmt", "SELECT value FROM kv WHERE key = $1"); err != nil {
 			t.Fatal(err)
 		}
-		w.exec(a, "INSERT INTO kv VALUES ('a', '1')")
+		h.exec(a, "INSERT INTO kv VALUES ('a', '1')")
 		for range 3 {
-			if got := w.query(b, "SHOW application_name"); got == "inventory" {
+			if got := h.query(b, "SHOW application_name"); got == "inventory" {
 				t.Error("another session sees the setting")
 			}
-			if got := w.query(a, "SHOW application_name"); got != "inventory" {
+			if got := h.query(a, "SHOW application_name"); got != "inventory" {
 				t.Errorf("setting is %q, want inventory", got)
 			}
-			if got := w.query(a, "stmt", "a"); got != "1" {
+			if got := h.query(a, "stmt", "a"); got != "1" {
 				t.Errorf("prepared statement returned %q, want 1", got)
 			}
 		}
 		if _, err := b.Exec(background, "stmt", "a"); err == nil {
 			t.Error("another session runs the prepared statement")
 		}
-		w.close(a)
-		w.close(b)
+		h.close(a)
+		h.close(b)
 	})
 }
 
-// Guards against two transactions that share a backend connection.
+// Guards against two concurrent transactions sharing a backend connection.
 func TestTransactionsDoNotMix(t *testing.T) {
-	inWorld(t, func(w *world) {
-		a, b := w.connect(0, ""), w.connect(1, "")
+	withFleet(t, func(h *harness) {
+		a, b := h.connect(0, ""), h.connect(1, "")
 		txA, err := a.Begin(background)
 		if err != nil {
 			t.Fatal(err)
@@ -112,19 +112,19 @@
 		if err := txA.Commit(background); err != nil {
 			t.Fatal(err)
 		}
-		if got := w.query(b, "SELECT count(*) FROM kv"); got != "2" {
+		if got := h.query(b, "SELECT count(*) FROM kv"); got != "2" {
 			t.Errorf("%s rows, want the 2 of the committed transaction", got)
 		}
-		w.close(a)
-		w.close(b)
+		h.close(a)
+		h.close(b)
 	})
 }
 
-// Guards against a transaction that stays open after its client has left, and
-// against the reuse of its connection.
+// Guards against a transaction that stays open after its client disconnects, and
+// against the reuse of its backend connection.
 func TestClientThatLeavesRollsBack(t *testing.T) {
-	inWorld(t, func(w *world) {
-		a := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		a := h.connect(0, "")
 		tx, err := a.Begin(background)
 		if err != nil {
 			t.Fatal(err)
@@ -136,16 +136,16 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		b := w.connect(0, "")
-		if got := w.query(b, "SELECT count(*) FROM kv"); got != "0" {
+		b := h.connect(0, "")
+		if got := h.query(b, "SELECT count(*) FROM kv"); got != "0" {
 			t.Errorf("%s rows, want 0", got)
 		}
-		w.close(b)
+		h.close(b)
 	})
 }
 
-// Guards against a write that runs twice, or whose unknown outcome is reported
-// as "not run", when its connection breaks around the commit.
+// Guards against a write that runs twice, or whose unknown outcome is reported as
+// "not run", when the backend connection breaks around the commit.
 func TestLostConnectionAroundCommit(t *testing.T) {
 	moments := map[string]dbgroup.Moment{
 		"before the commit":      dbgroup.BeforeCommit,
@@ -154,27 +154,27 @@
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				c := w.connect(0, "")
-				w.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: moment})
+			withFleet(t, func(h *harness) {
+				c := h.connect(0, "")
+				h.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: moment})
 				_, err := c.Exec(background, "APPEND log 'lot 7'")
 				if got := sqlState(err); got != "08007" {
 					t.Errorf("SQLSTATE %q, want 08007 (%v)", got, err)
 				}
-				if n := len(w.group.Commits()); n > 1 {
+				if n := len(h.group.Commits()); n > 1 {
 					t.Errorf("%d commits, want at most 1", n)
 				}
-				w.exec(c, "APPEND log 'lot 8'")
-				w.close(c)
+				h.exec(c, "APPEND log 'lot 8'")
+				h.close(c)
 			})
 		})
 	}
 }
 
-// Guards against batches that commit in their middle: one that begins like a
-// transaction and is repeated after it ran, one whose commit took effect and is
-// reported as rolled back, and one whose commit is acknowledged before a
-// majority holds it because a transaction is open at its end.
+// Guards against wrong handling of batches that contain a commit: running a batch
+// again although it committed, reporting a commit that took effect as rolled back,
+// and acknowledging a commit before a majority has it because the batch ends in an
+// open transaction.
 func TestBatchesThatCommit(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -185,22 +185,22 @@
 		{"whole transaction", "", "BEGIN; APPEND log 'lot 7'; COMMIT", breakAfterCommit},
 		{"last write and commit", "APPEND log 'lot 6'", "APPEND log 'lot 7'; COMMIT", breakAfterCommit},
 		{"rollback and write", "APPEND log 'lot 6'", "ROLLBACK; APPEND log 'lot 7'", breakAfterCommit},
-		{"commit and begin", "APPEND log 'lot 7'", "COMMIT; BEGIN", holdReplicas},
+		{"commit and begin", "APPEND log 'lot 7'", "COMMIT; BEGIN", pauseReplication},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				c := w.connect(0, "")
+			withFleet(t, func(h *harness) {
+				c := h.connect(0, "")
 				if tt.setup != "" {
-					w.exec(c, "BEGIN")
-					w.exec(c, tt.setup)
+					h.exec(c, "BEGIN")
+					h.exec(c, tt.setup)
 				}
-				tt.fault(w.group)
+				tt.fault(h.group)
 				_, err := c.Exec(background, tt.batch, pgx.QueryExecModeSimpleProtocol)
 				if got := sqlState(err); got != "08007" {
 					t.Errorf("SQLSTATE %q, want 08007 (%v)", got, err)
 				}
-				if n := len(w.group.Commits()); n != 1 {
+				if n := len(h.group.Commits()); n != 1 {
 					t.Errorf("%d commits, want 1", n)
 				}
 			})
@@ -212,13 +212,13 @@
 	g.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: dbgroup.AfterCommit})
 }
 
-func holdReplicas(g *dbgroup.Group) {
+func pauseReplication(g *dbgroup.Group) {
 	g.Server("ledger-b").HoldReplication(true)
 	g.Server("ledger-c").HoldReplication(true)
 }
 
-// Guards against a refusal of requests that the proxy cannot keep apart under
-// transaction pooling going unnoticed.
+// Guards against running statements whose effect on the connection would leak to
+// other sessions under transaction pooling.
 func TestUnsupportedStatements(t *testing.T) {
 	tests := []struct{ name, sql string }{
 		{"listen", "LISTEN changes"},
@@ -227,26 +227,26 @@
 		{"prepare", "PREPARE p AS SELECT 1"},
 		{"session access mode", "SET default_transaction_read_only = on"},
 	}
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
 		for _, tt := range tests {
 			_, err := c.Exec(background, tt.sql, pgx.QueryExecModeSimpleProtocol)
 			if got := sqlState(err); got != "0A000" {
 				t.Errorf("%s: SQLSTATE %q, want 0A000", tt.name, got)
 			}
 		}
-		w.close(c)
+		h.close(c)
 	})
 }
 
-// Guards against the use of another customer's or a forged session token.
+// Guards against accepting a forged session token.
 func TestForeignTokenIsRefused(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := w.connect(0, "")
+	withFleet(t, func(h *harness) {
+		c := h.connect(0, "")
 		_, err := c.Exec(background, "SET chestnutdyke.session = 'e30.e30'")
 		if got := sqlState(err); got != "22023" {
 			t.Errorf("SQLSTATE %q, want 22023", got)
 		}
-		w.close(c)
+		h.close(c)
 	})
 }
--- a/status.go
+++ b/status.go
@@ -8,8 +8,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Status returns what the VM reports to operators, without the lists if brief
-// is set.
+// Status returns the state that the admin interface reports to operators. With
+// brief set, or without a configuration, it omits the lists of VMs, members,
+// groups and shares.
 func (v *VM) Status(brief bool) adminapi.Status {
 	now := time.Now()
 	cfg := v.tables.Config.Current()
@@ -93,13 +94,13 @@
 	var shares []adminapi.Share
 	v.tables.Shares.With(func(s *state.Shares) {
 		for name, c := range s.Customers {
-			shares = append(shares, shareOf(name, c))
+			shares = append(shares, newShare(name, c))
 		}
 	})
 	return shares
 }
 
-func shareOf(name string, c *state.CustomerShare) adminapi.Share {
+func newShare(name string, c *state.CustomerShare) adminapi.Share {
 	share := adminapi.Share{Customer: name, Rate: c.Base.Rate, Burst: c.Base.Burst, Tokens: c.Level}
 	for i := range c.Loans.Lent {
 		share.Lent += c.Loans.Lent[i].Rate
--- a/tls_test.go
+++ b/tls_test.go
@@ -19,11 +19,11 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// Guards against a client that cannot log in because it sent its password
-// together with the start-up message.
+// Guards against a failed login when the client sends its password together with
+// the start-up message.
 func TestLoginInOneSegment(t *testing.T) {
-	inWorld(t, func(w *world) {
-		conn, err := w.fleet.DialVM(background, 0)
+	withFleet(t, func(h *harness) {
+		conn, err := h.fleet.DialVM(background, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,14 +65,15 @@
 	}
 }
 
-// Guards against a key that can be read on its way.
+// Guards against keys sent over an unencrypted connection although the VM has a
+// certificate.
 func TestClientsUseTLS(t *testing.T) {
 	certificate := newCertificate(t)
 	adjust := func(o *chestnutdyke.Options) {
 		o.TLS = &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}
 	}
-	inAdjustedWorld(t, adjust, func(w *world) {
-		cfg := w.clientConfig(0, "")
+	withAdjustedFleet(t, adjust, func(h *harness) {
+		cfg := h.clientConfig(0, "")
 		cfg.TLSConfig = &tls.Config{InsecureSkipVerify: true}
 		c, err := pgx.ConnectConfig(background, cfg)
 		if err != nil {
@@ -81,8 +82,8 @@
 		if _, ok := c.PgConn().Conn().(*tls.Conn); !ok {
 			t.Error("connection is not encrypted")
 		}
-		w.exec(c, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
-		w.close(c)
+		h.exec(c, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
+		h.close(c)
 	})
 }
 
--- a/vm_test.go
+++ b/vm_test.go
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// testProfile has three data centres with one VM each, and one database group
-// whose first primary is in the north.
+// testProfile returns a profile of three data centres with one VM each, and one
+// database group whose first primary is in data centre north.
 func testProfile() fleet.Profile {
 	p := fleet.Fes()
 	p.Name = "test"
@@ -40,41 +40,42 @@
 	return p
 }
 
-// world is a small fleet in front of one database group.
-type world struct {
+// harness runs a small fleet in front of one database group.
+type harness struct {
 	t     *testing.T
 	fleet *fleet.Fleet
 	group *dbgroup.Group
 
-	recorder *recorder // nil unless the test records
+	recorder *recorder // nil until startRecording is called
 }
 
-// inWorld runs a test on a fleet in virtual time, once all VMs take work.
-func inWorld(t *testing.T, test func(w *world)) {
+// withFleet runs a test on a fleet in virtual time, once all VMs are ready.
+func withFleet(t *testing.T, test func(h *harness)) {
 	t.Helper()
-	inAdjustedWorld(t, func(*chestnutdyke.Options) {}, test)
+	withAdjustedFleet(t, func(*chestnutdyke.Options) {}, test)
 }
 
-// inAdjustedWorld is inWorld with other options of the VMs.
-func inAdjustedWorld(t *testing.T, adjust func(o *chestnutdyke.Options), test func(w *world)) {
+// withAdjustedFleet is withFleet with a function that changes the options of the
+// VMs.
+func withAdjustedFleet(t *testing.T, adjust func(o *chestnutdyke.Options), test func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t}
+		h := &harness{t: t}
 		f, err := fleet.Start(testProfile(), fleet.Options{
 			Seed:   1,
 			Logger: &log.Logger{Handler: discard.Default},
 			Adjust: func(o *chestnutdyke.Options) {
-				o.Network = worldNetwork{Network: o.Network, w: w}
+				o.Network = harnessNetwork{Network: o.Network, h: h}
 				adjust(o)
 			},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.fleet, w.group = f, f.Groups["ledger"]
-		for i, s := range w.group.Servers() {
-			// Different delays keep events of different servers apart in time, so
-			// that recorded sessions are the same every time.
+		h.fleet, h.group = f, f.Groups["ledger"]
+		for i, s := range h.group.Servers() {
+			// Different delays prevent simultaneous events of different servers, so
+			// that recorded sessions are deterministic.
 			s.SetReplicationDelay(3*time.Millisecond + time.Duration(i)*137*time.Microsecond)
 		}
 		ctx, cancel := context.WithTimeout(background, time.Minute)
@@ -82,94 +83,95 @@
 		if err := f.WaitReady(ctx); err != nil {
 			t.Fatal(err)
 		}
-		test(w)
+		test(h)
 		f.Close()
 		synctest.Wait()
 	})
 }
 
-// worldNetwork is the network of a VM, which is recorded once the test asks for
-// it.
-type worldNetwork struct {
+// harnessNetwork is the network of a VM. It records connections dialled after the
+// call of startRecording.
+type harnessNetwork struct {
 	network.Network
-	w *world
+	h *harness
 }
 
-func (n worldNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	return n.w.recorded(n.Network).Dial(ctx, address)
+func (n harnessNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	return n.h.recordingNetwork(n.Network).Dial(ctx, address)
 }
 
-// record starts to record the sessions of the test.
-func (w *world) record() { w.recorder = newRecorder() }
+// startRecording records the connections dialled from now on.
+func (h *harness) startRecording() { h.recorder = newRecorder() }
 
-func (w *world) recorded(n network.Network) network.Network {
-	if w.recorder == nil {
+func (h *harness) recordingNetwork(n network.Network) network.Network {
+	if h.recorder == nil {
 		return n
 	}
 	names := make(map[string]string)
-	for i := range w.fleet.Profile.VMs {
-		if vm := w.fleet.VM(i); vm != nil {
+	for i := range h.fleet.Profile.VMs {
+		if vm := h.fleet.VM(i); vm != nil {
 			names[vm.Address()] = "client-" + fleet.VMName(i)
 		}
 	}
-	for _, s := range w.group.Servers() {
+	for _, s := range h.group.Servers() {
 		names[s.Address()] = "vm-" + s.Name()
 	}
-	return w.recorder.network(n, names)
+	return h.recorder.wrap(n, names)
 }
 
 // clientConfig returns the configuration of a client of the VM.
-func (w *world) clientConfig(vm int, token string) *pgx.ConnConfig {
-	w.t.Helper()
-	cfg, err := w.fleet.ClientConfig("bindery", "ledger", vm, token)
+func (h *harness) clientConfig(vm int, token string) *pgx.ConnConfig {
+	h.t.Helper()
+	cfg, err := h.fleet.ClientConfig("bindery", "ledger", vm, token)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	dial := cfg.DialFunc
 	cfg.DialFunc = func(ctx context.Context, netw, address string) (net.Conn, error) {
-		return w.recorded(dialer{dial}).Dial(ctx, address)
+		return h.recordingNetwork(dialNetwork{dial}).Dial(ctx, address)
 	}
 	return cfg
 }
 
-// dialer makes a network of a client's dial function.
-type dialer struct{ dial pgconn.DialFunc }
+// dialNetwork adapts a client's dial function to network.Network.
+type dialNetwork struct{ dial pgconn.DialFunc }
 
-func (d dialer) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
+func (n dialNetwork) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
 
-func (d dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
-	return d.dial(ctx, "tcp", address)
+func (n dialNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	return n.dial(ctx, "tcp", address)
 }
 
-// connect opens a client connection to a VM with a session token.
-func (w *world) connect(vm int, token string) *pgx.Conn {
-	w.t.Helper()
-	conn, err := pgx.ConnectConfig(background, w.clientConfig(vm, token))
+// connect opens a client connection to a VM with a session token, which may be
+// empty.
+func (h *harness) connect(vm int, token string) *pgx.Conn {
+	h.t.Helper()
+	conn, err := pgx.ConnectConfig(background, h.clientConfig(vm, token))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return conn
 }
 
-func (w *world) exec(c *pgx.Conn, sql string, args ...any) {
-	w.t.Helper()
+func (h *harness) exec(c *pgx.Conn, sql string, args ...any) {
+	h.t.Helper()
 	if _, err := c.Exec(background, sql, args...); err != nil {
-		w.t.Fatalf("%s: %v", sql, err)
+		h.t.Fatalf("%s: %v", sql, err)
 	}
 }
 
-func (w *world) query(c *pgx.Conn, sql string, args ...any) string {
-	w.t.Helper()
+func (h *harness) query(c *pgx.Conn, sql string, args ...any) string {
+	h.t.Helper()
 	var value string
 	if err := c.QueryRow(background, sql, args...).Scan(&value); err != nil {
-		w.t.Fatalf("%s: %v", sql, err)
+		h.t.Fatalf("%s: %v", sql, err)
 	}
 	return value
 }
 
-func (w *world) close(c *pgx.Conn) {
+func (h *harness) close(c *pgx.Conn) {
 	if err := c.Close(background); err != nil {
-		w.t.Error(err)
+		h.t.Error(err)
 	}
 }
 
@@ -181,20 +183,20 @@
 	return ""
 }
 
-// Guards against a stale read by a session that moved to another VM.
+// Guards against stale reads by a session that continues on another VM.
 func TestSessionReadsItsWriteThroughAnotherVM(t *testing.T) {
-	inWorld(t, func(w *world) {
-		a := w.connect(0, "")
-		w.exec(a, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
+	withFleet(t, func(h *harness) {
+		a := h.connect(0, "")
+		h.exec(a, "INSERT INTO kv VALUES ('skin-1', 'reserved')")
 		token := fleet.Token(a)
-		w.close(a)
-		b := w.connect(1, token)
-		if got := w.query(b, "SELECT value FROM kv WHERE key = 'skin-1'"); got != "reserved" {
+		h.close(a)
+		b := h.connect(1, token)
+		if got := h.query(b, "SELECT value FROM kv WHERE key = 'skin-1'"); got != "reserved" {
 			t.Errorf("value %q, want reserved", got)
 		}
-		if got := w.query(b, "SELECT server()"); got != "ledger-b" {
+		if got := h.query(b, "SELECT server()"); got != "ledger-b" {
 			t.Errorf("read from %s, want the replica of the VM's data centre", got)
 		}
-		w.close(b)
+		h.close(b)
 	})
 }
--- a/wiring.go
+++ b/wiring.go
@@ -26,7 +26,7 @@
 		Tables:          v.tables,
 		Decider:         &session.Decider{Tables: v.tables, Options: o.Session},
 		Secret:          o.Secret,
-		Index:           v.index,
+		Index:           v.vmIndex,
 		ForwardCancel:   v.forwardCancel,
 		MaxSessions:     o.MaxSessions,
 		QueueLimit:      o.SessionQueue,
@@ -39,20 +39,20 @@
 
 func (v *VM) buildGroups() {
 	o := v.options
-	v.views = groups.NewViews()
+	v.groupViews = groups.NewViews()
 	v.groups = groups.New(groups.Options{
 		Pool:     v.pool,
 		Tables:   v.tables,
-		Control:  v.control.Client,
+		Control:  v.groupControl.Client,
 		Resolve:  func(id state.WaiterID, r replication.Result) { v.sessions.Resolved(id, r) },
 		Rank:     v.rank,
-		Index:    v.index,
-		Announce: v.views.Announce,
+		Index:    v.vmIndex,
+		Announce: v.groupViews.Announce,
 		Logger:   o.Logger,
 		Scope:    o.Scope,
 		Tracer:   o.Tracer,
 	})
-	v.views.SetDriver(v.groups)
+	v.groupViews.SetDriver(v.groups)
 }
 
 func (v *VM) buildLimits() {
@@ -85,8 +85,8 @@
 		Waiters:     v.sessions,
 		Queueing:    o.Queueing,
 		Limit:       v.connectionLimit,
-		Wanted:      v.wanted,
-		Failed:      v.serverFailed,
+		Wanted:      v.setConnectionsWanted,
+		Failed:      v.suspectServer,
 		Logger:      o.Logger,
 		Scope:       o.Scope,
 	})
@@ -125,7 +125,7 @@
 		Seeds:   o.Seeds,
 		Voters:  v.limits.Voters,
 		Applied: v.limits.Applied,
-		Parts:   []exchange.Part{v.limits, v.views},
+		Parts:   []exchange.Part{v.limits, v.groupViews},
 		Config:  config,
 		Cancel:  func(id uint64, secret uint32) { v.sessions.CancelOwn(uint32(id), secret) },
 		Logger:  o.Logger,
@@ -135,7 +135,7 @@
 	return err
 }
 
-// decodeStored returns the configuration in the store's object.
+// decodeStored decodes the configuration from the value of the store's object.
 func decodeStored(value []byte) (*state.Config, error) {
 	object, err := ticketfile.DecodeObject(value)
 	if err != nil {
@@ -144,10 +144,12 @@
 	return object.Config, nil
 }
 
-// configStore watches the store's object that holds the configuration.
+// configStore adapts the store's client to exchange.ConfigStore.
 type configStore struct{ client *store.Client }
 
-// Watch implements exchange.ConfigStore.
+// Watch waits up to the given time for a version of the configuration object above
+// after, and returns its value and version. The value is nil if there is no newer
+// version; the version is 0 if the object does not exist.
 func (s configStore) Watch(ctx context.Context, after uint64, wait time.Duration) ([]byte, uint64, error) {
 	change, err := s.client.Watch(ctx, storeapi.ConfigObject, after, wait)
 	switch {
@@ -161,22 +163,25 @@
 	return change.Object.Value, change.Object.Version, nil
 }
 
-// connectionLimit returns the number of connections that the VM may open to a
-// server now.
+// connectionLimit returns the number of connections that the VM may currently
+// have open to a server.
 func (v *VM) connectionLimit(s *state.BackendServer) int {
 	return share.ConnectionLimit(v.tables, s.Name, time.Now()).Open
 }
 
-// wanted passes on how many connections to a server the VM has a use for.
-func (v *VM) wanted(server string, conns int) {
+// setConnectionsWanted records how many connections to a server the VM could use,
+// so that it can borrow some from other VMs.
+func (v *VM) setConnectionsWanted(server string, conns int) {
 	now := time.Now()
 	if share.WantConnections(v.tables, server, conns, now) {
 		v.limits.Advance(now)
 	}
 }
 
-// index returns the number that makes the VM's terms unique.
-func (v *VM) index() (uint16, bool) {
+// vmIndex returns the VM's index in the configuration, which makes the terms that
+// it starts and the IDs for cancel requests unique. It reports false if the VM is
+// not in the configuration.
+func (v *VM) vmIndex() (uint16, bool) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil {
 		return 0, false
@@ -185,8 +190,9 @@
 	return uint16(i), listed
 }
 
-// forwardCancel passes a cancel request on. It is lost if the VM cannot be
-// reached, as cancel requests may be.
+// forwardCancel forwards a cancel request to the VM with the index. The request is
+// dropped if that VM cannot be reached; the protocol allows cancel requests to be
+// lost.
 func (v *VM) forwardCancel(index uint16, session, secret uint32) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil {
@@ -196,14 +202,15 @@
 	if !listed {
 		return
 	}
-	v.tasks.Go(func() {
+	v.forwardedCancels.Go(func() {
 		if err := v.exchange.SendCancel(context.Background(), name, uint64(session), secret); err != nil {
-			v.options.Logger.WithError(err).WithField("vm", name).Debug("session: cancel request was not passed on.")
+			v.options.Logger.WithError(err).WithField("vm", name).Debug("session: cancel request was not forwarded.")
 		}
 	})
 }
 
-func (v *VM) serverFailed(server string) {
+// suspectServer makes all groups of a failed server check it at once.
+func (v *VM) suspectServer(server string) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil {
 		return
