--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -31,16 +31,16 @@
 A ticket with warnings is applied only with -accept-warnings.
 `,
 	setup: func(f *flag.FlagSet) func(context.Context, Env, []string) int {
-		var c connection
+		var c storeFlags
 		c.register(f)
-		accept := f.Bool("accept-warnings", false, "apply the ticket although there are warnings")
+		acceptWarnings := f.Bool("accept-warnings", false, "apply the ticket although there are warnings")
 		return func(ctx context.Context, env Env, args []string) int {
-			return apply(ctx, env, &c, *accept, args)
+			return apply(ctx, env, &c, *acceptWarnings, args)
 		}
 	},
 }
 
-func apply(ctx context.Context, env Env, c *connection, accept bool, args []string) int {
+func apply(ctx context.Context, env Env, c *storeFlags, acceptWarnings bool, args []string) int {
 	file, err := readTicket(env, args)
 	if err != nil {
 		return env.fail(err)
@@ -50,37 +50,38 @@
 		return env.fail(err)
 	}
 	defer client.Close()
-	if found := ticket.CheckAlone(file.Ticket); file.Err(found) != nil {
-		return printResult(env, file, ticket.Result{Outcome: ticket.Invalid, Problems: c.allProblems(ctx, env, file, found)})
+	if problems := ticket.CheckAlone(file.Ticket); file.Err(problems) != nil {
+		return printResult(env, file, ticket.Result{Outcome: ticket.Invalid, Problems: c.allProblems(ctx, env, file, problems)})
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	runner := &applier{store: client, backoff: store.NewBackoff(rand.Float64)}
-	return printResult(env, file, runner.run(ctx, ticket.NewApply(file.Ticket, accept)))
+	return printResult(env, file, runner.run(ctx, ticket.NewApply(file.Ticket, acceptWarnings)))
 }
 
-// allProblems adds the problems that only the configuration in force shows, if it
-// can be read, to those of the ticket alone: operators get every error at once.
-func (c *connection) allProblems(ctx context.Context, env Env, file *ticketfile.File, alone []ticket.Problem) []ticket.Problem {
+// allProblems returns all problems of the ticket, including those that show only in
+// comparison with the configuration in force, so that operators get every error at
+// once. If the configuration cannot be read, it returns fileProblems.
+func (c *storeFlags) allProblems(ctx context.Context, env Env, file *ticketfile.File, fileProblems []ticket.Problem) []ticket.Problem {
 	object, err := c.readConfig(ctx, env)
 	if err != nil {
-		return alone
+		return fileProblems
 	}
-	_, found := ticket.Check(object.Config, file.Ticket)
-	return found
+	_, problems := ticket.Check(object.Config, file.Ticket)
+	return problems
 }
 
-// configStore is what an application needs of the store.
+// configStore is the part of the store client that applying a ticket needs.
 type configStore interface {
 	Get(ctx context.Context, name string) (object storeapi.Object, found bool, err error)
 	Put(ctx context.Context, name string, put storeapi.Put) store.PutResult
 }
 
-// applier carries out the steps of an application.
+// applier executes the steps that ticket.Apply decides on.
 type applier struct {
-	store   configStore
-	backoff store.Backoff
-	reason  string // why the latest step failed
+	store     configStore
+	backoff   store.Backoff
+	lastError string // why the latest step failed
 }
 
 func (r *applier) run(ctx context.Context, a *ticket.Apply) ticket.Result {
@@ -102,26 +103,27 @@
 		r.backoff.Wait(ctx, s.Failures)
 	}
 	if ctx.Err() != nil {
-		if r.reason == "" {
-			r.reason = context.Cause(ctx).Error()
+		if r.lastError == "" {
+			r.lastError = context.Cause(ctx).Error()
 		}
-		return ticket.GiveUp{Reason: r.reason}
+		return ticket.GiveUp{Reason: r.lastError}
 	}
 	object, found, err := r.store.Get(ctx, storeapi.ConfigObject)
 	switch {
 	case err != nil:
-		r.reason = err.Error()
-		return ticket.ReadFailed{Reason: r.reason}
+		r.lastError = err.Error()
+		return ticket.ReadFailed{Reason: r.lastError}
 	case !found:
-		return stored(storeapi.Object{})
+		return storedEvent(storeapi.Object{})
 	default:
-		return stored(object)
+		return storedEvent(object)
 	}
 }
 
-// stored turns the store's object into an event; version 0 means that it does
-// not exist. An object that cannot be read in full must not be written back.
-func stored(object storeapi.Object) ticket.Event {
+// storedEvent returns the event for an object read from the store; version 0 means
+// that it does not exist. The ticket is not applied to an object that this release
+// cannot decode in full, because writing it back would lose fields.
+func storedEvent(object storeapi.Object) ticket.Event {
 	if object.Version == 0 {
 		return ticket.Stored{At: time.Now()}
 	}
@@ -139,21 +141,21 @@
 	}
 	result := r.store.Put(ctx, storeapi.ConfigObject, storeapi.Put{Version: s.Version, Value: value})
 	if result.Err != nil {
-		r.reason = result.Err.Error()
+		r.lastError = result.Err.Error()
 	}
 	switch result.Outcome {
 	case store.Done:
 		return ticket.Written{}
 	case store.Conflict:
-		return stored(result.Object)
+		return storedEvent(result.Object)
 	case store.NotDone:
-		return ticket.NotWritten{Reason: r.reason}
+		return ticket.NotWritten{Reason: r.lastError}
 	default:
-		return ticket.WriteLost{Reason: r.reason}
+		return ticket.WriteLost{Reason: r.lastError}
 	}
 }
 
-// printResult reports the end of an application and returns the exit code.
+// printResult prints the outcome of applying a ticket and returns the exit code.
 func printResult(env Env, file *ticketfile.File, r ticket.Result) int {
 	number := file.Ticket.ID.Number
 	printProblems(env, file, r.Problems)
--- a/cmd/chestnutctl/ctl/apply_test.go
+++ b/cmd/chestnutctl/ctl/apply_test.go
@@ -19,17 +19,17 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/store"
 )
 
-// fakeStore is the store at the interface of the client, with one fault.
+// fakeStore is an in-memory configStore that can fail calls.
 type fakeStore struct {
 	mu     sync.Mutex // guards the fields below
 	object storeapi.Object
 	calls  int
-	// fault returns what goes wrong with a call: "", "before" its effect or "after"
-	// it.
+	// fault returns how a call fails: "" for success, "before" or "after" it takes
+	// effect. Calls are numbered from 1.
 	fault func(call int) string
 }
 
-func (s *fakeStore) begin() string {
+func (s *fakeStore) nextFault() string {
 	s.calls++
 	if s.fault == nil {
 		return ""
@@ -40,7 +40,7 @@
 func (s *fakeStore) Get(context.Context, string) (storeapi.Object, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begin() != "" {
+	if s.nextFault() != "" {
 		return storeapi.Object{}, false, eris.New("no answer")
 	}
 	return s.object, s.object.Version > 0, nil
@@ -49,7 +49,7 @@
 func (s *fakeStore) Put(_ context.Context, _ string, p storeapi.Put) store.PutResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fault := s.begin()
+	fault := s.nextFault()
 	if fault != "before" && p.Version == s.object.Version {
 		s.object = storeapi.Object{Name: "config", Version: p.Version + 1, Value: p.Value}
 		if fault == "" {
@@ -74,7 +74,7 @@
 	return o.Records
 }
 
-// ticketText is a valid ticket that sets one customer.
+// ticketText returns a valid ticket that sets one customer.
 func ticketText(number int, operator, customer string) string {
 	return fmt.Sprintf(`ticket: %d
 operator: %s
@@ -93,8 +93,8 @@
 	return r.run(ctx, ticket.NewApply(ticketfile.Parse("t.yaml", []byte(text)).Ticket, false))
 }
 
-// Guards against a ticket that is applied twice, or reported as failed, because
-// the answer to one of the calls was lost.
+// Guards against a ticket that is applied twice or reported as failed because the
+// answer of the store to one of the calls was lost.
 func TestLostAnswerAtEachStep(t *testing.T) {
 	for call := 1; call <= 4; call++ {
 		for _, kind := range []string{"before", "after"} {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against "not applied" for an update that may still take effect, and
-// against attempts that go on after the deadline.
+// Guards against reporting "not applied" for an update that may still take effect,
+// and against attempts after the deadline.
 func TestDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		from int // first call that fails
@@ -145,8 +145,9 @@
 	}
 }
 
-// Guards against two tickets with one number, numbers out of order, and an
-// operator who is told a wrong outcome or a wrong winner.
+// Guards against two tickets with the same number, numbers out of order, and a
+// wrong outcome or winner reported to an operator, when several operators apply
+// tickets concurrently.
 func TestOperatorsRace(t *testing.T) {
 	const operators = 8
 	for _, sameNumber := range []bool{true, false} {
@@ -173,7 +174,7 @@
 				}
 			}
 			for i, r := range results {
-				// An operator who comes late with a lower number is told that it is not valid.
+				// A lower number than that of an applied ticket is reported as invalid.
 				lost := r.Outcome == ticket.LostRace && applied[r.Winner.Operator] || r.Outcome == ticket.Invalid && !sameNumber
 				if ok := applied[fmt.Sprint("operator", i)]; ok != (r.Outcome == ticket.Applied) || !ok && !lost {
 					t.Errorf("operator %d: outcome %v, winner %q; records %v", i, r.Outcome, r.Winner.Operator, records)
@@ -186,8 +187,8 @@
 	}
 }
 
-// Guards against an object of a newer release that is written back without the
-// fields that this release does not know.
+// Guards against writing back an object of a newer release without the fields that
+// this release does not know.
 func TestNewerObjectIsNotWritten(t *testing.T) {
 	value := json.RawMessage(`{"config":{"format":1,"number":3,"digest":"d","colour":"red"}}`)
 	s := &fakeStore{object: storeapi.Object{Version: 1, Value: value}}
--- a/cmd/chestnutctl/ctl/collect.go
+++ b/cmd/chestnutctl/ctl/collect.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// vmTimeout is the longest time to wait for one VM. A VM answers from memory; a
-	// longer silence is reported.
+	// vmTimeout is the time-out of a request to one VM. A VM answers from memory, so
+	// one that takes longer is reported as not answering.
 	vmTimeout = 2 * time.Second
-	// maxParallel is how many VMs are asked at once.
-	maxParallel = 32
-	// maxStatus is the longest status read in bytes: 490 members of 200 bytes and
-	// 800 groups of 100 take 180 KB.
-	maxStatus = 8 << 20
+	// maxConcurrentRequests limits the VMs that are asked at the same time.
+	maxConcurrentRequests = 32
+	// maxStatusBytes limits the size of a status that is read. 490 members of 200
+	// bytes and 800 groups of 100 bytes take 180 KB.
+	maxStatusBytes = 8 << 20
 )
 
-// answer is what came of asking one VM.
-type answer struct {
+// vmAnswer is the result of requesting the status of one VM.
+type vmAnswer struct {
 	vm     adminapi.VM
 	status *adminapi.Status // nil without an answer
 	err    error
 }
 
-// asker asks VMs for their status.
-type asker struct{ http *http.Client }
+// statusClient requests the status of VMs over HTTP.
+type statusClient struct{ http *http.Client }
 
-func newAsker(n network.Network) *asker {
-	return &asker{&http.Client{
+func newStatusClient(n network.Network) *statusClient {
+	return &statusClient{&http.Client{
 		Timeout: vmTimeout,
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, address) },
@@ -46,10 +46,10 @@
 	}}
 }
 
-func (a *asker) close() { a.http.CloseIdleConnections() }
+func (c *statusClient) close() { c.http.CloseIdleConnections() }
 
-// ask asks one VM at its admin address.
-func (a *asker) ask(ctx context.Context, address string, brief bool) (*adminapi.Status, error) {
+// fetch requests the status of one VM at its admin address.
+func (c *statusClient) fetch(ctx context.Context, address string, brief bool) (*adminapi.Status, error) {
 	if address == "" {
 		return nil, eris.New("the ticket has no admin_address for it")
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "the address cannot be used")
 	}
-	response, err := a.http.Do(request)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, eris.Wrap(err, "no answer")
 	}
@@ -70,21 +70,21 @@
 		return nil, eris.Errorf("answered with status %d", response.StatusCode)
 	}
 	var s adminapi.Status
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return nil, eris.Wrap(err, "the answer cannot be read")
 	}
 	return &s, nil
 }
 
-// askAll asks all VMs. The answers have the order of the VMs.
-func (a *asker) askAll(ctx context.Context, vms []adminapi.VM, brief bool) []answer {
-	answers := make([]answer, len(vms))
+// fetchAll requests the status of all VMs. The answers are in the order of vms.
+func (c *statusClient) fetchAll(ctx context.Context, vms []adminapi.VM, brief bool) []vmAnswer {
+	answers := make([]vmAnswer, len(vms))
 	var g errgroup.Group
-	g.SetLimit(maxParallel)
+	g.SetLimit(maxConcurrentRequests)
 	for i, vm := range vms {
 		g.Go(func() error {
-			status, err := a.ask(ctx, vm.AdminAddress, brief)
-			answers[i] = answer{vm, status, err}
+			status, err := c.fetch(ctx, vm.AdminAddress, brief)
+			answers[i] = vmAnswer{vm, status, err}
 			return nil
 		})
 	}
@@ -92,30 +92,31 @@
 	return answers
 }
 
-// complete replaces the brief answer of one VM per data centre by a full one,
-// which names the VMs that it heard. That is needed only if a VM is silent.
-func (a *asker) complete(ctx context.Context, answers []answer) {
-	chosen := make(map[string]*answer)
+// addMembers replaces the brief answer of one VM per data centre by a full one,
+// which lists when it last heard from other VMs. It does nothing if every VM
+// answered.
+func (c *statusClient) addMembers(ctx context.Context, answers []vmAnswer) {
+	chosen := make(map[string]*vmAnswer)
 	silent := false
 	for i := range answers {
-		one := &answers[i]
+		answer := &answers[i]
 		switch {
-		case one.status == nil:
+		case answer.status == nil:
 			silent = true
-		case chosen[one.vm.DataCentre] == nil:
-			chosen[one.vm.DataCentre] = one
+		case chosen[answer.vm.DataCentre] == nil:
+			chosen[answer.vm.DataCentre] = answer
 		}
 	}
 	if !silent {
 		return
 	}
-	var all sync.WaitGroup
-	for _, one := range chosen {
-		all.Go(func() {
-			if full, err := a.ask(ctx, one.vm.AdminAddress, false); err == nil {
-				one.status = full
+	var wg sync.WaitGroup
+	for _, answer := range chosen {
+		wg.Go(func() {
+			if full, err := c.fetch(ctx, answer.vm.AdminAddress, false); err == nil {
+				answer.status = full
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
--- a/cmd/chestnutctl/ctl/ctl.go
+++ b/cmd/chestnutctl/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command line. It contains everything but the
-// operating system: tests call Run with a network, files and writers of their
-// own.
+// Package ctl implements the command line chestnutctl. It accesses the operating
+// system only through Env, so tests call Run with their own network, files and
+// writers.
 package ctl
 
 import (
@@ -33,7 +33,7 @@
 // a VM, unless -timeout says otherwise.
 const DefaultTimeout = 10 * time.Second
 
-// Env is the surroundings of a command.
+// Env provides a command's access to the network, files, output and randomness.
 type Env struct {
 	Network  network.Network
 	Stdout   io.Writer
@@ -48,13 +48,13 @@
 	args    string // arguments after the flags, for the help text
 	summary string // one line
 	help    string // the rest of the help text
-	// setup registers the flags and returns what runs the command with the
-	// arguments after the flags.
+	// setup registers the flags and returns a function that runs the command with
+	// the arguments after the flags and returns its exit code.
 	setup func(f *flag.FlagSet) func(ctx context.Context, env Env, args []string) int
 }
 
-// Run executes the command line without the program's name and returns the exit
-// code.
+// Run executes the command line in args, which excludes the program's name, and
+// returns the exit code.
 func Run(ctx context.Context, env Env, args []string) int {
 	c, rest := find(args)
 	switch {
@@ -73,7 +73,8 @@
 	return arg == "-h" || arg == "-help" || arg == "--help" || arg == "help"
 }
 
-// find returns the command that the arguments name, and the other arguments.
+// find returns the command named by the first one or two arguments, or nil, and the
+// remaining arguments.
 func find(args []string) (*command, []string) {
 	for _, words := range []int{2, 1} {
 		if len(args) < words {
@@ -109,12 +110,12 @@
 
 func (env Env) printf(format string, args ...any) { _, _ = fmt.Fprintf(env.Stdout, format, args...) }
 
-// errorf prints one line to the error output.
+// errorf prints one line to Stderr.
 func (env Env) errorf(format string, args ...any) {
 	_, _ = fmt.Fprintf(env.Stderr, "chestnutctl: "+format+"\n", args...)
 }
 
-// fail prints an error and returns its exit code.
+// fail prints an error and returns the exit code for it.
 func (env Env) fail(err error) int {
 	env.errorf("%v", err)
 	var usage usageError
@@ -138,33 +139,34 @@
 
 func (e usageError) Error() string { return string(e) }
 
-// connection holds the flags of commands that use the store.
-type connection struct {
+// storeFlags holds the flags of commands that access the store.
+type storeFlags struct {
 	store   string
 	timeout time.Duration
 }
 
-func (c *connection) register(f *flag.FlagSet) {
+func (c *storeFlags) register(f *flag.FlagSet) {
 	f.StringVar(&c.store, "store", "", "`host:port` of the platform's object API")
 	f.DurationVar(&c.timeout, "timeout", DefaultTimeout, "longest time to try")
 }
 
-// client returns a client of the store.
-func (c *connection) client(env Env) (*store.Client, error) {
+// client returns a client of the store; the caller closes it. The error is a
+// usageError if -store is missing.
+func (c *storeFlags) client(env Env) (*store.Client, error) {
 	if c.store == "" {
 		return nil, usageError("-store is missing")
 	}
 	return store.New(store.Options{Network: env.Network, Address: c.store}), nil
 }
 
-func noArguments(args []string) error {
+func expectNoArguments(args []string) error {
 	if len(args) > 0 {
 		return usageError(fmt.Sprintf("unexpected argument %q", args[0]))
 	}
 	return nil
 }
 
-func oneFile(args []string) (string, error) {
+func expectOneFile(args []string) (string, error) {
 	if len(args) != 1 {
 		return "", usageError("expected one file after the flags")
 	}
--- a/cmd/chestnutctl/ctl/help.go
+++ b/cmd/chestnutctl/ctl/help.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// commands are all commands in the order of the help text.
+// commands lists all commands in the order of the help text.
 var commands = []command{
 	checkCommand, applyCommand, diffCommand, showCommand, historyCommand, ticketStatusCommand, statusCommand, keyNewCommand,
 }
 
-// exitCodes is the part of the help text about exit codes. It is repeated in
-// docs/OPERATIONS.md.
+// exitCodes describes the exit codes in the help text. docs/OPERATIONS.md contains
+// the same list.
 const exitCodes = `Exit codes:
   0  done; for status commands: every live VM has applied the ticket
   1  error; nothing was changed
--- a/cmd/chestnutctl/ctl/key.go
+++ b/cmd/chestnutctl/ctl/key.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// keyPrefix marks keys, so that scanners for leaked secrets can find them.
+	// keyPrefix lets scanners for leaked secrets recognise keys.
 	keyPrefix = "cdk_"
-	// keyBytes is the number of random bytes of a key. Hashes of keys are stored
-	// without salt, so a key must be too random to guess.
+	// keyBytes is the number of random bytes in a key. Hashes of keys are stored
+	// without salt, so keys need enough entropy to make guessing infeasible.
 	keyBytes = 32
 )
 
@@ -36,7 +36,7 @@
 	setup: func(f *flag.FlagSet) func(context.Context, Env, []string) int {
 		asJSON := f.Bool("json", false, "print JSON")
 		return func(_ context.Context, env Env, args []string) int {
-			if err := noArguments(args); err != nil {
+			if err := expectNoArguments(args); err != nil {
 				return env.fail(err)
 			}
 			return newKey(env, *asJSON)
--- a/cmd/chestnutctl/ctl/print.go
+++ b/cmd/chestnutctl/ctl/print.go
@@ -30,14 +30,14 @@
 		}
 	})
 	for _, vm := range r.Lagging {
-		env.printf("lagging: %s in %s has applied ticket %d%s\n", vm.Name, vm.DataCentre, vm.Applied, because(vm.Reason))
+		env.printf("lagging: %s in %s has applied ticket %d%s\n", vm.Name, vm.DataCentre, vm.Applied, reasonSuffix(vm.Reason))
 	}
 	for _, vm := range r.Silent {
-		env.printf("silent: %s in %s%s\n", vm.Name, vm.DataCentre, because(vm.Reason))
+		env.printf("silent: %s in %s%s\n", vm.Name, vm.DataCentre, reasonSuffix(vm.Reason))
 	}
 }
 
-func because(reason string) string {
+func reasonSuffix(reason string) string {
 	if reason == "" {
 		return ""
 	}
@@ -92,7 +92,8 @@
 	})
 }
 
-// printTable prints aligned columns; cells are separated by tabs.
+// printTable prints aligned columns. Tabs separate the cells of the header and of
+// the row formats.
 func printTable(env Env, header string, fill func(row func(format string, cells ...any))) {
 	w := tabwriter.NewWriter(env.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, header)
--- a/cmd/chestnutctl/ctl/report.go
+++ b/cmd/chestnutctl/ctl/report.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// heardLately is the longest time since a VM was heard by another one for it to
-// count as live. The exchange reaches every VM within a few seconds.
-const heardLately = 10 * time.Second
+// maxHeardAge is how long ago another VM may have last heard from a VM that still
+// counts as live. Messages of a VM reach every other VM within a few seconds.
+const maxHeardAge = 10 * time.Second
 
 // report is the state of a ticket in the fleet, as printed with -json.
 type report struct {
@@ -32,45 +32,46 @@
 	Lowest  uint64 `json:"lowest"`  // lowest ticket applied by a live VM
 	Highest uint64 `json:"highest"` // highest one
 	VMs     int    `json:"vms"`     // in service
-	Applied int    `json:"applied"` // of them with the ticket applied
+	Applied int    `json:"applied"` // VMs that have applied the ticket
 	Lagging int    `json:"lagging"`
 	Silent  int    `json:"silent"`
 }
 
-// vmReport is a VM that has not applied the ticket or is not heard.
+// vmReport is a VM that lags or is silent.
 type vmReport struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
-	Applied    uint64 `json:"applied"` // as far as known
+	Applied    uint64 `json:"applied"` // latest known
 	Reason     string `json:"reason,omitempty"`
 }
 
-// newReport compares the answers of the VMs with the ticket. Number zero takes
-// the highest ticket that a VM has in force.
-func newReport(number uint64, answers []answer) *report {
+// newReport compares the answers of the VMs with the ticket of the given number.
+// Zero stands for the highest ticket in force on any VM.
+func newReport(number uint64, answers []vmAnswer) *report {
 	r := &report{Ticket: number, Lagging: []vmReport{}, Silent: []vmReport{}}
 	if number == 0 {
 		r.Ticket = highestTicket(answers)
 	}
-	heard := heardMembers(answers)
-	centres := make(map[string]*dataCentreReport)
+	latest := latestMembers(answers)
+	dataCentres := make(map[string]*dataCentreReport)
 	for _, a := range answers {
-		dc := centres[a.vm.DataCentre]
+		dc := dataCentres[a.vm.DataCentre]
 		if dc == nil {
 			dc = &dataCentreReport{Name: a.vm.DataCentre}
-			centres[a.vm.DataCentre] = dc
+			dataCentres[a.vm.DataCentre] = dc
 		}
-		r.add(dc, a, heard)
+		r.addVM(dc, a, latest)
 	}
-	for _, name := range slices.Sorted(maps.Keys(centres)) {
-		r.DataCentres = append(r.DataCentres, *centres[name])
+	for _, name := range slices.Sorted(maps.Keys(dataCentres)) {
+		r.DataCentres = append(r.DataCentres, *dataCentres[name])
 	}
 	return r
 }
 
-// add counts one VM. A leaving VM may end at any time, so its silence is no news.
-func (r *report) add(dc *dataCentreReport, a answer, heard map[string]adminapi.Member) {
-	applied, live := appliedBy(a, heard)
+// addVM counts one VM. A leaving VM that is silent is not counted, because it may
+// exit at any time.
+func (r *report) addVM(dc *dataCentreReport, a vmAnswer, latest map[string]adminapi.Member) {
+	applied, live := appliedTicket(a, latest)
 	if !live && a.vm.State == state.Leaving {
 		return
 	}
@@ -96,33 +97,34 @@
 	r.Lagging = append(r.Lagging, entry)
 }
 
-// appliedBy returns the ticket that a VM has applied, and whether the VM is
-// live: it answered, or another VM heard it lately.
-func appliedBy(a answer, heard map[string]adminapi.Member) (applied uint64, live bool) {
+// appliedTicket returns the ticket that a VM has applied, and whether the VM is
+// live: it answered, or another VM heard from it within maxHeardAge.
+func appliedTicket(a vmAnswer, latest map[string]adminapi.Member) (applied uint64, live bool) {
 	if a.status != nil {
 		return a.status.Config.Applied, true
 	}
-	m, known := heard[a.vm.Name]
-	return m.Applied, known && m.Age <= heardLately
+	m, known := latest[a.vm.Name]
+	return m.Applied, known && m.Age <= maxHeardAge
 }
 
-// heardMembers returns the latest that the answering VMs heard of each VM.
-func heardMembers(answers []answer) map[string]adminapi.Member {
-	heard := make(map[string]adminapi.Member)
+// latestMembers returns, by VM name, the most recent member entry that any VM
+// reported.
+func latestMembers(answers []vmAnswer) map[string]adminapi.Member {
+	latest := make(map[string]adminapi.Member)
 	for _, a := range answers {
 		if a.status == nil {
 			continue
 		}
 		for _, m := range a.status.Members {
-			if known, ok := heard[m.Name]; !ok || m.Age < known.Age {
-				heard[m.Name] = m
+			if known, ok := latest[m.Name]; !ok || m.Age < known.Age {
+				latest[m.Name] = m
 			}
 		}
 	}
-	return heard
+	return latest
 }
 
-func highestTicket(answers []answer) uint64 {
+func highestTicket(answers []vmAnswer) uint64 {
 	var highest uint64
 	for _, a := range answers {
 		if a.status != nil {
@@ -132,7 +134,7 @@
 	return highest
 }
 
-// groupRow is the newest view of a group.
+// groupRow is the most recent view of a group.
 type groupRow struct {
 	adminapi.Group
 	Agree int // VMs that have this view
@@ -158,7 +160,7 @@
 	return slices.SortedFunc(maps.Values(rows), func(a, b groupRow) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// shareRows adds up the shares of each customer over the VMs.
+// shareRows returns the sum of each customer's shares over all VMs.
 func shareRows(statuses []adminapi.Status) []adminapi.Share {
 	rows := make(map[string]adminapi.Share)
 	for _, s := range statuses {
--- a/cmd/chestnutctl/ctl/status.go
+++ b/cmd/chestnutctl/ctl/status.go
@@ -14,7 +14,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// pollInterval is the pause between two rounds of questions with -wait.
+// pollInterval is the pause between two rounds of status requests with -wait.
 const pollInterval = 500 * time.Millisecond
 
 const statusHelp = `The list of VMs comes from the store (-store), or from a VM (-vm) if the store
@@ -44,28 +44,28 @@
 	setup:   setupStatus(false),
 }
 
-// statusOptions are the flags of status commands.
+// statusOptions holds the flags of the status commands.
 type statusOptions struct {
-	connection
-	vms    string
-	number uint64
-	wait   time.Duration
-	strict bool
-	asJSON bool
-	brief  bool // only the ticket
+	storeFlags
+	vmAddresses string
+	number      uint64
+	wait        time.Duration
+	strict      bool
+	asJSON      bool
+	brief       bool // report only the state of the ticket
 }
 
 func setupStatus(brief bool) func(*flag.FlagSet) func(context.Context, Env, []string) int {
 	return func(f *flag.FlagSet) func(context.Context, Env, []string) int {
 		o := &statusOptions{brief: brief}
 		o.register(f)
-		f.StringVar(&o.vms, "vm", "", "admin addresses of some VMs, `host:port,...`")
+		f.StringVar(&o.vmAddresses, "vm", "", "admin addresses of some VMs, `host:port,...`")
 		f.Uint64Var(&o.number, "ticket", 0, "compare with the ticket of this `number` instead of the newest")
 		f.DurationVar(&o.wait, "wait", 0, "wait at most this long until every live VM has applied the ticket")
 		f.BoolVar(&o.strict, "strict", false, "count silent VMs as lagging")
 		f.BoolVar(&o.asJSON, "json", false, "print JSON")
 		return func(ctx context.Context, env Env, args []string) int {
-			if err := noArguments(args); err != nil {
+			if err := expectNoArguments(args); err != nil {
 				return env.fail(err)
 			}
 			return status(ctx, env, o)
@@ -74,19 +74,19 @@
 }
 
 func status(ctx context.Context, env Env, o *statusOptions) int {
-	if o.store == "" && o.vms == "" {
+	if o.store == "" && o.vmAddresses == "" {
 		return env.fail(usageError("-store or -vm is needed"))
 	}
-	a := newAsker(env.Network)
-	defer a.close()
+	client := newStatusClient(env.Network)
+	defer client.close()
 	deadline := time.Now().Add(o.wait)
 	for {
-		r, err := o.gather(ctx, env, a)
+		r, err := o.collect(ctx, env, client)
 		if err != nil {
 			return env.fail(err)
 		}
 		left := time.Until(deadline)
-		if !o.lags(r) || left <= 0 || ctx.Err() != nil {
+		if !o.isLagging(r) || left <= 0 || ctx.Err() != nil {
 			return o.print(env, r)
 		}
 		select {
@@ -96,26 +96,26 @@
 	}
 }
 
-func (o *statusOptions) lags(r *report) bool {
+func (o *statusOptions) isLagging(r *report) bool {
 	return len(r.Lagging) > 0 || o.strict && len(r.Silent) > 0
 }
 
-// gather asks the fleet once.
-func (o *statusOptions) gather(ctx context.Context, env Env, a *asker) (*report, error) {
-	vms, latest, storeErr := o.fromStore(ctx, env)
+// collect requests the status of the whole fleet once.
+func (o *statusOptions) collect(ctx context.Context, env Env, client *statusClient) (*report, error) {
+	vms, latest, storeErr := o.listFromStore(ctx, env)
 	if storeErr != nil {
 		var err error
-		if vms, err = o.fromVMs(ctx, a); err != nil {
+		if vms, err = o.listFromVMs(ctx, client); err != nil {
 			return nil, err
 		}
 	}
 	vms = slices.DeleteFunc(vms, func(vm adminapi.VM) bool { return vm.State == state.Out })
-	answers := a.askAll(ctx, vms, o.brief)
-	if err := noneAnswered(answers); err != nil {
+	answers := client.fetchAll(ctx, vms, o.brief)
+	if err := requireAnyAnswer(answers); err != nil {
 		return nil, err
 	}
 	if o.brief {
-		a.complete(ctx, answers)
+		client.addMembers(ctx, answers)
 	}
 	number := o.number
 	if number == 0 {
@@ -129,18 +129,18 @@
 		r.StoreError = storeErr.Error()
 	}
 	if !o.brief {
-		for _, one := range answers {
-			if one.status != nil {
-				r.VMs = append(r.VMs, *one.status)
+		for _, answer := range answers {
+			if answer.status != nil {
+				r.VMs = append(r.VMs, *answer.status)
 			}
 		}
 	}
 	return r, nil
 }
 
-// noneAnswered returns an error if there are VMs and none answered: nothing is
-// known then, least of all that the ticket has been applied.
-func noneAnswered(answers []answer) error {
+// requireAnyAnswer returns an error if there are VMs and none answered. Without it,
+// a report with no lagging VM would look as if all had applied the ticket.
+func requireAnyAnswer(answers []vmAnswer) error {
 	for _, a := range answers {
 		if a.status != nil {
 			return nil
@@ -152,8 +152,8 @@
 	return eris.Wrapf(answers[0].err, "none of %d VMs answered; %s", len(answers), answers[0].vm.Name)
 }
 
-// fromStore returns the VMs and the latest ticket according to the store.
-func (o *statusOptions) fromStore(ctx context.Context, env Env) ([]adminapi.VM, ticket.Record, error) {
+// listFromStore returns the VMs and the latest ticket recorded in the store.
+func (o *statusOptions) listFromStore(ctx context.Context, env Env) ([]adminapi.VM, ticket.Record, error) {
 	if o.store == "" {
 		return nil, ticket.Record{}, usageError("-store is missing")
 	}
@@ -168,19 +168,19 @@
 	return adminapi.ListVMs(object.Config), latest, nil
 }
 
-// fromVMs returns the VMs according to the VM with the highest ticket among
-// those given with -vm.
-func (o *statusOptions) fromVMs(ctx context.Context, a *asker) ([]adminapi.VM, error) {
+// listFromVMs returns the VMs known to the VM with the highest ticket among those
+// given with -vm.
+func (o *statusOptions) listFromVMs(ctx context.Context, client *statusClient) ([]adminapi.VM, error) {
 	var newest *adminapi.Status
-	var failure error
-	for _, address := range strings.Split(o.vms, ",") {
+	var lastErr error
+	for _, address := range strings.Split(o.vmAddresses, ",") {
 		if address == "" {
 			continue
 		}
-		s, err := a.ask(ctx, address, false)
+		s, err := client.fetch(ctx, address, false)
 		switch {
 		case err != nil:
-			failure = eris.Wrapf(err, "VM at %s", address)
+			lastErr = eris.Wrapf(err, "VM at %s", address)
 		case newest == nil || s.Config.Ticket > newest.Config.Ticket:
 			newest = s
 		}
@@ -188,8 +188,8 @@
 	switch {
 	case newest != nil:
 		return newest.VMs, nil
-	case failure != nil:
-		return nil, failure
+	case lastErr != nil:
+		return nil, lastErr
 	default:
 		return nil, eris.New("the store does not answer; give -vm to ask VMs instead")
 	}
@@ -197,7 +197,7 @@
 
 func (o *statusOptions) print(env Env, r *report) int {
 	code := ExitOK
-	if o.lags(r) {
+	if o.isLagging(r) {
 		code = ExitLagging
 	}
 	if o.asJSON {
--- a/cmd/chestnutctl/ctl/ticket.go
+++ b/cmd/chestnutctl/ctl/ticket.go
@@ -25,11 +25,11 @@
 is checked by itself: references to other objects, the number and the changes
 are then not checked.
 `,
-	setup: fileCommand(func(ctx context.Context, env Env, c *connection, file *ticketfile.File) int {
+	setup: ticketCommand(func(ctx context.Context, env Env, c *storeFlags, file *ticketfile.File) int {
 		if c.store == "" {
-			return checkAlone(env, file)
+			return checkFileOnly(env, file)
 		}
-		return compare(ctx, env, c, file, true)
+		return compareWithConfig(ctx, env, c, file, true)
 	}),
 }
 
@@ -40,15 +40,16 @@
 	help: `Unlike "ticket check" it does not check the result, so it also compares a
 ticket that is in force already or is not valid yet.
 `,
-	setup: fileCommand(func(ctx context.Context, env Env, c *connection, file *ticketfile.File) int {
-		return compare(ctx, env, c, file, false)
+	setup: ticketCommand(func(ctx context.Context, env Env, c *storeFlags, file *ticketfile.File) int {
+		return compareWithConfig(ctx, env, c, file, false)
 	}),
 }
 
-// fileCommand sets up a command that uses the store and one ticket.
-func fileCommand(f func(context.Context, Env, *connection, *ticketfile.File) int) func(*flag.FlagSet) func(context.Context, Env, []string) int {
+// ticketCommand returns the setup of a command that takes one ticket file and can
+// access the store.
+func ticketCommand(f func(context.Context, Env, *storeFlags, *ticketfile.File) int) func(*flag.FlagSet) func(context.Context, Env, []string) int {
 	return func(flags *flag.FlagSet) func(context.Context, Env, []string) int {
-		var c connection
+		var c storeFlags
 		c.register(flags)
 		return func(ctx context.Context, env Env, args []string) int {
 			file, err := readTicket(env, args)
@@ -61,7 +62,7 @@
 }
 
 func readTicket(env Env, args []string) (*ticketfile.File, error) {
-	path, err := oneFile(args)
+	path, err := expectOneFile(args)
 	if err != nil {
 		return nil, err
 	}
@@ -72,29 +73,29 @@
 	return ticketfile.Parse(path, data), nil
 }
 
-func checkAlone(env Env, file *ticketfile.File) int {
-	found := ticket.CheckAlone(file.Ticket)
-	printProblems(env, file, found)
-	if file.Err(found) != nil {
+func checkFileOnly(env Env, file *ticketfile.File) int {
+	problems := ticket.CheckAlone(file.Ticket)
+	printProblems(env, file, problems)
+	if file.Err(problems) != nil {
 		return ExitError
 	}
 	env.printf("ticket %d is well formed; give -store to check it against the configuration in force\n", file.Ticket.ID.Number)
 	return ExitOK
 }
 
-// compare shows the difference that a ticket makes, and with check also the
-// problems.
-func compare(ctx context.Context, env Env, c *connection, file *ticketfile.File, check bool) int {
+// compareWithConfig prints what a ticket would change in the configuration in force
+// and, with check set, its problems.
+func compareWithConfig(ctx context.Context, env Env, c *storeFlags, file *ticketfile.File, check bool) int {
 	object, err := c.readConfig(ctx, env)
 	if err != nil {
 		return env.fail(err)
 	}
-	merged, found := ticket.Check(object.Config, file.Ticket)
+	merged, problems := ticket.Check(object.Config, file.Ticket)
 	if !check {
-		found = nil
+		problems = nil
 	}
-	printProblems(env, file, found)
-	if err := file.Err(found); err != nil {
+	printProblems(env, file, problems)
+	if err := file.Err(problems); err != nil {
 		return ExitError
 	}
 	changes := ticket.Diff(object.Config, merged)
@@ -103,9 +104,9 @@
 	return ExitOK
 }
 
-// readConfig reads the configuration from the store, an empty one if there is
-// none yet.
-func (c *connection) readConfig(ctx context.Context, env Env) (*ticket.Object, error) {
+// readConfig reads the configuration from the store. It returns an empty
+// configuration if the store has none yet.
+func (c *storeFlags) readConfig(ctx context.Context, env Env) (*ticket.Object, error) {
 	client, err := c.client(env)
 	if err != nil {
 		return nil, err
@@ -130,7 +131,7 @@
 	help: `The output is a ticket file with the whole state of every object. Copy an
 object from there into a new ticket to change it.
 `,
-	setup: storeCommand(show),
+	setup: configCommand(show),
 }
 
 var historyCommand = command{
@@ -138,18 +139,18 @@
 	summary: "List the latest tickets, the newest first",
 	help: `The store keeps the records of the last 100 tickets.
 `,
-	setup: storeCommand(history),
+	setup: configCommand(history),
 }
 
-// storeCommand sets up a command that reads the configuration and takes no
-// arguments.
-func storeCommand(f func(env Env, o *ticket.Object, asJSON bool) int) func(*flag.FlagSet) func(context.Context, Env, []string) int {
+// configCommand returns the setup of a command that reads the configuration and
+// takes no arguments.
+func configCommand(f func(env Env, o *ticket.Object, asJSON bool) int) func(*flag.FlagSet) func(context.Context, Env, []string) int {
 	return func(flags *flag.FlagSet) func(context.Context, Env, []string) int {
-		var c connection
+		var c storeFlags
 		c.register(flags)
 		asJSON := flags.Bool("json", false, "print JSON")
 		return func(ctx context.Context, env Env, args []string) int {
-			if err := noArguments(args); err != nil {
+			if err := expectNoArguments(args); err != nil {
 				return env.fail(err)
 			}
 			o, err := c.readConfig(ctx, env)
@@ -186,7 +187,7 @@
 	return ExitOK
 }
 
-// recordJSON is a record as printed with -json.
+// recordJSON is the JSON form of a ticket record, as printed with -json.
 type recordJSON struct {
 	Ticket      uint64    `json:"ticket"`
 	Digest      string    `json:"digest"`
@@ -194,7 +195,7 @@
 	Reason      string    `json:"reason"`
 	Time        time.Time `json:"time"`
 	Changed     []string  `json:"changed"`
-	ChangedMore int       `json:"changed_more"` // number of further objects
+	ChangedMore int       `json:"changed_more"` // number of changed objects not listed in Changed
 }
 
 func history(env Env, o *ticket.Object, asJSON bool) int {
@@ -227,21 +228,21 @@
 	return text
 }
 
-// printProblems prints errors and warnings with their lines.
-func printProblems(env Env, file *ticketfile.File, found []ticket.Problem) {
+// printProblems prints errors and warnings with their line numbers to Stderr.
+func printProblems(env Env, file *ticketfile.File, problems []ticket.Problem) {
 	var b bytes.Buffer
-	for _, p := range file.Problems(found) {
+	for _, p := range file.Problems(problems) {
 		fmt.Fprintln(&b, p.Format(file.Name))
 	}
 	_, _ = env.Stderr.Write(b.Bytes())
 }
 
-var signs = map[ticket.Op]string{ticket.Add: "+", ticket.Remove: "-", ticket.Change: "~"}
+var opSigns = map[ticket.Op]string{ticket.Add: "+", ticket.Remove: "-", ticket.Change: "~"}
 
 // printDiff prints one line per object and one per field.
 func printDiff(env Env, changes []ticket.Difference) {
 	for _, d := range changes {
-		env.printf("%s %s\n", signs[d.Op], d.Object)
+		env.printf("%s %s\n", opSigns[d.Op], d.Object)
 		for _, f := range d.Fields {
 			switch f.Op {
 			case ticket.Add:
--- a/cmd/chestnutctl/main.go
+++ b/cmd/chestnutctl/main.go
@@ -1,5 +1,5 @@
 // Command chestnutctl changes and shows the configuration of a chestnutdyke
-// fleet. chestnutctl -h explains it.
+// fleet. chestnutctl -h describes its commands.
 package main
 
 import (
