--- a/rank.go
+++ b/rank.go
@@ -22,20 +22,20 @@
 // byDataCentre returns the names of the VMs that are live and in service, grouped by
 // data centre and including this VM. The result is shared; callers must not
 // modify it.
-func (r *liveVMCache) byDataCentre(t *state.Tables, now time.Time) map[string][]string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.byDC != nil && now.Sub(r.builtAt) < liveVMsTTL {
-		return r.byDC
+func (c *liveVMCache) byDataCentre(t *state.Tables, now time.Time) map[string][]string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byDC != nil && now.Sub(c.builtAt) < liveVMsTTL {
+		return c.byDC
 	}
-	r.builtAt = now
-	r.byDC = map[string][]string{t.Self.DataCentre: {t.Self.Name}}
+	c.builtAt = now
+	c.byDC = map[string][]string{t.Self.DataCentre: {t.Self.Name}}
 	for _, m := range t.Members.All() {
 		if m.Name != t.Self.Name && !m.Silent && m.State == state.InService {
-			r.byDC[m.DataCentre] = append(r.byDC[m.DataCentre], m.Name)
+			c.byDC[m.DataCentre] = append(c.byDC[m.DataCentre], m.Name)
 		}
 	}
-	return r.byDC
+	return c.byDC
 }
 
 // rank returns this VM's rank for a group among the live VMs of the data centres
