--- a/cmd/chestnutdyke/main.go
+++ b/cmd/chestnutdyke/main.go
@@ -25,17 +25,18 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/telemetry"
 )
 
-// exportTimeout bounds the export of the last traces on exit.
+// exportTimeout limits the export of the remaining spans on exit.
 const exportTimeout = 5 * time.Second
 
 const usage = `Usage: chestnutdyke -config FILE [-check-config] [-drain-timeout DURATION]
        chestnutdyke platform [-trace none|stdout|otlp] [-trace-endpoint HOST:PORT]
 
-Runs one VM of the fleet. The settings file says who the VM is, where it listens
-and how it reaches the platform's store and other VMs; customers, keys, database
-groups and data centres come from tickets (see chestnutctl).
+Runs one VM of the fleet. The settings file defines the VM's name, the addresses
+on which it listens, and how it reaches the platform's store and other VMs.
+Customers, keys, database groups and data centres come from tickets (see
+chestnutctl).
 
-SIGTERM and SIGINT stop the VM without cutting requests: it takes no new
+SIGTERM and SIGINT stop the VM without interrupting requests: it refuses new
 sessions, finishes running requests and transactions, lends its shares to other
 VMs and exits. A second signal stops it at once.
 
@@ -84,13 +85,13 @@
 	return 0
 }
 
-// runPlatform runs a VM on a platform, which passes the path of the settings in
-// the environment.
+// runPlatform runs a VM on the platform, which passes the path of the settings file
+// in an environment variable.
 func runPlatform(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("chestnutdyke platform", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	var tracing platform.Tracing
-	flags.StringVar(&tracing.Exporter, "trace", "none", "where spans go: none, stdout or otlp")
+	flags.StringVar(&tracing.Exporter, "trace", "none", "exporter of spans: none, stdout or otlp")
 	flags.StringVar(&tracing.Endpoint, "trace-endpoint", "", "`HOST:PORT` of the OTLP collector")
 	if err := flags.Parse(args); err != nil {
 		return 2
@@ -102,7 +103,8 @@
 	return 0
 }
 
-// serve runs the VM until a signal arrives and its sessions have ended.
+// serve runs the VM until it has stopped after a signal, and then exports the
+// remaining spans.
 func serve(s *settings.Settings, drainTimeout time.Duration, stdout, stderr io.Writer) error {
 	logger, err := telemetry.NewLogger(s.Log.Level, s.Log.Format, stderr)
 	if err != nil {
@@ -114,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	o := options(s)
+	o := vmOptions(s)
 	o.Logger, o.Scope, o.Metrics, o.Tracer = logger, metrics.Scope, metrics.Handler, tracer
 	vm, err := chestnutdyke.New(o)
 	if err != nil {
@@ -129,6 +131,8 @@
 	return err
 }
 
+// runUntilSignal runs the VM until SIGTERM or SIGINT and then drains it for at most
+// drainTimeout. A second signal ends the drain at once.
 func runUntilSignal(vm *chestnutdyke.VM, drainTimeout time.Duration, logger log.Interface) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -162,8 +166,8 @@
 	return g.Wait()
 }
 
-// options translates the settings.
-func options(s *settings.Settings) chestnutdyke.Options {
+// vmOptions returns the VM's options for the settings.
+func vmOptions(s *settings.Settings) chestnutdyke.Options {
 	o := chestnutdyke.Options{
 		Name:            s.VM,
 		DataCentre:      s.DataCentre,
