--- a/cmd/chestnutdemo/main.go
+++ b/cmd/chestnutdemo/main.go
@@ -1,6 +1,6 @@
 // Command chestnutdemo runs a small fleet with stand-ins in one process and
-// walks through it: a write, a move to another VM, a read from a replica, and a
-// failover.
+// demonstrates a write, the move of a session to another VM, a read from a replica,
+// and a failover.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// demoTimeout bounds the whole walk.
+// demoTimeout limits the whole demonstration.
 const demoTimeout = 30 * time.Second
 
 func main() {
-	verbose := flag.Bool("v", false, "show the VMs' logs")
-	standIns := flag.String("stand-ins", "", "run the stand-ins alone until stopped, and write the settings of the VMs to this `folder`")
+	verbose := flag.Bool("v", false, "print the logs of the VMs")
+	standIns := flag.String("stand-ins", "", "run only the stand-ins until stopped, and write the settings of the VMs to this `folder`")
 	flag.Usage = func() {
-		fmt.Fprintf(flag.CommandLine.Output(), "Usage: chestnutdemo [-v] [-stand-ins FOLDER]\n\nRuns a fleet with stand-ins in one process and walks through a failover. With\n-stand-ins it runs the platform's store and the database groups alone, on\nloopback addresses, for VMs that run as processes of their own.\n\n")
+		fmt.Fprintf(flag.CommandLine.Output(), "Usage: chestnutdemo [-v] [-stand-ins FOLDER]\n\nRuns a fleet with stand-ins in one process and demonstrates a failover. With\n-stand-ins it runs only the platform's store and the database groups, on\nloopback addresses, for VMs that run as separate processes.\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
@@ -34,13 +34,15 @@
 	if *verbose {
 		logger.Handler = text.New(os.Stderr)
 	}
-	if err := start(*standIns, logger); err != nil {
+	if err := runMode(*standIns, logger); err != nil {
 		fmt.Fprintln(os.Stderr, "chestnutdemo:", err)
 		os.Exit(1)
 	}
 }
 
-func start(standIns string, logger log.Interface) error {
+// runMode runs the stand-ins alone if a folder for settings is given, and otherwise
+// the demonstration.
+func runMode(standIns string, logger log.Interface) error {
 	if standIns != "" {
 		return serveStandIns(os.Stdout, standIns, logger)
 	}
@@ -49,7 +51,7 @@
 	return run(ctx, os.Stdout, logger)
 }
 
-// demo is the walk. The first error ends it.
+// demo holds the state of a demonstration, which ends at the first error.
 type demo struct {
 	ctx   context.Context
 	out   io.Writer
@@ -68,23 +70,24 @@
 		return err
 	}
 	d := &demo{ctx: ctx, out: out, fleet: f}
-	token, err := d.write()
+	token, err := d.writeRow()
 	if err != nil {
 		return err
 	}
-	if err := d.move(token); err != nil {
+	if err := d.moveSession(token); err != nil {
 		return err
 	}
 	return d.failover()
 }
 
-func (d *demo) say(format string, args ...any) {
+// printStep prints a numbered line.
+func (d *demo) printStep(format string, args ...any) {
 	d.step++
 	fmt.Fprintf(d.out, "%d. %s\n", d.step, fmt.Sprintf(format, args...))
 }
 
-// write reserves a skin through the first VM and returns the session token.
-func (d *demo) write() (string, error) {
+// writeRow inserts a row through the first VM and returns the session token.
+func (d *demo) writeRow() (string, error) {
 	c, err := d.connect(0, "")
 	if err != nil {
 		return "", err
@@ -93,16 +96,17 @@
 	if _, err := c.Exec(d.ctx, "INSERT INTO kv VALUES ('skin-17', 'reserved')"); err != nil {
 		return "", fmt.Errorf("reserve the skin: %w", err)
 	}
-	server, err := answeredBy(d.ctx, c)
+	server, err := readServer(d.ctx, c)
 	if err != nil {
 		return "", err
 	}
-	d.say("%s: wrote skin-17 = reserved; a majority of ledger-1 holds it; the session reads from %s", fleet.VMName(0), server)
+	d.printStep("%s: wrote skin-17 = reserved; a majority of ledger-1 holds it; the session reads from %s", fleet.VMName(0), server)
 	return fleet.Token(c), nil
 }
 
-// move reads the write through the second VM, from a replica.
-func (d *demo) move(token string) error {
+// moveSession continues the session on the second VM and reads the row from a
+// replica there.
+func (d *demo) moveSession(token string) error {
 	c, err := d.connect(1, token)
 	if err != nil {
 		return err
@@ -112,47 +116,48 @@
 	if err := c.QueryRow(d.ctx, "SELECT value FROM kv WHERE key = 'skin-17'").Scan(&value); err != nil {
 		return fmt.Errorf("read the reservation: %w", err)
 	}
-	server, err := answeredBy(d.ctx, c)
+	server, err := readServer(d.ctx, c)
 	if err != nil {
 		return err
 	}
-	d.say("%s: the session moved here with its token and reads skin-17 = %s from %s", fleet.VMName(1), value, server)
+	d.printStep("%s: the session moved here with its token and reads skin-17 = %s from %s", fleet.VMName(1), value, server)
 	return nil
 }
 
-// failover stops the primary and goes on writing through the second VM.
+// failover stops the primary and writes through the second VM until a write
+// succeeds on the new primary.
 func (d *demo) failover() error {
 	group := d.fleet.Groups["ledger-1"]
-	old := group.Primary()
+	oldPrimary := group.Primary()
 	c, err := d.connect(1, "")
 	if err != nil {
 		return err
 	}
 	defer c.Close(d.ctx)
-	old.Stop()
+	oldPrimary.Stop()
 	stopped := time.Now()
-	d.say("the primary %s fails", old.Name())
+	d.printStep("the primary %s fails", oldPrimary.Name())
 	for n := 0; ; n++ {
 		_, err := c.Exec(d.ctx, fmt.Sprintf("INSERT INTO kv VALUES ('skin-18-%d', 'reserved')", n))
 		if err == nil {
 			break
 		}
-		d.say("%s: write refused or unknown: %v", fleet.VMName(1), err)
+		d.printStep("%s: write refused or unknown: %v", fleet.VMName(1), err)
 		if d.ctx.Err() != nil {
 			return d.ctx.Err()
 		}
 	}
-	gap := time.Since(stopped)
-	d.say("%s: the next write is acknowledged after %d ms; the primary is now %s", fleet.VMName(1), gap.Milliseconds(), group.Primary().Name())
+	outage := time.Since(stopped)
+	d.printStep("%s: the next write is acknowledged after %d ms; the primary is now %s", fleet.VMName(1), outage.Milliseconds(), group.Primary().Name())
 	var value string
 	if err := c.QueryRow(d.ctx, "SELECT value FROM kv WHERE key = 'skin-17'").Scan(&value); err != nil {
 		return fmt.Errorf("read after the failover: %w", err)
 	}
-	server, err := answeredBy(d.ctx, c)
+	server, err := readServer(d.ctx, c)
 	if err != nil {
 		return err
 	}
-	d.say("%s: skin-17 is still %s, read from %s", fleet.VMName(1), value, server)
+	d.printStep("%s: skin-17 is still %s, read from %s", fleet.VMName(1), value, server)
 	return nil
 }
 
@@ -164,8 +169,8 @@
 	return c, nil
 }
 
-// answeredBy returns the backend server that answers the session's reads.
-func answeredBy(ctx context.Context, c *pgx.Conn) (string, error) {
+// readServer returns the name of the backend server that answers the session's reads.
+func readServer(ctx context.Context, c *pgx.Conn) (string, error) {
 	var server string
 	if err := c.QueryRow(ctx, "SELECT server()").Scan(&server); err != nil {
 		return "", fmt.Errorf("ask for the backend server: %w", err)
--- a/cmd/chestnutdemo/standins.go
+++ b/cmd/chestnutdemo/standins.go
@@ -12,9 +12,9 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// serveStandIns runs the stand-ins alone, on loopback addresses, and writes the
-// settings with which daemons run as processes of their own. It returns when
-// the process is told to stop.
+// serveStandIns runs only the stand-ins, on loopback addresses, and writes settings
+// files with which the VMs run as separate processes. It returns on SIGTERM or
+// SIGINT.
 func serveStandIns(out io.Writer, folder string, logger log.Interface) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "The store listens on %s. Start the VMs, each as a process of its own:\n\n", fleet.StoreAddress())
+	fmt.Fprintf(out, "The store listens on %s. Start the VMs, each as a separate process:\n\n", fleet.StoreAddress())
 	for _, p := range paths {
 		fmt.Fprintf(out, "    go run ./cmd/chestnutdyke -config %s\n", p)
 	}
