--- a/cmd/chestnutsoak/main.go
+++ b/cmd/chestnutsoak/main.go
@@ -1,5 +1,6 @@
-// Command chestnutsoak runs VMs as processes against stand-ins, injects faults
-// from outside and checks the promises.
+// Command chestnutsoak runs VMs as separate processes against stand-ins, injects
+// faults from outside, and checks the consistency guarantees. It exits with status
+// 1 if a guarantee is broken or a run cannot be set up.
 package main
 
 import (
@@ -15,12 +16,12 @@
 
 func run() int {
 	o := soak.Options{}
-	seeds := flag.Int("seeds", 1, "number of seeds to run, one after the other")
+	seeds := flag.Int("seeds", 1, "number of consecutive seeds to run")
 	flag.StringVar(&o.Binary, "binary", "", "the chestnutdyke `program` to run")
-	flag.StringVar(&o.Logs, "logs", "", "`folder` for the VMs' logs; empty keeps none")
+	flag.StringVar(&o.Logs, "logs", "", "`folder` for the logs of the VMs; empty discards them")
 	flag.Uint64Var(&o.Seed, "seed", 1, "first seed")
 	flag.IntVar(&o.VMs, "vms", 6, "number of VMs")
-	flag.DurationVar(&o.Time, "time", 20*time.Second, "time with faults for each seed")
+	flag.DurationVar(&o.Time, "time", 20*time.Second, "how long faults are injected for each seed")
 	flag.Parse()
 	if o.Binary == "" {
 		fmt.Fprintln(os.Stderr, "chestnutsoak: -binary must name the chestnutdyke program")
--- a/cmd/chestnutsoak/soak/proxy.go
+++ b/cmd/chestnutsoak/soak/proxy.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// mode is what a proxy does to its connections.
+// mode is how a proxy treats the data of its connections.
 type mode uint8
 
 const (
-	pass    mode = iota
-	delay        // passes bytes on later
-	silence      // passes nothing on, in either direction
-	oneWay       // passes nothing on from the server
+	forward      mode = iota
+	delay             // forwards data after proxyDelay
+	stall             // holds back the data of both directions
+	stallReplies      // holds back the data sent by the server
 )
 
 const proxyDelay = 60 * time.Millisecond
 
-// proxy passes connections on to a target on this machine, with faults.
+// proxy is a TCP proxy on a loopback address that can impair its connections.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -40,19 +40,19 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
 }
 
-// reset breaks all connections.
-func (p *proxy) reset() {
+// resetConnections closes all connections, with a TCP reset where possible.
+func (p *proxy) resetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			// A connection that is closed already cannot be reset.
+			// The error means that the connection is closed already.
 			_ = tcp.SetLinger(0)
 		}
 		c.Close()
@@ -61,7 +61,7 @@
 
 func (p *proxy) close() {
 	p.listener.Close()
-	p.reset()
+	p.resetConnections()
 }
 
 func (p *proxy) accept() {
@@ -70,35 +70,35 @@
 		if err != nil {
 			return
 		}
-		go p.connect(c)
+		go p.serve(c)
 	}
 }
 
-func (p *proxy) connect(c net.Conn) {
-	server, err := net.DialTimeout("tcp", p.target, time.Second)
+func (p *proxy) serve(c net.Conn) {
+	target, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		c.Close()
 		return
 	}
 	p.mu.Lock()
-	p.conns[c], p.conns[server] = true, true
+	p.conns[c], p.conns[target] = true, true
 	p.mu.Unlock()
-	go p.copy(server, c, false)
-	p.copy(c, server, true)
+	go p.copy(target, c, false)
+	p.copy(c, target, true)
 }
 
-// copy passes bytes from one connection on to another. fromServer tells the
-// direction.
+// copy forwards data from one connection to another until one of them fails, and
+// then closes both. fromServer tells whether the data comes from the server.
 func (p *proxy) copy(to, from net.Conn, fromServer bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		for err == nil && p.holds(fromServer) {
+		for err == nil && p.stalls(fromServer) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if n > 0 {
-			if _, werr := to.Write(buf[:n]); werr != nil {
-				err = werr
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err != nil {
@@ -112,13 +112,13 @@
 	p.mu.Unlock()
 }
 
-// holds reports whether bytes wait, after a delay if there is one.
-func (p *proxy) holds(fromServer bool) bool {
+// stalls reports whether data is held back now. In mode delay it sleeps first.
+func (p *proxy) stalls(fromServer bool) bool {
 	p.mu.Lock()
 	m := p.mode
 	p.mu.Unlock()
 	if m == delay {
 		time.Sleep(proxyDelay)
 	}
-	return m == silence || m == oneWay && fromServer
+	return m == stall || m == stallReplies && fromServer
 }
--- a/cmd/chestnutsoak/soak/soak.go
+++ b/cmd/chestnutsoak/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real program as processes on one machine, injects
-// faults from outside in a random, seeded order, and checks the promises from
-// what clients and backend servers see.
+// Package soak runs the chestnutdyke program as processes on one machine, injects
+// faults from outside in a seeded random order, and checks the consistency
+// guarantees from what clients and backend servers observe.
 package soak
 
 import (
@@ -24,21 +24,21 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Binary string
-	Logs   string // folder for the VMs' logs; empty keeps none
+	Binary string // path of the chestnutdyke program
+	Logs   string // folder for the logs of the VMs; empty discards them
 	Seed   uint64
 	VMs    int
-	Time   time.Duration // with faults
+	Time   time.Duration // how long faults are injected
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
-	Faults     []string
-	Served     int64
-	Refused    int64
-	Unknown    int64
-	Violations []string
+	Faults     []string // names of the injected faults, in order
+	Served     int64    // successful statements
+	Refused    int64    // statements that ended with any other code
+	Unknown    int64    // statements whose outcome the client does not know
+	Violations []string // broken guarantees; empty if the run passed
 }
 
 func (r *Report) String() string {
@@ -47,78 +47,80 @@
 }
 
 const (
-	ownBound = 2 * time.Second
-	settle   = 3 * time.Second
-	// recoverWithin is the users' bound for service after the machines are back.
-	recoverWithin = 12 * time.Second
-	clientsPerVM  = 2
-	pace          = 25 * time.Millisecond
-	// callTimeout is longer than the longest deadline of a statement.
+	maxOwnStaleness = 2 * time.Second
+	startUpTime     = 3 * time.Second
+	// maxRecoveryTime is the users' limit for the time from the end of the last fault
+	// until requests are served again.
+	maxRecoveryTime = 12 * time.Second
+	clientsPerVM    = 2
+	clientInterval  = 25 * time.Millisecond
+	// callTimeout is longer than the time-out of every route.
 	callTimeout = 4 * time.Second
 )
 
-// Run runs one seed.
+// Run runs one seed. The error is about the set-up; broken guarantees are in the
+// report.
 func Run(o Options) (*Report, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w, err := newWorld(ctx, o)
+	tb, err := newTestbed(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	time.Sleep(settle)
-	l := &load{w: w, checker: managed.NewChecker()}
+	defer tb.close()
+	time.Sleep(startUpTime)
+	w := &workload{testbed: tb, checker: managed.NewChecker()}
 	var wg sync.WaitGroup
 	clients, stop := context.WithCancel(ctx)
 	defer stop()
-	for n := range w.vms {
+	for n := range tb.vms {
 		for c := range clientsPerVM {
-			wg.Go(func() { l.client(clients, n, n*clientsPerVM+c) })
+			wg.Go(func() { w.runClient(clients, n, n*clientsPerVM+c) })
 		}
 	}
 	r := &Report{Seed: o.Seed}
-	w.injectFaults(r)
-	if !l.recovers() {
-		r.Violations = append(r.Violations, fmt.Sprintf("no write succeeded within %v after the last fault", recoverWithin))
+	tb.injectFaults(r)
+	if !w.awaitRecovery() {
+		r.Violations = append(r.Violations, fmt.Sprintf("no write succeeded within %v after the last fault", maxRecoveryTime))
 	}
 	stop()
 	wg.Wait()
-	r.Served, r.Refused, r.Unknown = l.served.Load(), l.refused.Load(), l.unknown.Load()
-	r.Violations = append(r.Violations, l.checker.Finish(w.groups)...)
+	r.Served, r.Refused, r.Unknown = w.served.Load(), w.refused.Load(), w.unknown.Load()
+	r.Violations = append(r.Violations, w.checker.Finish(tb.groups)...)
 	return r, nil
 }
 
-// fault starts a fault and returns what ends it.
+// fault is a kind of fault. start injects it and returns a function that ends it.
 type fault struct {
 	name  string
-	start func(w *world, rng *rand.Rand) func()
+	start func(tb *testbed, rng *rand.Rand) func()
 }
 
 var faults = []fault{
-	{"kill", func(w *world, rng *rand.Rand) func() { return w.stopVM(rng, syscall.SIGKILL) }},
-	{"terminate", func(w *world, rng *rand.Rand) func() { return w.stopVM(rng, syscall.SIGTERM) }},
-	{"pause", func(w *world, rng *rand.Rand) func() {
-		v := w.anyVM(rng)
+	{"kill", func(tb *testbed, rng *rand.Rand) func() { return tb.stopVM(rng, syscall.SIGKILL) }},
+	{"terminate", func(tb *testbed, rng *rand.Rand) func() { return tb.stopVM(rng, syscall.SIGTERM) }},
+	{"pause", func(tb *testbed, rng *rand.Rand) func() {
+		v := tb.randomVM(rng)
 		v.signal(syscall.SIGSTOP)
 		return func() { v.signal(syscall.SIGCONT) }
 	}},
-	{"reload", func(w *world, rng *rand.Rand) func() { w.anyVM(rng).signal(syscall.SIGHUP); return func() {} }},
-	{"store-silent", func(w *world, rng *rand.Rand) func() { return disturb(w.storeProxies, rng, silence, false) }},
-	{"store-one-way", func(w *world, rng *rand.Rand) func() { return disturb(w.storeProxies, rng, oneWay, false) }},
-	{"store-slow", func(w *world, rng *rand.Rand) func() { return disturb(w.storeProxies, rng, delay, true) }},
-	{"server-silent", func(w *world, rng *rand.Rand) func() { return disturb(w.servers, rng, silence, false) }},
-	{"server-one-way", func(w *world, rng *rand.Rand) func() { return disturb(w.servers, rng, oneWay, false) }},
-	{"server-reset", func(w *world, rng *rand.Rand) func() { return disturb(w.servers, rng, pass, true) }},
-	{"client-reset", func(w *world, rng *rand.Rand) func() { return disturb(w.fronts, rng, pass, true) }},
-	{"lost-answers", func(w *world, rng *rand.Rand) func() {
-		if p := w.anyGroup(rng).Primary(); p != nil {
+	{"reload", func(tb *testbed, rng *rand.Rand) func() { tb.randomVM(rng).signal(syscall.SIGHUP); return func() {} }},
+	{"store-silent", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.storeProxies, rng, stall, false) }},
+	{"store-one-way", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.storeProxies, rng, stallReplies, false) }},
+	{"store-slow", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.storeProxies, rng, delay, true) }},
+	{"server-silent", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.serverProxies, rng, stall, false) }},
+	{"server-one-way", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.serverProxies, rng, stallReplies, false) }},
+	{"server-reset", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.serverProxies, rng, forward, true) }},
+	{"client-reset", func(tb *testbed, rng *rand.Rand) func() { return impair(tb.clientProxies, rng, forward, true) }},
+	{"lost-answers", func(tb *testbed, rng *rand.Rand) func() {
+		if p := tb.randomGroup(rng).Primary(); p != nil {
 			p.LoseAnswers(3)
 		}
 		return func() {}
 	}},
-	{"late-orders", func(w *world, _ *rand.Rand) func() { w.store.LoseOrders(2, 2*time.Second); return func() {} }},
-	{"deaf-replicas", func(w *world, rng *rand.Rand) func() {
-		replicas := w.anyGroup(rng).Replicas()
+	{"late-orders", func(tb *testbed, _ *rand.Rand) func() { tb.store.LoseOrders(2, 2*time.Second); return func() {} }},
+	{"deaf-replicas", func(tb *testbed, rng *rand.Rand) func() {
+		replicas := tb.randomGroup(rng).Replicas()
 		for _, s := range replicas {
 			s.SetDeaf(true)
 		}
@@ -128,27 +130,27 @@
 			}
 		}
 	}},
-	{"step-down", func(w *world, rng *rand.Rand) func() {
-		if p := w.anyGroup(rng).Primary(); p != nil {
-			managed.Drain(w.store, p)
-			return func() { managed.Undrain(w.store, p) }
+	{"step-down", func(tb *testbed, rng *rand.Rand) func() {
+		if p := tb.randomGroup(rng).Primary(); p != nil {
+			managed.Drain(tb.store, p)
+			return func() { managed.Undrain(tb.store, p) }
 		}
 		return func() {}
 	}},
-	{"configuration", func(w *world, _ *rand.Rand) func() { w.declare(); return func() {} }},
-	{"lost-history", func(w *world, _ *rand.Rand) func() { w.store.Forget(); return func() {} }},
+	{"configuration", func(tb *testbed, _ *rand.Rand) func() { tb.publishConfig(); return func() {} }},
+	{"lost-history", func(tb *testbed, _ *rand.Rand) func() { tb.store.Forget(); return func() {} }},
 }
 
-// injectFaults starts faults in overlapping series until the time is over, and
-// ends all of them.
-func (w *world) injectFaults(r *Report) {
-	rng := rand.New(rand.NewPCG(w.o.Seed, 1))
-	end := time.Now().Add(w.o.Time)
+// injectFaults starts random faults, which may overlap, for the time in the options.
+// It returns when all of them have ended.
+func (tb *testbed) injectFaults(r *Report) {
+	rng := rand.New(rand.NewPCG(tb.options.Seed, 1))
+	end := time.Now().Add(tb.options.Time)
 	var wg sync.WaitGroup
 	for time.Now().Before(end) {
 		f := faults[rng.IntN(len(faults))]
 		r.Faults = append(r.Faults, f.name)
-		stop := f.start(w, rng)
+		stop := f.start(tb, rng)
 		length := 200*time.Millisecond + rand.N(3*time.Second)
 		wg.Go(func() { time.Sleep(length); stop() })
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
@@ -156,123 +158,126 @@
 	wg.Wait()
 }
 
-func (w *world) anyVM(rng *rand.Rand) *vm { return w.vms[rng.IntN(len(w.vms))] }
+func (tb *testbed) randomVM(rng *rand.Rand) *vm { return tb.vms[rng.IntN(len(tb.vms))] }
 
-func (w *world) anyGroup(rng *rand.Rand) *managed.Group {
-	return w.groups[managed.GroupName(rng.IntN(groups))]
+func (tb *testbed) randomGroup(rng *rand.Rand) *managed.Group {
+	return tb.groups[managed.GroupName(rng.IntN(groupCount))]
 }
 
-// stopVM ends a VM's process with the signal and returns what starts it again.
-func (w *world) stopVM(rng *rand.Rand, s syscall.Signal) func() {
-	v := w.anyVM(rng)
+// stopVM sends the signal to a random VM's process. The returned function waits for
+// the end of the process and starts it again.
+func (tb *testbed) stopVM(rng *rand.Rand, s syscall.Signal) func() {
+	v := tb.randomVM(rng)
 	v.signal(s)
 	return func() {
 		v.signal(syscall.SIGCONT)
 		v.wait(7 * time.Second)
-		if err := w.start(v); err != nil {
+		if err := tb.start(v); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// disturb changes what one of the proxies does, in the order of its name.
-func disturb(proxies map[string]*proxy, rng *rand.Rand, m mode, reset bool) func() {
+// impair changes the mode of a random proxy, and resets its connections if reset is
+// set. The proxies are sorted by name, so that the choice depends only on the seed.
+func impair(proxies map[string]*proxy, rng *rand.Rand, m mode, reset bool) func() {
 	p := proxies[slices.Sorted(maps.Keys(proxies))[rng.IntN(len(proxies))]]
-	p.set(m)
+	p.setMode(m)
 	if reset {
-		p.reset()
+		p.resetConnections()
 	}
-	return func() { p.set(pass) }
+	return func() { p.setMode(forward) }
 }
 
-// load is the clients and what they were told.
-type load struct {
-	w                        *world
+// workload holds the clients' counters and checks their answers.
+type workload struct {
+	testbed                  *testbed
 	checker                  *managed.Checker
 	served, refused, unknown atomic.Int64
-	lastWrite                atomic.Int64 // Unix nanoseconds of the latest success
+	lastWriteAt              atomic.Int64 // Unix nanoseconds of the latest success
 }
 
-// recovers waits for a write that succeeds after now.
-func (l *load) recovers() bool {
+// awaitRecovery waits until a write succeeds at least 1 s after the call, and reports
+// whether that happened within maxRecoveryTime.
+func (w *workload) awaitRecovery() bool {
 	from := time.Now()
-	for time.Since(from) < recoverWithin {
-		if l.lastWrite.Load() > from.Add(time.Second).UnixNano() {
+	for time.Since(from) < maxRecoveryTime {
+		if w.lastWriteAt.Load() > from.Add(time.Second).UnixNano() {
 			return true
 		}
-		time.Sleep(pace)
+		time.Sleep(clientInterval)
 	}
 	return false
 }
 
-// client writes and reads an item of its own until ctx is done, on any VM that
-// takes it.
-func (l *load) client(ctx context.Context, home, number int) {
-	group := number % groups
+// runClient writes and reads its own item until ctx is done. It starts at the VM
+// with index home and goes to the next VM whenever its session fails.
+func (w *workload) runClient(ctx context.Context, home, number int) {
+	group := number % groupCount
 	item := fmt.Sprintf("item-%d", number)
 	value := 0
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		kind, bound := managed.Latest, time.Duration(0)
 		if attempt%2 == 1 {
-			kind, bound = managed.Own, ownBound
+			kind, bound = managed.Own, maxOwnStaleness
 		}
-		vm := l.w.vms[(home+attempt)%len(l.w.vms)].name
-		c, err := l.connect(vm, managed.Database(kind, group), number%customers, fmt.Sprintf("%d-%d", number, attempt))
+		vm := w.testbed.vms[(home+attempt)%len(w.testbed.vms)].name
+		c, err := w.connect(vm, managed.Database(kind, group), number%customerCount, fmt.Sprintf("%d-%d", number, attempt))
 		if err != nil {
-			time.Sleep(pace)
+			time.Sleep(clientInterval)
 			continue
 		}
-		for ctx.Err() == nil && l.once(c, l.w.groups[managed.GroupName(group)], item, &value, bound) {
-			time.Sleep(pace)
+		for ctx.Err() == nil && w.writeAndRead(c, w.testbed.groups[managed.GroupName(group)], item, &value, bound) {
+			time.Sleep(clientInterval)
 		}
 		c.conn.Close()
 	}
 }
 
-// once writes the next value and reads it back. It reports whether the session
-// can go on.
-func (l *load) once(c *client, g *managed.Group, item string, value *int, bound time.Duration) bool {
+// writeAndRead writes the next value and reads it back. It reports whether the
+// session is still usable.
+func (w *workload) writeAndRead(c *client, g *managed.Group, item string, value *int, bound time.Duration) bool {
 	*value++
-	id, a := c.do(statement.Write, fmt.Sprintf("%s %d", item, *value))
-	l.checker.Wrote(g, item, *value, id, a.Code)
-	l.count(a.Code)
+	id, a := c.send(statement.Write, fmt.Sprintf("%s %d", item, *value))
+	w.checker.Wrote(g, item, *value, id, a.Code)
+	w.count(a.Code)
 	if a.Code == statement.OK {
-		l.lastWrite.Store(time.Now().UnixNano())
-		bound = 0 // a session sees its own write at once
+		w.lastWriteAt.Store(time.Now().UnixNano())
+		bound = 0 // a session must see its own acknowledged write
 	}
 	if a.Code == statement.Lost {
 		return false
 	}
-	begun := time.Now()
-	_, a = c.do(statement.Read, item)
-	l.count(a.Code)
+	start := time.Now()
+	_, a = c.send(statement.Read, item)
+	w.count(a.Code)
 	if a.Code == statement.OK {
-		l.checker.Read(g, item, bound, begun, a)
+		w.checker.Read(g, item, bound, start, a)
 	}
 	return a.Code != statement.Lost
 }
 
-func (l *load) count(code statement.Code) {
+func (w *workload) count(code statement.Code) {
 	switch code {
 	case statement.OK:
-		l.served.Add(1)
+		w.served.Add(1)
 	case statement.Lost, statement.InDoubt, statement.Timeout:
-		l.unknown.Add(1)
+		w.unknown.Add(1)
 	default:
-		l.refused.Add(1)
+		w.refused.Add(1)
 	}
 }
 
-// client is a session.
+// client is one client session.
 type client struct {
-	conn net.Conn
-	r    *bufio.Reader
-	name string
-	last int
+	conn   net.Conn
+	r      *bufio.Reader
+	name   string
+	lastID int
 }
 
-func (l *load) connect(vm, database string, customer int, name string) (*client, error) {
-	conn, err := net.DialTimeout("tcp", l.w.fronts[vm].address(), time.Second)
+func (w *workload) connect(vm, database string, customer int, name string) (*client, error) {
+	conn, err := net.DialTimeout("tcp", w.testbed.clientProxies[vm].address(), time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -291,10 +296,11 @@
 	return c, nil
 }
 
-// do runs a statement. A connection that breaks or stays silent answers Lost.
-func (c *client) do(verb statement.Verb, payload string) (string, statement.Answer) {
-	c.last++
-	id := fmt.Sprintf("%s-%d", c.name, c.last)
+// send executes a statement and returns its ID and answer. If the connection fails
+// or callTimeout passes, the answer has the code Lost.
+func (c *client) send(verb statement.Verb, payload string) (string, statement.Answer) {
+	c.lastID++
+	id := fmt.Sprintf("%s-%d", c.name, c.lastID)
 	c.conn.SetDeadline(time.Now().Add(callTimeout))
 	command := statement.Command{ID: id, Verb: verb, Payload: payload}
 	if _, err := c.conn.Write(platform.Client{}.AppendCommand(nil, &command)); err != nil {
--- a/cmd/chestnutsoak/soak/soak_test.go
+++ b/cmd/chestnutsoak/soak/soak_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against promises that are broken by the real program under signals and
-// broken connections. The seed is fixed; longer runs are made by hand.
+// Guards against guarantees that the real program breaks under signals and
+// connection failures. The seed is fixed; use chestnutsoak for longer runs.
 func TestShortSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "chestnutdyke")
 	if out, err := exec.Command("go", "build", "-o", binary, "github.com/chestnutdyke/chestnutdyke/cmd/chestnutdyke").CombinedOutput(); err != nil {
--- a/cmd/chestnutsoak/soak/testbed.go
+++ b/cmd/chestnutsoak/soak/testbed.go
@@ -24,32 +24,33 @@
 )
 
 const (
-	zones     = 3
-	groups    = 2
-	customers = 4
-	rate      = 400 // of each customer; the load stays below it
-	maxConns  = 24
-	lag       = 20 * time.Millisecond
+	zoneCount      = 3
+	groupCount     = 2
+	customerCount  = 4
+	customerRate   = 400 // operations/s per customer; the workload stays below it
+	maxServerConns = 24
+	replicationLag = 20 * time.Millisecond
 )
 
-// world is a deployment on loopback addresses.
-type world struct {
-	o      Options
-	dir    string
-	ctx    context.Context
-	store  *managed.Store
-	groups map[string]*managed.Group
+// testbed is a complete deployment on loopback addresses: the store, the database
+// groups, and the VMs as processes behind proxies.
+type testbed struct {
+	options Options
+	dir     string
+	ctx     context.Context
+	store   *managed.Store
+	groups  map[string]*managed.Group
 
-	storeProxies map[string]*proxy // by VM
-	fronts       map[string]*proxy // by VM: between its clients and it
-	servers      map[string]*proxy // by server
-	vms          []*vm
+	storeProxies  map[string]*proxy // by VM; between the VM and the store
+	clientProxies map[string]*proxy // by VM; between the clients and the VM
+	serverProxies map[string]*proxy // by server; between the VMs and the server
+	vms           []*vm
 
 	mu     sync.Mutex // guards config
 	config standin.Config
 }
 
-// vm is a process.
+// vm is a VM that runs as a process.
 type vm struct {
 	name     string
 	settings string
@@ -58,7 +59,7 @@
 	ended    chan struct{}
 }
 
-// serverCodec is the line protocol from the servers' side.
+// serverCodec implements the server side of the line protocol.
 type serverCodec struct{}
 
 func (serverCodec) ReadOpening(r *bufio.Reader) (group, customer, server string, err error) {
@@ -84,94 +85,94 @@
 	return fmt.Sprintf("%s %d %d.%d 0 0 0 %d", role, p.Term, p.Term, p.Position, connections)
 }
 
-func newWorld(ctx context.Context, o Options) (*world, error) {
+func newTestbed(ctx context.Context, o Options) (*testbed, error) {
 	if o.Logs != "" {
 		if err := os.MkdirAll(o.Logs, 0o700); err != nil {
-			return nil, eris.Wrap(err, "folder for the VMs' logs")
+			return nil, eris.Wrap(err, "create folder for logs")
 		}
 	}
 	dir, err := os.MkdirTemp("", "chestnutsoak")
 	if err != nil {
-		return nil, eris.Wrap(err, "folder for settings")
+		return nil, eris.Wrap(err, "create folder for settings")
 	}
-	w := &world{
-		o: o, dir: dir, ctx: ctx, store: managed.NewStore(), groups: make(map[string]*managed.Group),
-		storeProxies: make(map[string]*proxy), fronts: make(map[string]*proxy), servers: make(map[string]*proxy),
+	tb := &testbed{
+		options: o, dir: dir, ctx: ctx, store: managed.NewStore(), groups: make(map[string]*managed.Group),
+		storeProxies: make(map[string]*proxy), clientProxies: make(map[string]*proxy), serverProxies: make(map[string]*proxy),
 	}
-	for g := range groups {
-		group := managed.NewGroup(managed.GroupName(g), maxConns, lag, serverCodec{})
-		w.groups[group.Name] = group
-		w.store.AddGroup(group)
-		for z := range zones {
-			if err := w.startServer(group, fmt.Sprintf("%s-s%d", group.Name, z), z, z == g); err != nil {
+	for g := range groupCount {
+		group := managed.NewGroup(managed.GroupName(g), maxServerConns, replicationLag, serverCodec{})
+		tb.groups[group.Name] = group
+		tb.store.AddGroup(group)
+		for z := range zoneCount {
+			if err := tb.startServer(group, fmt.Sprintf("%s-s%d", group.Name, z), z, z == g); err != nil {
 				return nil, err
 			}
 		}
 	}
-	w.declare()
+	tb.publishConfig()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for the store")
 	}
-	store := standin.NewStore(w.store, w.current, func(id string) string { return w.servers[id].address() })
+	store := standin.NewStore(tb.store, tb.currentConfig, func(id string) string { return tb.serverProxies[id].address() })
 	go func() {
 		if err := store.Serve(ctx, listener); err != nil {
 			panic(err)
 		}
 	}()
 	for n := range o.VMs {
-		if err := w.addVM(n, listener.Addr().String()); err != nil {
+		if err := tb.addVM(n, listener.Addr().String()); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return tb, nil
 }
 
-func (w *world) startServer(g *managed.Group, id string, z int, primary bool) error {
+func (tb *testbed) startServer(g *managed.Group, id string, z int, primary bool) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return eris.Wrap(err, "listen for a server")
 	}
 	p, err := newProxy(l.Addr().String())
 	if err != nil {
-		return eris.Wrap(err, "proxy of a server")
+		return eris.Wrap(err, "start proxy of a server")
 	}
-	w.servers[id] = p
-	s := g.Add(w.ctx, id, zoneName(z), l, primary)
-	go managed.Report(w.ctx, w.store, s)
+	tb.serverProxies[id] = p
+	s := g.Add(tb.ctx, id, zoneName(z), l, primary)
+	go managed.Report(tb.ctx, tb.store, s)
 	return nil
 }
 
 func zoneName(z int) string { return fmt.Sprintf("zone-%d", z) }
 
-func (w *world) current() *standin.Config {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.config
+func (tb *testbed) currentConfig() *standin.Config {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	c := tb.config
 	return &c
 }
 
-// declare writes the configuration, with a version of its own each time.
-func (w *world) declare() {
-	w.mu.Lock()
-	c := standin.Config{Version: w.config.Version + 3, TxIdle: 3 * time.Second}
-	for g := range groups {
+// publishConfig writes the configuration with a new version.
+func (tb *testbed) publishConfig() {
+	tb.mu.Lock()
+	c := standin.Config{Version: tb.config.Version + 3, TxIdle: 3 * time.Second}
+	for g := range groupCount {
 		name := managed.GroupName(g)
-		c.Groups = append(c.Groups, catalog.Group{Name: name, MaxConnections: maxConns})
+		c.Groups = append(c.Groups, catalog.Group{Name: name, MaxConnections: maxServerConns})
 		c.Routes = append(c.Routes,
 			catalog.Route{Database: managed.Database(managed.Latest, g), Consistency: catalog.Latest},
-			catalog.Route{Database: managed.Database(managed.Own, g), Consistency: catalog.ReadYourWrites, MaxStaleness: ownBound})
+			catalog.Route{Database: managed.Database(managed.Own, g), Consistency: catalog.ReadYourWrites, MaxStaleness: maxOwnStaleness})
 	}
 	for i := range c.Routes {
 		c.Routes[i].Name, c.Routes[i].Group = c.Routes[i].Database, managed.GroupName(i/2)
 		c.Routes[i].Timeout, c.Routes[i].TargetLatency = time.Second, 200*time.Millisecond
 	}
-	for n := range customers {
-		c.Customers = append(c.Customers, standin.Customer{Name: managed.CustomerName(n), Keys: []string{managed.Key(n)}, Rate: rate, Burst: rate})
+	for n := range customerCount {
+		c.Customers = append(c.Customers, standin.Customer{Name: managed.CustomerName(n), Keys: []string{managed.Key(n)}, Rate: customerRate, Burst: customerRate})
 	}
-	w.config = c
-	w.mu.Unlock()
-	w.store.Put(directory.Configuration, directory.Entry{Name: "main", Config: &catalog.Config{Version: c.Version}})
+	tb.config = c
+	tb.mu.Unlock()
+	tb.store.Put(directory.Configuration, directory.Entry{Name: "main", Config: &catalog.Config{Version: c.Version}})
 }
 
 const settingsFormat = `
@@ -187,69 +188,69 @@
 cloudApi: {address: %[4]q}
 `
 
-func (w *world) addVM(n int, store string) error {
+func (tb *testbed) addVM(n int, store string) error {
 	name := fmt.Sprintf("vm-%d", n)
-	// Runs that go on at the same time have addresses of their own.
+	// The process ID keeps the addresses of concurrent runs apart.
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+n%250)
 	p, err := newProxy(store)
 	if err != nil {
-		return eris.Wrap(err, "proxy of the store")
+		return eris.Wrap(err, "start proxy of the store")
 	}
 	front, err := newProxy(ip + ":7001")
 	if err != nil {
-		return eris.Wrap(err, "proxy of a VM")
+		return eris.Wrap(err, "start proxy of a VM")
 	}
-	w.storeProxies[name], w.fronts[name] = p, front
-	v := &vm{name: name, settings: filepath.Join(w.dir, name+".yaml")}
-	text := fmt.Sprintf(settingsFormat, name, zoneName(n%zones), ip, p.address())
+	tb.storeProxies[name], tb.clientProxies[name] = p, front
+	v := &vm{name: name, settings: filepath.Join(tb.dir, name+".yaml")}
+	text := fmt.Sprintf(settingsFormat, name, zoneName(n%zoneCount), ip, p.address())
 	if err := os.WriteFile(v.settings, []byte(text), 0o600); err != nil {
-		return eris.Wrap(err, "settings of a VM")
+		return eris.Wrap(err, "write settings of a VM")
 	}
-	w.vms = append(w.vms, v)
-	return w.start(v)
+	tb.vms = append(tb.vms, v)
+	return tb.start(v)
 }
 
 // start starts the VM's process.
-func (w *world) start(v *vm) error {
+func (tb *testbed) start(v *vm) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	c := exec.Command(w.o.Binary, "platform")
+	c := exec.Command(tb.options.Binary, "platform")
 	c.Env = append(os.Environ(), platform.SettingsVariable+"="+v.settings)
-	if w.o.Logs != "" {
-		f, err := os.OpenFile(filepath.Join(w.o.Logs, fmt.Sprintf("%d-%s.log", w.o.Seed, v.name)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if tb.options.Logs != "" {
+		f, err := os.OpenFile(filepath.Join(tb.options.Logs, fmt.Sprintf("%d-%s.log", tb.options.Seed, v.name)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
-			return eris.Wrap(err, "log of a VM")
+			return eris.Wrap(err, "open log of a VM")
 		}
 		defer f.Close()
 		c.Stdout, c.Stderr = f, f
 	}
 	if err := c.Start(); err != nil {
-		return eris.Wrap(err, "start of a VM")
+		return eris.Wrap(err, "start a VM")
 	}
 	ended := make(chan struct{})
 	v.process, v.ended = c, ended
 	go func() {
-		// The exit status of a process that was killed says nothing.
+		// The exit status of a killed process carries no information.
 		_ = c.Wait()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal to the VM's process, which this program started.
+// signal sends a signal to the VM's process unless it has ended.
 func (v *vm) signal(s syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	select {
 	case <-v.ended:
 	default:
-		// The process may have ended since; then there is nothing to signal.
+		// The process may have ended in the meantime; the error is then harmless.
 		_ = v.process.Process.Signal(s)
 	}
 }
 
-// wait waits for the end of the VM's process, and kills it if it takes too long.
+// wait waits for the end of the VM's process, and kills it after the limit.
 func (v *vm) wait(limit time.Duration) {
 	v.mu.Lock()
 	ended := v.ended
@@ -262,16 +263,16 @@
 	}
 }
 
-func (w *world) close() {
-	for _, v := range w.vms {
+func (tb *testbed) close() {
+	for _, v := range tb.vms {
 		v.signal(syscall.SIGCONT)
 		v.signal(syscall.SIGKILL)
 		v.wait(time.Second)
 	}
-	for _, set := range []map[string]*proxy{w.storeProxies, w.fronts, w.servers} {
+	for _, set := range []map[string]*proxy{tb.storeProxies, tb.clientProxies, tb.serverProxies} {
 		for _, p := range set {
 			p.close()
 		}
 	}
-	os.RemoveAll(w.dir)
+	os.RemoveAll(tb.dir)
 }
