--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -1,5 +1,5 @@
-// Package testnet is an in-memory network.Network for tests. It uses no sockets
-// and no system timers, so it works inside a testing/synctest bubble.
+// Package testnet provides an in-memory network.Network for tests. It uses no
+// sockets and no system timers, so it works in a testing/synctest bubble.
 package testnet
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Net is a network of named listeners.
+// Net is an in-memory network. Each listener has an arbitrary string as its address.
 type Net struct {
-	mu        sync.Mutex // guards the fields below
-	listeners map[string]*listener
-	down      map[string]bool
-	dials     map[string]int
+	mu         sync.Mutex // guards the fields below
+	listeners  map[string]*listener
+	down       map[string]bool
+	dialCounts map[string]int
 }
 
 // New returns a network without listeners.
 func New() *Net {
-	return &Net{listeners: make(map[string]*listener), down: make(map[string]bool), dials: make(map[string]int)}
+	return &Net{listeners: make(map[string]*listener), down: make(map[string]bool), dialCounts: make(map[string]int)}
 }
 
-// Listen implements network.Network.
+// Listen implements network.Network. It fails if the address is in use.
 func (n *Net) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,20 +35,20 @@
 	return l, nil
 }
 
-// Dial implements network.Network. A dial to an address without a listener, or
-// to one that is down, is refused.
+// Dial implements network.Network. It fails if the address has no listener or is
+// down, and otherwise waits until the listener accepts or ctx is done.
 func (n *Net) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
-	n.dials[address]++
+	n.dialCounts[address]++
 	l, down := n.listeners[address], n.down[address]
 	n.mu.Unlock()
 	if l == nil || down {
 		return nil, eris.Errorf("dial %s: connection refused", address)
 	}
-	ours, theirs := net.Pipe()
+	clientSide, serverSide := net.Pipe()
 	select {
-	case l.accepted <- theirs:
-		return ours, nil
+	case l.accepted <- serverSide:
+		return clientSide, nil
 	case <-l.closed:
 		return nil, eris.Errorf("dial %s: connection refused", address)
 	case <-ctx.Done():
@@ -56,19 +56,19 @@
 	}
 }
 
-// SetDown makes dials to the address fail, or succeed again. Connections that
-// are open stay open.
+// SetDown makes dials to the address fail, or lets them succeed again. Open
+// connections are not affected.
 func (n *Net) SetDown(address string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down[address] = down
 }
 
-// Dials returns the number of dials to the address so far.
+// Dials returns the number of dials to the address so far, including failed ones.
 func (n *Net) Dials(address string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dials[address]
+	return n.dialCounts[address]
 }
 
 type listener struct {
