--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -19,11 +19,11 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// load reads the files of a user. The files that the settings name stand in for
-// secrets and are made here.
-func load(t *testing.T, user string) (*settings.Settings, *state.Config) {
+// load reads the settings and the ticket of an example. It supplies generated
+// contents for the certificate and secret files that the settings refer to.
+func load(t *testing.T, example string) (*settings.Settings, *state.Config) {
 	t.Helper()
-	certificate, key := certify(t)
+	certificate, key := newCertificate(t)
 	read := func(path string) ([]byte, error) {
 		switch {
 		case strings.HasSuffix(path, ".crt"):
@@ -34,7 +34,7 @@
 			return []byte("0123456789abcdef\n"), nil
 		}
 	}
-	path := filepath.Join(user, "settings.yaml")
+	path := filepath.Join(example, "settings.yaml")
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path = filepath.Join(user, "ticket.yaml")
+	path = filepath.Join(example, "ticket.yaml")
 	if data, err = os.ReadFile(path); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	return s, config
 }
 
-func certify(t *testing.T) (certificate, key []byte) {
+func newCertificate(t *testing.T) (certificate, key []byte) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -73,12 +73,12 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: rawKey})
 }
 
-// Guards against examples that are refused, and against examples that differ
-// from the sizes in docs/design.md.
+// Guards against invalid examples, and against examples whose sizes differ from
+// those in docs/design.md.
 func TestExamples(t *testing.T) {
-	for user, connections := range map[string]int{"fes": 20, "peachtree": 30} {
-		t.Run(user, func(t *testing.T) {
-			s, c := load(t, user)
+	for example, connections := range map[string]int{"fes": 20, "peachtree": 30} {
+		t.Run(example, func(t *testing.T) {
+			s, c := load(t, example)
 			if s.TLS.Certificate == nil {
 				t.Error("the certificate was not read")
 			}
@@ -86,29 +86,29 @@
 			if vm == nil || dc.Name != s.DataCentre || vm.Address != s.Advertise {
 				t.Errorf("VM %s of the settings is not in the ticket", s.VM)
 			}
-			vms, stale := 0, 0
+			vms, staleReadRoutes := 0, 0
 			for _, dc := range c.DataCentres {
 				vms += len(dc.VMs)
 			}
 			for _, r := range c.Routes {
 				if r.Access == state.ReadOnly && r.MaxStaleness > 0 {
-					stale++
+					staleReadRoutes++
 				}
 			}
-			if len(c.DataCentres) != 3 || len(c.Groups) != 3 || len(c.Customers) != 8 || vms < 7 || vms > 8 || stale == 0 {
+			if len(c.DataCentres) != 3 || len(c.Groups) != 3 || len(c.Customers) != 8 || vms < 7 || vms > 8 || staleReadRoutes == 0 {
 				t.Errorf("%d data centres, %d groups, %d customers, %d VMs, %d routes that accept some staleness",
-					len(c.DataCentres), len(c.Groups), len(c.Customers), vms, stale)
+					len(c.DataCentres), len(c.Groups), len(c.Customers), vms, staleReadRoutes)
 			}
 			for _, g := range c.Groups {
-				centres := make(map[string]bool)
+				dataCentres := make(map[string]bool)
 				for _, server := range g.Servers {
-					centres[server.DataCentre] = true
+					dataCentres[server.DataCentre] = true
 					if server.Connections != connections || server.Slots != 3 {
 						t.Errorf("server %s has %d connections and %d slots", server.Name, server.Connections, server.Slots)
 					}
 				}
-				if len(g.Servers) != 3 || len(centres) != 3 {
-					t.Errorf("group %s has %d servers in %d data centres", g.Name, len(g.Servers), len(centres))
+				if len(g.Servers) != 3 || len(dataCentres) != 3 {
+					t.Errorf("group %s has %d servers in %d data centres", g.Name, len(g.Servers), len(dataCentres))
 				}
 			}
 		})
