--- a/matrix/client_test.go
+++ b/matrix/client_test.go
@@ -17,15 +17,15 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/history"
 )
 
-// Limits of a client's patience.
+// Time limits of a client's calls.
 const (
-	connectLimit = time.Second
-	// requestLimit is above the deadline of requests, so that a request that the
-	// proxy forgets is told apart from one that it ends late.
-	requestLimit = 4 * time.Second
+	connectTimeout = time.Second
+	// requestTimeout is longer than the deadline of requests, so that a request that
+	// the proxy never answers differs from one that it ends late.
+	requestTimeout = 4 * time.Second
 )
 
-// mode is how a client sends statements.
+// mode is the part of the wire protocol by which a client sends statements.
 type mode int
 
 const (
@@ -35,82 +35,88 @@
 	modeCount
 )
 
-// client is one session. Its requests run one at a time; only abandon and
-// cancel may be called from elsewhere.
+// client is one session. Its requests run one at a time. Only closeAbruptly,
+// cancel and currentActivity may be called from other goroutines than that of its
+// workload.
 type client struct {
-	cell  *cell
+	run   *scenarioRun
 	name  string
 	rng   *rand.Rand
 	mode  mode
-	token string
+	token string // of the session; empty before the first answer
 	vm    int
-	seq   int // of the latest unique value
-	tx    int // ID of the open transaction's Begin; zero if none
+	seq   int // number of the latest unique value
+	tx    int // ID of the Begin request of the open transaction; 0 if there is none
 
 	prepared map[string]bool // statements prepared on conn
 
-	mu    sync.Mutex // guards conn and phase
-	conn  *pgx.Conn
-	phase phase
+	mu       sync.Mutex // guards conn and activity
+	conn     *pgx.Conn
+	activity activity
 }
 
-// phase says what a client does now, for triggers.
-type phase struct {
-	kind    history.Kind
-	busy    bool
-	inTx    bool
-	changes []history.Change
-	commits int    // commits of the group when the request was sent
-	read    uint64 // statements executed by the group when the request was sent
+// activity is what a client is doing, which decides whether a step is reached.
+type activity struct {
+	kind       history.Kind
+	busy       bool
+	inTx       bool
+	changes    []history.Change
+	commits    int    // commits of the group before the request was sent
+	statements uint64 // executed by the group before the request was sent
 }
 
-func newClient(c *cell, name string, vm int) *client {
-	rng := c.newRand(name)
-	return &client{cell: c, name: name, vm: vm, rng: rng, mode: mode(rng.IntN(int(modeCount)))}
+// newClient returns a client that will connect to the VM first. Its name selects
+// its random numbers and its mode.
+func newClient(r *scenarioRun, name string, vm int) *client {
+	rng := r.newRand(name)
+	return &client{run: r, name: name, vm: vm, rng: rng, mode: mode(rng.IntN(int(modeCount)))}
 }
 
-func (cl *client) unique() string {
+// uniqueValue returns a value that no other request writes.
+func (cl *client) uniqueValue() string {
 	cl.seq++
 	return fmt.Sprintf("%s.%d", cl.name, cl.seq)
 }
 
-// connected makes sure that there is a connection. A VM that does not accept
-// one is left for the next.
-func (cl *client) connected() bool {
-	if conn := cl.current(); conn != nil && !conn.IsClosed() {
+// ensureConnected connects the client unless it is connected, and reports whether
+// it is. After a failure the next attempt goes to the next VM.
+func (cl *client) ensureConnected() bool {
+	if conn := cl.currentConn(); conn != nil && !conn.IsClosed() {
 		return true
 	}
 	cl.tx = 0
-	if !cl.cell.warmingUp(cl.vm) && cl.connect() {
-		if !cl.cell.warmingUp(cl.vm) {
+	if !cl.run.isStarting(cl.vm) && cl.connect() {
+		if !cl.run.isStarting(cl.vm) {
 			return true
 		}
-		// The VM was started again after the choice, so the load balancer does not
-		// know it as ready.
+		// The VM was started again while the client connected, so the load balancer
+		// does not consider it ready yet.
 		cl.close()
 	}
-	cl.vm = (cl.vm + 1) % cl.cell.fleet.Profile.VMs
+	cl.vm = (cl.vm + 1) % cl.run.fleet.Profile.VMs
 	return false
 }
 
+// connect opens a connection to the client's VM, with the session's token if it
+// has one, and reports whether that succeeded.
 func (cl *client) connect() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), connectLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	token, moved := cl.token, cl.token != ""
 	if !moved {
 		token = fleet.NewSession
 	}
-	conn, err := cl.cell.fleet.Connect(ctx, customer, route, cl.vm, token)
+	conn, err := cl.run.fleet.Connect(ctx, customer, route, cl.vm, token)
 	if err != nil {
 		return false
 	}
-	cl.cell.recorder.Moved(cl.name, fleet.VMName(cl.vm), moved)
+	cl.run.recorder.Moved(cl.name, fleet.VMName(cl.vm), moved)
 	cl.prepared = make(map[string]bool)
 	cl.setConn(conn)
 	return true
 }
 
-func (cl *client) current() *pgx.Conn {
+func (cl *client) currentConn() *pgx.Conn {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.conn
@@ -122,60 +128,62 @@
 	cl.conn = conn
 }
 
-// move goes on with the session on another VM. An open transaction ends.
-func (cl *client) move() {
+// moveToOtherVM closes the connection, so that the session continues on another
+// VM. An open transaction is lost.
+func (cl *client) moveToOtherVM() {
 	cl.close()
-	cl.vm = (cl.vm + 1 + cl.rng.IntN(cl.cell.fleet.Profile.VMs-1)) % cl.cell.fleet.Profile.VMs
+	cl.vm = (cl.vm + 1 + cl.rng.IntN(cl.run.fleet.Profile.VMs-1)) % cl.run.fleet.Profile.VMs
 }
 
-// close ends the connection in an orderly way.
+// close ends the connection with a Terminate message.
 func (cl *client) close() {
-	conn := cl.current()
+	conn := cl.currentConn()
 	if conn == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), connectLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	_ = conn.Close(ctx) // the connection may be broken
 	cl.setConn(nil)
 }
 
-// abandon cuts the connection at once.
-func (cl *client) abandon() {
-	if conn := cl.current(); conn != nil {
+// closeAbruptly closes the network connection without a Terminate message.
+func (cl *client) closeAbruptly() {
+	if conn := cl.currentConn(); conn != nil {
 		_ = conn.PgConn().Conn().Close()
 	}
 }
 
-// cancel asks for the end of what the session runs.
+// cancel sends a cancel request for the session's running request.
 func (cl *client) cancel() {
-	conn := cl.current()
+	conn := cl.currentConn()
 	if conn == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), connectLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	_ = conn.PgConn().CancelRequest(ctx) // a cancel request has no answer
 }
 
-// do runs a request and records it. It reports whether it was answered.
-func (cl *client) do(r history.Request, sql string, params ...string) bool {
-	conn := cl.current()
+// execute sends a request, records it and its result, and reports whether it was
+// answered without an error.
+func (cl *client) execute(r history.Request, sql string, params ...string) bool {
+	conn := cl.currentConn()
 	r.Session, r.Tx = cl.name, cl.tx
 	if r.Kind == history.Begin {
 		r.Tx = 0
 	}
-	cl.setPhase(phase{
+	cl.setActivity(activity{
 		kind: r.Kind, busy: true, inTx: cl.tx != 0, changes: r.Changes,
-		commits: len(cl.cell.group.Commits()), read: cl.cell.statements(),
+		commits: len(cl.run.group.Commits()), statements: cl.run.statements(),
 	})
-	id := cl.cell.recorder.Invoke(r)
-	ctx, cancel := context.WithTimeout(context.Background(), requestLimit)
+	id := cl.run.recorder.Invoke(r)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	results, err := cl.send(ctx, conn.PgConn(), sql, params)
 	cancel()
-	result := resultOf(r, results, err, strings.Count(sql, ";")+1)
-	cl.cell.recorder.End(id, result)
-	cl.setPhase(phase{kind: r.Kind, inTx: cl.tx != 0})
+	result := toResult(r, results, err, strings.Count(sql, ";")+1)
+	cl.run.recorder.End(id, result)
+	cl.setActivity(activity{kind: r.Kind, inTx: cl.tx != 0})
 	if t := fleet.Token(conn); t != "" {
 		cl.token = t
 	}
@@ -185,23 +193,23 @@
 	return result.Outcome == history.Answered
 }
 
-func (cl *client) setPhase(p phase) {
+func (cl *client) setActivity(a activity) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.phase = p
+	cl.activity = a
 }
 
-func (cl *client) currentPhase() phase {
+func (cl *client) currentActivity() activity {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return cl.phase
+	return cl.activity
 }
 
-// send runs the statement in the client's mode. Statements without parameters
-// use simple queries.
+// send sends the statement in the client's mode. Statements without parameters
+// are sent as simple queries.
 func (cl *client) send(ctx context.Context, conn *pgconn.PgConn, sql string, params []string) ([]*pgconn.Result, error) {
 	if cl.mode == simpleMode || len(params) == 0 {
-		return conn.Exec(ctx, fill(sql, params)).ReadAll()
+		return conn.Exec(ctx, inlineParams(sql, params)).ReadAll()
 	}
 	values := make([][]byte, len(params))
 	for i, p := range params {
@@ -221,16 +229,16 @@
 	return []*pgconn.Result{result}, result.Err
 }
 
-// fill puts literals in the place of parameters.
-func fill(sql string, params []string) string {
+// inlineParams replaces parameters by literals.
+func inlineParams(sql string, params []string) string {
 	for i, p := range params {
 		sql = strings.ReplaceAll(sql, fmt.Sprintf("$%d", i+1), "'"+p+"'")
 	}
 	return sql
 }
 
-// resultOf says what a client learns from an answer to that many statements.
-func resultOf(r history.Request, results []*pgconn.Result, err error, statements int) history.Result {
+// toResult converts the answer to a request of that many statements.
+func toResult(r history.Request, results []*pgconn.Result, err error, statements int) history.Result {
 	if err != nil {
 		return history.Result{Outcome: outcomeOf(err), Code: codeOf(err)}
 	}
@@ -244,17 +252,18 @@
 		}
 	}
 	if len(results) != statements {
-		result.Rows = -len(results) // the answer to a statement is missing
+		result.Rows = -len(results) // never a valid count: the answer to a statement is missing
 	}
-	// A server answers the commit of a transaction that failed with ROLLBACK.
-	if r.Kind == history.Commit && !slices.ContainsFunc(results, committed) {
+	// The command tag of the commit of a failed transaction is ROLLBACK.
+	if r.Kind == history.Commit && !slices.ContainsFunc(results, isCommit) {
 		result.Outcome = history.RolledBack
 	}
 	return result
 }
 
-func committed(r *pgconn.Result) bool { return r.CommandTag.String() == "COMMIT" }
+func isCommit(r *pgconn.Result) bool { return r.CommandTag.String() == "COMMIT" }
 
+// outcomeOf returns what an error says about whether the request took effect.
 func outcomeOf(err error) history.Outcome {
 	var pg *pgconn.PgError
 	switch {
@@ -273,9 +282,12 @@
 	}
 }
 
-// notSent is the code of requests that found their connection closed.
+// notSent is the code of requests that were not sent because the connection was
+// closed.
 const notSent = "not sent"
 
+// codeOf returns the SQLSTATE of an error, notSent, or the text of an error that
+// has neither.
 func codeOf(err error) string {
 	if err == nil {
 		return ""
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -9,182 +9,187 @@
 
 type server = dbgroup.Server
 
-// fault is something that goes wrong. cause takes effect at once and registers
-// what ends it.
+// fault is a failure to inject. cause takes effect at once and registers with
+// onHeal what ends the fault.
 type fault struct {
 	name  string
-	cause func(c *cell)
+	cause func(r *scenarioRun)
 }
 
 var faults = []fault{
-	{"stop-primary", func(c *cell) { c.stop(c.primary()) }},
-	{"stop-replica", func(c *cell) { c.stop(c.replica()) }},
-	{"stop-replicas", func(c *cell) { c.stop(c.replicas()...) }},
-	{"restart-primary", func(c *cell) { c.restart(c.primary()) }},
-	{"pause-primary", func(c *cell) { c.pause(c.primary()) }},
-	{"pause-replica", func(c *cell) { c.pause(c.replica()) }},
-	{"isolate-primary", func(c *cell) { c.isolate(c.primary().DataCentre()) }},
-	{"isolate-replica", func(c *cell) { c.isolate(c.replica().DataCentre()) }},
+	{"stop-primary", func(r *scenarioRun) { r.stop(r.primary()) }},
+	{"stop-replica", func(r *scenarioRun) { r.stop(r.replica()) }},
+	{"stop-replicas", func(r *scenarioRun) { r.stop(r.replicas()...) }},
+	{"restart-primary", func(r *scenarioRun) { r.restart(r.primary()) }},
+	{"pause-primary", func(r *scenarioRun) { r.pause(r.primary()) }},
+	{"pause-replica", func(r *scenarioRun) { r.pause(r.replica()) }},
+	{"isolate-primary", func(r *scenarioRun) { r.isolate(r.primary().DataCentre()) }},
+	{"isolate-replica", func(r *scenarioRun) { r.isolate(r.replica().DataCentre()) }},
 	{"flapping-partition", flappingPartition},
-	{"hold-replica", func(c *cell) { c.holdReplication(c.replica()) }},
-	{"hold-replicas", func(c *cell) { c.holdReplication(c.replicas()...) }},
+	{"hold-replica", func(r *scenarioRun) { r.holdReplication(r.replica()) }},
+	{"hold-replicas", func(r *scenarioRun) { r.holdReplication(r.replicas()...) }},
 	{"slow-replication", slowReplication},
 	{"isolate-replication", isolateReplication},
-	{"break-before-commit", func(c *cell) { c.breakConnections(dbgroup.BeforeCommit) }},
-	{"break-after-commit", func(c *cell) { c.breakConnections(dbgroup.AfterCommit) }},
-	{"break-answer", func(c *cell) { c.breakConnections(dbgroup.MidAnswer) }},
+	{"break-before-commit", func(r *scenarioRun) { r.breakConnections(dbgroup.BeforeCommit) }},
+	{"break-after-commit", func(r *scenarioRun) { r.breakConnections(dbgroup.AfterCommit) }},
+	{"break-answer", func(r *scenarioRun) { r.breakConnections(dbgroup.MidAnswer) }},
 	{"late-answer", lateAnswer},
-	{"reset-connections", func(c *cell) { c.fleet.ResetVM(c.focusVM()) }},
+	{"reset-connections", func(r *scenarioRun) { r.fleet.ResetVM(r.focusVM()) }},
 	{"kill-vm", killVM},
 	{"restart-vm", restartVM},
 	{"cut-off-vm", cutOffVM},
 	{"cut-off-clients", cutOffClients},
-	{"store-refuses", func(c *cell) { c.storeOutage(store.Refusing) }},
-	{"store-hangs", func(c *cell) { c.storeOutage(store.Hanging) }},
-	{"client-leaves", func(c *cell) { c.focus.abandon() }},
-	{"cancel", func(c *cell) { c.focus.cancel() }},
+	{"store-refuses", func(r *scenarioRun) { r.storeOutage(store.Refusing) }},
+	{"store-hangs", func(r *scenarioRun) { r.storeOutage(store.Hanging) }},
+	{"client-leaves", func(r *scenarioRun) { r.focus.closeAbruptly() }},
+	{"cancel", func(r *scenarioRun) { r.focus.cancel() }},
 }
 
-// Times of faults that come and go by themselves.
+// Shortest and longest phase of faults that start and end several times, and
+// downtime of what restarts.
 const (
-	shortestOutage = 20 * time.Millisecond
-	longestOutage  = 600 * time.Millisecond
+	minOutage = 20 * time.Millisecond
+	maxOutage = 600 * time.Millisecond
 )
 
-func (c *cell) outage() time.Duration {
-	return shortestOutage + time.Duration(c.rng.Int64N(int64(longestOutage-shortestOutage)))
+// outage returns a random duration between minOutage and maxOutage.
+func (r *scenarioRun) outage() time.Duration {
+	return minOutage + time.Duration(r.rng.Int64N(int64(maxOutage-minOutage)))
 }
 
 // primary returns the server of the latest term.
-func (c *cell) primary() *server {
-	terms := c.group.TermStarts()
-	return c.group.Server(terms[len(terms)-1].Server)
+func (r *scenarioRun) primary() *server {
+	terms := r.group.TermStarts()
+	return r.group.Server(terms[len(terms)-1].Server)
 }
 
-func (c *cell) replicas() []*server {
+func (r *scenarioRun) replicas() []*server {
 	var found []*server
-	for _, s := range c.group.Servers() {
-		if s != c.primary() {
+	for _, s := range r.group.Servers() {
+		if s != r.primary() {
 			found = append(found, s)
 		}
 	}
 	return found
 }
 
-func (c *cell) replica() *server {
-	all := c.replicas()
-	return all[c.rng.IntN(len(all))]
+func (r *scenarioRun) replica() *server {
+	all := r.replicas()
+	return all[r.rng.IntN(len(all))]
 }
 
 // focusVM returns the VM of the focus client.
-func (c *cell) focusVM() int { return focusVM }
+func (r *scenarioRun) focusVM() int { return focusVM }
 
-func (c *cell) stop(servers ...*server) {
+func (r *scenarioRun) stop(servers ...*server) {
 	for _, s := range servers {
 		s.Stop()
-		c.onHeal(func() { c.must(s.Start()) })
+		r.onHeal(func() { r.recordError(s.Start()) })
 	}
 }
 
-func (c *cell) restart(s *server) {
+func (r *scenarioRun) restart(s *server) {
 	s.Stop()
-	time.Sleep(c.outage())
-	c.must(s.Start())
+	time.Sleep(r.outage())
+	r.recordError(s.Start())
 }
 
-func (c *cell) pause(s *server) {
+func (r *scenarioRun) pause(s *server) {
 	s.Pause()
-	c.onHeal(s.Resume)
+	r.onHeal(s.Resume)
 }
 
-// isolate cuts a data centre off and returns what ends that. A data centre that
-// is cut off already is left to the fault that did it.
-func (c *cell) isolate(dc string) (heal func()) {
-	if c.isolated[dc] {
+// isolate cuts a data centre off and returns a function that ends that. If the
+// other fault has already cut it off, isolate does nothing.
+func (r *scenarioRun) isolate(dc string) (heal func()) {
+	if r.isolated[dc] {
 		return func() {}
 	}
-	c.isolated[dc] = true
-	i := c.fleet.Isolate(dc)
+	r.isolated[dc] = true
+	i := r.fleet.Isolate(dc)
 	healed := false
 	heal = func() {
 		if !healed {
 			healed = true
-			c.isolated[dc] = false
+			r.isolated[dc] = false
 			i.Heal()
 		}
 	}
-	c.onHeal(heal)
+	r.onHeal(heal)
 	return heal
 }
 
-// flappingPartition cuts a data centre off again and again.
-func flappingPartition(c *cell) {
-	dc := c.primary().DataCentre()
-	for range 2 + c.rng.IntN(2) {
-		heal := c.isolate(dc)
-		time.Sleep(c.outage())
+// flappingPartition cuts the primary's data centre off and heals it several times,
+// and leaves it cut off until the heal.
+func flappingPartition(r *scenarioRun) {
+	dc := r.primary().DataCentre()
+	for range 2 + r.rng.IntN(2) {
+		heal := r.isolate(dc)
+		time.Sleep(r.outage())
 		heal()
-		time.Sleep(c.outage())
+		time.Sleep(r.outage())
 	}
-	c.isolate(dc)
+	r.isolate(dc)
 }
 
-func (c *cell) holdReplication(servers ...*server) {
+func (r *scenarioRun) holdReplication(servers ...*server) {
 	for _, s := range servers {
 		s.HoldReplication(true)
-		c.onHeal(func() { s.HoldReplication(false) })
+		r.onHeal(func() { s.HoldReplication(false) })
 	}
 }
 
-func slowReplication(c *cell) {
-	for _, s := range c.group.Servers() {
-		s.SetReplicationDelay(50*time.Millisecond + c.outage())
-		c.onHeal(func() { s.SetReplicationDelay(c.fleet.Profile.ReplicationDelay) })
+func slowReplication(r *scenarioRun) {
+	for _, s := range r.group.Servers() {
+		s.SetReplicationDelay(50*time.Millisecond + r.outage())
+		r.onHeal(func() { s.SetReplicationDelay(r.fleet.Profile.ReplicationDelay) })
 	}
 }
 
-func isolateReplication(c *cell) {
-	s := c.primary()
+func isolateReplication(r *scenarioRun) {
+	s := r.primary()
 	s.IsolateReplication(true)
-	c.onHeal(func() { s.IsolateReplication(c.isolated[s.DataCentre()]) })
+	r.onHeal(func() { s.IsolateReplication(r.isolated[s.DataCentre()]) })
 }
 
-// breakConnections breaks some of the connections on which servers answer.
-func (c *cell) breakConnections(m dbgroup.Moment) {
-	for _, s := range c.group.Servers() {
-		s.BreakConnections(dbgroup.Break{Moment: m, Count: 1 + c.rng.IntN(4)})
-		c.onHeal(s.ClearFaults)
+// breakConnections makes each server break 1 to 4 connections at the given moment
+// of a request.
+func (r *scenarioRun) breakConnections(m dbgroup.Moment) {
+	for _, s := range r.group.Servers() {
+		s.BreakConnections(dbgroup.Break{Moment: m, Count: 1 + r.rng.IntN(4)})
+		r.onHeal(s.ClearFaults)
 	}
 }
 
-// lateAnswer delays answers, some of them beyond the deadline of requests.
-func lateAnswer(c *cell) {
-	for _, s := range c.group.Servers() {
-		for range 1 + c.rng.IntN(4) {
-			s.DelayNextAnswer(time.Duration(c.rng.Int64N(int64(2 * c.fleet.Profile.Deadline))))
+// lateAnswer delays 1 to 4 answers of each server, some of them beyond the deadline
+// of requests.
+func lateAnswer(r *scenarioRun) {
+	for _, s := range r.group.Servers() {
+		for range 1 + r.rng.IntN(4) {
+			s.DelayNextAnswer(time.Duration(r.rng.Int64N(int64(2 * r.fleet.Profile.Deadline))))
 		}
-		c.onHeal(s.ClearFaults)
+		r.onHeal(s.ClearFaults)
 	}
 }
 
-func killVM(c *cell) {
-	vm := c.focusVM()
-	c.must(c.fleet.KillVM(vm))
-	c.onHeal(func() { c.startVM(vm) })
+func killVM(r *scenarioRun) {
+	vm := r.focusVM()
+	r.recordError(r.fleet.KillVM(vm))
+	r.onHeal(func() { r.startVM(vm) })
 }
 
-func restartVM(c *cell) {
-	vm := c.focusVM()
-	c.must(c.fleet.KillVM(vm))
-	time.Sleep(c.outage())
-	c.startVM(vm)
+func restartVM(r *scenarioRun) {
+	vm := r.focusVM()
+	r.recordError(r.fleet.KillVM(vm))
+	time.Sleep(r.outage())
+	r.startVM(vm)
 }
 
-func (c *cell) storeOutage(o store.Outage) {
-	c.fleet.Store.SetOutage(o)
-	c.onHeal(func() { c.fleet.Store.SetOutage(store.InService) })
+func (r *scenarioRun) storeOutage(o store.Outage) {
+	r.fleet.Store.SetOutage(o)
+	r.onHeal(func() { r.fleet.Store.SetOutage(store.InService) })
 }
 
-func cutOffVM(c *cell) { c.onHeal(c.fleet.CutOffVM(c.focusVM()).Heal) }
+func cutOffVM(r *scenarioRun) { r.onHeal(r.fleet.CutOffVM(r.focusVM()).Heal) }
 
-func cutOffClients(c *cell) { c.onHeal(c.fleet.CutOffClients(c.focusVM()).Heal) }
+func cutOffClients(r *scenarioRun) { r.onHeal(r.fleet.CutOffClients(r.focusVM()).Heal) }
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -17,231 +17,239 @@
 )
 
 var (
-	oneSeed  = flag.Uint64("seed", 0, "run all cells with this seed; 0 runs CI's share")
-	allSeeds = flag.Uint64("seeds", 0, "run all cells with this many seeds, from 1 on")
-	table    = flag.Bool("table", false, "print what clients saw of each fault that came alone")
-	locks    = flag.Bool("lockrank", false, "check the lock order too, which takes about ten times as long")
+	singleSeed     = flag.Uint64("seed", 0, "run all scenarios with this seed; 0 runs the selection for CI")
+	seedCount      = flag.Uint64("seeds", 0, "run all scenarios with each of this many seeds, starting at 1")
+	printTable     = flag.Bool("table", false, "print the results that clients saw, by fault, for scenarios with one fault")
+	checkLockOrder = flag.Bool("lockrank", false, "check the lock order too; takes about ten times as long")
 )
 
 const (
-	// ciShare is the part of the single faults that CI runs. All of them with the
-	// race detector take several times as long as CI may.
-	ciShare = 6
-	ciPairs = 15
-	// seedPairs is the number of pairs that each seed chooses.
-	seedPairs = 120
-	ciSeed    = 1
+	// CI runs one in ciSingleFaultStride of the scenarios with one fault. All of
+	// them with the race detector take several times as long as CI may.
+	ciSingleFaultStride = 6
+	ciPairCount         = 15
+	// pairsPerSeed is the number of fault pairs that each seed selects.
+	pairsPerSeed = 120
+	ciSeed       = 1
 )
 
-// logTail is the number of log lines that a failing cell shows.
-const logTail = 60
+// logTailLines is the number of log lines that a failing scenario prints.
+const logTailLines = 60
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if *locks {
+	if *checkLockOrder {
 		lockrank.EnableChecks()
 	}
 	os.Exit(m.Run())
 }
 
-// Guards against every broken promise that a fault, or two, at any step of a
-// fleet's work can bring about.
+// Guards against violations of the guarantees in docs/design.md by one fault or
+// two at any step of the fleet's work.
 func TestMatrix(t *testing.T) {
-	total := newTotal()
+	summary := newSummary()
 	t.Cleanup(func() {
-		t.Log(total)
-		if *table {
-			t.Log(total.table())
+		t.Log(summary)
+		if *printTable {
+			t.Log(summary.table())
 		}
 	})
-	for _, p := range plans() {
-		runCell(t, p, total)
+	for _, sc := range selectedScenarios() {
+		runScenario(t, sc, summary)
 	}
 }
 
-// plans returns the cells to run.
-func plans() []plan {
+// selectedScenarios returns the scenarios that the flags select.
+func selectedScenarios() []scenario {
 	switch {
-	case *oneSeed > 0:
-		return append(singles(*oneSeed, 1), pairs(*oneSeed, seedPairs)...)
-	case *allSeeds > 0:
-		var all []plan
-		for seed := range *allSeeds {
-			all = append(all, singles(seed+1, 1)...)
-			all = append(all, pairs(seed+1, seedPairs)...)
+	case *singleSeed > 0:
+		return append(singleFaultScenarios(*singleSeed, 1), faultPairScenarios(*singleSeed, pairsPerSeed)...)
+	case *seedCount > 0:
+		var all []scenario
+		for seed := range *seedCount {
+			all = append(all, singleFaultScenarios(seed+1, 1)...)
+			all = append(all, faultPairScenarios(seed+1, pairsPerSeed)...)
 		}
 		return all
 	default:
-		return append(singles(ciSeed, ciShare), pairs(ciSeed, ciPairs)...)
+		return append(singleFaultScenarios(ciSeed, ciSingleFaultStride), faultPairScenarios(ciSeed, ciPairCount)...)
 	}
 }
 
-// singles returns a cell for each fault at each step, or for one in so many of
-// them, spread over steps and faults.
-func singles(seed uint64, oneIn int) []plan {
-	var all []plan
+// singleFaultScenarios returns one in stride of the scenarios with one fault,
+// spread evenly over steps and faults. A stride of 1 returns all of them.
+func singleFaultScenarios(seed uint64, stride int) []scenario {
+	var all []scenario
 	for i, s := range steps {
 		for k, f := range faults {
-			if (i+k)%oneIn == 0 {
-				all = append(all, newPlan(s, seed, f))
+			if (i+k)%stride == 0 {
+				all = append(all, newScenario(s, seed, f))
 			}
 		}
 	}
 	return all
 }
 
-// pairs returns cells with two faults, chosen by the seed. The first of them are
-// the same for every n.
-func pairs(seed uint64, n int) []plan {
+// faultPairScenarios returns n scenarios with two faults, selected by the seed. A
+// larger n adds scenarios and leaves the others as they are.
+func faultPairScenarios(seed uint64, n int) []scenario {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	var all []plan
+	var all []scenario
 	chosen := make(map[string]bool)
 	for len(all) < n {
 		a, b := rng.IntN(len(faults)), rng.IntN(len(faults))
-		p := newPlan(steps[rng.IntN(len(steps))], seed, faults[a], faults[b])
-		if a != b && !chosen[p.name] {
-			chosen[p.name] = true
-			all = append(all, p)
+		sc := newScenario(steps[rng.IntN(len(steps))], seed, faults[a], faults[b])
+		if a != b && !chosen[sc.name] {
+			chosen[sc.name] = true
+			all = append(all, sc)
 		}
 	}
 	return all
 }
 
-func newPlan(s step, seed uint64, both ...fault) plan {
+func newScenario(s step, seed uint64, faults ...fault) scenario {
 	var names []string
-	for _, f := range both {
+	for _, f := range faults {
 		names = append(names, f.name)
 	}
-	return plan{name: s.name + "/" + strings.Join(names, "+"), step: s, faults: both, seed: seed}
+	return scenario{name: s.name + "/" + strings.Join(names, "+"), step: s, faults: faults, seed: seed}
 }
 
-// runCell runs a cell in a bubble of its own, in parallel with others.
-func runCell(t *testing.T, p plan, total *total) {
-	t.Run(fmt.Sprintf("%s/seed-%d", p.name, p.seed), func(t *testing.T) {
+// runScenario runs a scenario in a synctest bubble of its own, in parallel with
+// others.
+func runScenario(t *testing.T, sc scenario, summary *summary) {
+	t.Run(fmt.Sprintf("%s/seed-%d", sc.name, sc.seed), func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) {
-			r := p.run(t)
-			total.add(p, r)
+			r := sc.run(t)
+			summary.add(sc, r)
 			if !r.ok() {
-				t.Errorf("%s\nrepeat with: %s\n%s", r, repeat(p), r.log.tail(logTail))
+				t.Errorf("%s\nrerun with: %s\n%s", r, rerunCommand(sc), r.log.tail(logTailLines))
 			}
 		})
 	})
 }
 
-// repeat returns the command that runs a cell again.
-func repeat(p plan) string {
-	pattern := "^" + strings.ReplaceAll(strings.ReplaceAll(p.name, "+", `\+`), "/", "$/^") + "$"
-	return fmt.Sprintf("go test ./matrix -run 'Matrix/%s' -seed %d", pattern, p.seed)
+// rerunCommand returns the command that runs a scenario again.
+func rerunCommand(sc scenario) string {
+	pattern := "^" + strings.ReplaceAll(strings.ReplaceAll(sc.name, "+", `\+`), "/", "$/^") + "$"
+	return fmt.Sprintf("go test ./matrix -run 'Matrix/%s' -seed %d", pattern, sc.seed)
 }
 
-// total counts what all cells found.
-type total struct {
-	began time.Time
-
-	mu       sync.Mutex // guards the fields below
-	cells    int
-	failed   int
-	broken   map[string]int
-	outcomes map[history.Outcome]int
-	codes    map[string]int // of requests that were not answered
-	longest  time.Duration
-	seen     map[string]map[string]int // by fault that came alone, then as codes
-	gaps     map[string]time.Duration  // longest by fault that came alone
+// summary counts the results of all scenarios.
+type summary struct {
+	start time.Time
+
+	mu              sync.Mutex // guards the fields below
+	scenarios       int
+	failed          int
+	violations      map[string]int // number of scenarios, by check
+	outcomes        map[history.Outcome]int
+	codes           map[string]int // of requests that were not answered
+	longestRecovery time.Duration
+
+	// Scenarios with one fault only, by fault.
+	codesByFault    map[string]map[string]int // then by outcome and code
+	recoveryByFault map[string]time.Duration  // longest
 }
 
-func newTotal() *total {
-	return &total{
-		began:    time.Now(),
-		broken:   make(map[string]int),
-		outcomes: make(map[history.Outcome]int),
-		codes:    make(map[string]int),
-		seen:     make(map[string]map[string]int),
-		gaps:     make(map[string]time.Duration),
+func newSummary() *summary {
+	return &summary{
+		start:           time.Now(),
+		violations:      make(map[string]int),
+		outcomes:        make(map[history.Outcome]int),
+		codes:           make(map[string]int),
+		codesByFault:    make(map[string]map[string]int),
+		recoveryByFault: make(map[string]time.Duration),
 	}
 }
 
-func (n *total) add(p plan, r *result) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.cells++
+// add counts the result of a scenario.
+func (s *summary) add(sc scenario, r *result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.scenarios++
 	if !r.ok() {
-		n.failed++
+		s.failed++
 	}
 	for _, v := range r.verdicts {
 		if !v.OK() {
-			n.broken[v.Name]++
+			s.violations[v.Name]++
 		} else {
-			n.broken[v.Name] += 0
+			s.violations[v.Name] += 0
 		}
 	}
 	if len(r.problems) > 0 {
-		n.broken["recovery in time"]++
+		s.violations["recovery within the limit"]++
 	}
 	for i := range r.history.Requests {
 		q := &r.history.Requests[i]
-		n.outcomes[q.Outcome]++
+		s.outcomes[q.Outcome]++
 		if q.Code != "" {
-			n.codes[fmt.Sprintf("%s of a %s: %s", q.Outcome, q.Kind, q.Code)]++
+			s.codes[fmt.Sprintf("%s of a %s: %s", q.Outcome, q.Kind, q.Code)]++
 		}
 	}
-	n.longest = max(n.longest, r.gap)
-	if len(p.faults) == 1 {
-		n.addSeen(p.faults[0].name, r)
+	s.longestRecovery = max(s.longestRecovery, r.recoveryTime)
+	if len(sc.faults) == 1 {
+		s.addByFault(sc.faults[0].name, r)
 	}
 }
 
-// addSeen counts what clients saw of a fault. The caller holds n.mu.
-func (n *total) addSeen(fault string, r *result) {
-	if n.seen[fault] == nil {
-		n.seen[fault] = make(map[string]int)
+// addByFault counts the results that clients saw under a fault that was the only
+// one. The caller holds s.mu.
+func (s *summary) addByFault(fault string, r *result) {
+	if s.codesByFault[fault] == nil {
+		s.codesByFault[fault] = make(map[string]int)
 	}
 	for i := range r.history.Requests {
 		if q := &r.history.Requests[i]; q.Code != "" {
-			n.seen[fault][fmt.Sprintf("%s %.12s", q.Outcome, q.Code)]++
+			s.codesByFault[fault][fmt.Sprintf("%s %.12s", q.Outcome, q.Code)]++
 		}
 	}
-	n.gaps[fault] = max(n.gaps[fault], r.gap)
+	s.recoveryByFault[fault] = max(s.recoveryByFault[fault], r.recoveryTime)
 }
 
-// table gives, by fault, how requests ended that were not answered.
-func (n *total) table() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// table lists, by fault, the longest recovery and the outcomes and codes of
+// requests that were not answered.
+func (s *summary) table() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var b strings.Builder
 	for _, f := range faults {
-		fmt.Fprintf(&b, "\n%s: recovery %v", f.name, n.gaps[f.name].Round(time.Millisecond))
-		for _, code := range sorted(n.seen[f.name]) {
-			fmt.Fprintf(&b, ", %s x%d", code, n.seen[f.name][code])
+		fmt.Fprintf(&b, "\n%s: recovery %v", f.name, s.recoveryByFault[f.name].Round(time.Millisecond))
+		for _, code := range sortedKeys(s.codesByFault[f.name]) {
+			fmt.Fprintf(&b, ", %s x%d", code, s.codesByFault[f.name][code])
 		}
 	}
 	return b.String()
 }
 
-// String gives the counts by verdict.
-func (n *total) String() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// String lists the violations by check, the requests by outcome and code, and the
+// longest recovery.
+func (s *summary) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d cells, %d failed, in %v\n", n.cells, n.failed, time.Since(n.began).Round(time.Second))
-	for _, name := range sorted(n.broken) {
-		fmt.Fprintf(&b, "  %-50s broken in %d cells\n", name, n.broken[name])
+	fmt.Fprintf(&b, "%d scenarios, %d failed, in %v\n", s.scenarios, s.failed, time.Since(s.start).Round(time.Second))
+	for _, name := range sortedKeys(s.violations) {
+		fmt.Fprintf(&b, "  %-50s violated in %d scenarios\n", name, s.violations[name])
 	}
 	for o := history.Pending; o <= history.Unknown; o++ {
-		fmt.Fprintf(&b, "  requests %-15s %d\n", o, n.outcomes[o])
+		fmt.Fprintf(&b, "  requests %-15s %d\n", o, s.outcomes[o])
 	}
-	for _, code := range sorted(n.codes) {
-		fmt.Fprintf(&b, "    %6d %s\n", n.codes[code], code)
+	for _, code := range sortedKeys(s.codes) {
+		fmt.Fprintf(&b, "    %6d %s\n", s.codes[code], code)
 	}
-	fmt.Fprintf(&b, "  longest time from the heal to an acknowledged write on all VMs: %v", n.longest)
+	fmt.Fprintf(&b, "  longest recovery (from the heal, or the readiness of a restarted VM, to an acknowledged write): %v", s.longestRecovery)
 	return b.String()
 }
 
-func sorted(m map[string]int) []string {
-	var names []string
-	for name := range m {
-		names = append(names, name)
+// sortedKeys returns the keys of a map in alphabetical order.
+func sortedKeys(m map[string]int) []string {
+	var keys []string
+	for key := range m {
+		keys = append(keys, key)
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(keys)
+	return keys
 }
--- a/matrix/planned_test.go
+++ b/matrix/planned_test.go
@@ -7,19 +7,19 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/history"
 )
 
-// shutdownCode is the SQLSTATE with which a VM that stops ends its sessions
+// shutdownCode is the SQLSTATE with which a VM that shuts down ends its sessions
 // between two requests.
 const shutdownCode = "57P01"
 
-// Guards against planned work that costs a request: a switchover, a ticket or a
-// VM that stops, without any fault.
+// Guards against planned operations that make a request fail: a switchover, a
+// ticket and the shutdown of a VM, without any fault.
 func TestPlannedWork(t *testing.T) {
 	for _, stepName := range []string{"switchover-drained", "ticket-applied", "vm-leaves"} {
 		t.Run(stepName, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlan(stepOf(t, stepName), max(*oneSeed, ciSeed))
-				r := p.run(t)
+				sc := newScenario(findStep(t, stepName), max(*singleSeed, ciSeed))
+				r := sc.run(t)
 				if !r.ok() {
 					t.Errorf("%s", r)
 				}
@@ -33,7 +33,7 @@
 	}
 }
 
-func stepOf(t *testing.T, name string) step {
+func findStep(t *testing.T, name string) step {
 	t.Helper()
 	for _, s := range steps {
 		if s.name == name {
--- a/matrix/judge_test.go
+++ b/matrix/result_test.go
@@ -14,30 +14,30 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/history"
 )
 
-// result is what a cell found.
+// result is the outcome of a scenario.
 type result struct {
-	verdicts []history.Verdict
-	problems []string
-	history  history.History
-	gap      time.Duration
-	log      *logBook
+	verdicts     []history.Verdict
+	problems     []string
+	history      history.History
+	recoveryTime time.Duration
+	log          *logBuffer
 }
 
-// judge compares what clients saw with what the servers did.
-func (c *cell) judge() *result {
-	h := c.recorder.History()
+// evaluate checks what clients saw against what the servers did.
+func (r *scenarioRun) evaluate() *result {
+	h := r.recorder.History()
 	return &result{
-		verdicts: history.Check(h, truthOf(c.group, c.primary())),
-		problems: c.problems,
-		history:  h,
-		gap:      c.gap,
-		log:      c.log,
+		verdicts:     history.Check(h, groundTruth(r.group, r.primary())),
+		problems:     r.problems,
+		history:      h,
+		recoveryTime: r.recoveryTime,
+		log:          r.log,
 	}
 }
 
 func (r *result) ok() bool { return len(r.problems) == 0 && len(history.Broken(r.verdicts)) == 0 }
 
-// String explains a failure.
+// String lists the problems and the violated checks.
 func (r *result) String() string {
 	lines := append([]string(nil), r.problems...)
 	for _, v := range history.Broken(r.verdicts) {
@@ -46,8 +46,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// broken reports whether the named check failed.
-func (r *result) broken(check string) bool {
+// violates reports whether the named check failed.
+func (r *result) violates(check string) bool {
 	for _, v := range history.Broken(r.verdicts) {
 		if v.Name == check {
 			return true
@@ -56,8 +56,8 @@
 	return false
 }
 
-// truthOf returns what the servers did, with the given final primary.
-func truthOf(g *dbgroup.Group, primary *server) history.Truth {
+// groundTruth returns what the servers did, with the given final primary.
+func groundTruth(g *dbgroup.Group, primary *server) history.Truth {
 	st := primary.Status()
 	t := history.Truth{Final: history.Point{Term: st.LogTerm, Position: st.Position}}
 	for _, s := range g.TermStarts() {
@@ -82,38 +82,39 @@
 	return changes
 }
 
-// logBook keeps the fleet's log for the report of a failure.
-type logBook struct {
+// logBuffer keeps the fleet's log, which a failing scenario prints. Times in it are
+// relative to the start of the run.
+type logBuffer struct {
 	start time.Time
 
 	mu    sync.Mutex // guards lines
 	lines []string
 }
 
-func newLogBook() *logBook { return &logBook{start: time.Now()} }
+func newLogBuffer() *logBuffer { return &logBuffer{start: time.Now()} }
 
-func (b *logBook) logger() log.Interface {
+func (b *logBuffer) logger() log.Interface {
 	return &log.Logger{Handler: log.HandlerFunc(b.handle), Level: log.DebugLevel}
 }
 
-func (b *logBook) handle(e *log.Entry) error {
+func (b *logBuffer) handle(e *log.Entry) error {
 	var fields []string
 	for name, value := range e.Fields {
 		fields = append(fields, fmt.Sprintf("%s=%v", name, value))
 	}
 	sort.Strings(fields)
-	b.note(e.Message, strings.Join(fields, " "))
+	b.add(e.Message, strings.Join(fields, " "))
 	return nil
 }
 
-func (b *logBook) note(message, detail string) {
+func (b *logBuffer) add(message, detail string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lines = append(b.lines, fmt.Sprintf("%9.3fms %s %s", float64(time.Since(b.start).Microseconds())/1000, message, detail))
 }
 
-// tail returns the last lines.
-func (b *logBook) tail(n int) string {
+// tail returns the last n lines.
+func (b *logBuffer) tail(n int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Join(b.lines[max(len(b.lines)-n, 0):], "\n")
--- a/matrix/steps_test.go
+++ b/matrix/steps_test.go
@@ -9,45 +9,45 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// step is a moment of what a fleet does. A fault is caused once it is reached.
+// step is a moment in the fleet's work at which faults are caused.
 type step struct {
 	name    string
-	focus   func(cl *client)   // what the focus client does again and again
-	prepare func(c *cell)      // starts what the step is part of; may be nil
-	reached func(c *cell) bool // polled
+	focus   func(cl *client)          // sends requests of the focus client; called repeatedly
+	prepare func(r *scenarioRun)      // starts the operation that the step is part of; may be nil
+	reached func(r *scenarioRun) bool // polled
 }
 
 var steps = []step{
-	{"read-sent", focusRead, nil, func(c *cell) bool { return c.phase().busy }},
-	{"read-executed", focusRead, nil, func(c *cell) bool {
-		p := c.phase()
-		return p.busy && c.statements() > p.read
+	{"read-sent", focusRead, nil, func(r *scenarioRun) bool { return r.focusActivity().busy }},
+	{"read-executed", focusRead, nil, func(r *scenarioRun) bool {
+		a := r.focusActivity()
+		return a.busy && r.statements() > a.statements
 	}},
-	{"write-sent", focusWrite, nil, func(c *cell) bool { return c.phase().busy }},
-	{"write-committed", focusWrite, nil, func(c *cell) bool { return c.committed() >= 1 }},
-	{"write-replicated", focusWrite, nil, func(c *cell) bool { return c.committed() >= 2 }},
-	{"tx-open", focusTransaction, nil, func(c *cell) bool {
-		p := c.phase()
-		return p.inTx && p.kind == history.Write
+	{"write-sent", focusWrite, nil, func(r *scenarioRun) bool { return r.focusActivity().busy }},
+	{"write-committed", focusWrite, nil, func(r *scenarioRun) bool { return r.serversWithWrite() >= 1 }},
+	{"write-replicated", focusWrite, nil, func(r *scenarioRun) bool { return r.serversWithWrite() >= 2 }},
+	{"tx-open", focusTransaction, nil, func(r *scenarioRun) bool {
+		a := r.focusActivity()
+		return a.inTx && a.kind == history.Write
 	}},
-	{"tx-commit-sent", focusTransaction, nil, func(c *cell) bool {
-		p := c.phase()
-		return p.busy && p.kind == history.Commit
+	{"tx-commit-sent", focusTransaction, nil, func(r *scenarioRun) bool {
+		a := r.focusActivity()
+		return a.busy && a.kind == history.Commit
 	}},
-	{"tx-committed", focusTransaction, nil, func(c *cell) bool {
-		p := c.phase()
-		return p.busy && p.kind == history.Commit && len(c.group.Commits()) > p.commits
+	{"tx-committed", focusTransaction, nil, func(r *scenarioRun) bool {
+		a := r.focusActivity()
+		return a.busy && a.kind == history.Commit && len(r.group.Commits()) > a.commits
 	}},
-	{"promotion-begins", focusWrite, stopPrimary, func(c *cell) bool { return c.attempting(state.FailoverAdopting) || c.adopted() > 0 }},
-	{"promotion-adopted", focusWrite, stopPrimary, func(c *cell) bool { return c.adopted() > 1 }},
-	{"promotion-done", focusWrite, stopPrimary, func(c *cell) bool { return c.promoted() }},
-	{"switchover-begins", focusWrite, leavePrimary, func(c *cell) bool { return c.attempting(state.FailoverSwitching) }},
-	{"switchover-drained", focusTransaction, leavePrimary, func(c *cell) bool { return c.draining() || c.promoted() }},
-	{"switchover-adopted", focusWrite, leavePrimary, func(c *cell) bool { return c.adopted() > 0 }},
-	{"switchover-done", focusWrite, leavePrimary, func(c *cell) bool { return c.promoted() }},
-	{"ticket-written", focusWrite, revokeKey, func(*cell) bool { return true }},
-	{"ticket-applied", focusWrite, revokeKey, func(c *cell) bool { return c.applied() > 0 }},
-	{"vm-leaves", focusTransaction, leaveVM, func(c *cell) bool { return c.leaving }},
+	{"promotion-begins", focusWrite, stopPrimary, func(r *scenarioRun) bool { return r.failoverAt(state.FailoverAdopting) || r.serversAdopted() > 0 }},
+	{"promotion-adopted", focusWrite, stopPrimary, func(r *scenarioRun) bool { return r.serversAdopted() > 1 }},
+	{"promotion-done", focusWrite, stopPrimary, func(r *scenarioRun) bool { return r.newTermBegun() }},
+	{"switchover-begins", focusWrite, switchOverPrimary, func(r *scenarioRun) bool { return r.failoverAt(state.FailoverSwitching) }},
+	{"switchover-drained", focusTransaction, switchOverPrimary, func(r *scenarioRun) bool { return r.draining() || r.newTermBegun() }},
+	{"switchover-adopted", focusWrite, switchOverPrimary, func(r *scenarioRun) bool { return r.serversAdopted() > 0 }},
+	{"switchover-done", focusWrite, switchOverPrimary, func(r *scenarioRun) bool { return r.newTermBegun() }},
+	{"ticket-written", focusWrite, revokeKey, func(*scenarioRun) bool { return true }},
+	{"ticket-applied", focusWrite, revokeKey, func(r *scenarioRun) bool { return r.vmsWithNewTicket() > 0 }},
+	{"vm-leaves", focusTransaction, stopFocusVM, func(r *scenarioRun) bool { return r.stopping }},
 }
 
 func focusRead(cl *client) { cl.read(cl.sharedKey()) }
@@ -62,72 +62,75 @@
 
 func focusTransaction(cl *client) { cl.transaction(true) }
 
-// stopPrimary makes a promotion necessary.
-func stopPrimary(c *cell) {
-	s := c.primary()
+// stopPrimary stops the primary, which causes a promotion.
+func stopPrimary(r *scenarioRun) {
+	s := r.primary()
 	s.Stop()
-	c.onHeal(func() { c.must(s.Start()) })
+	r.onHeal(func() { r.recordError(s.Start()) })
 }
 
-// leavePrimary asks for a planned switchover.
-func leavePrimary(c *cell) { c.setServer(c.primary().Name(), state.Leaving) }
+// switchOverPrimary sets the primary's service state to leaving, which causes a
+// planned switchover.
+func switchOverPrimary(r *scenarioRun) { r.setServer(r.primary().Name(), state.Leaving) }
 
-// revokeKey revokes the key of a customer whose client is at work. Some seconds
-// after the heal no VM may accept the key any more.
-func revokeKey(c *cell) {
-	c.must(c.fleet.Change(func(cfg *state.Config) { cfg.Customers[revoked].Keys[0].Revoked = true }))
-	c.afterwards = append(c.afterwards, c.checkRevoked)
+// revokeKey revokes a customer's key by a ticket. At the end of the run, no VM may
+// accept the key any more.
+func revokeKey(r *scenarioRun) {
+	r.recordError(r.fleet.Change(func(cfg *state.Config) { cfg.Customers[revokedCustomer].Keys[0].Revoked = true }))
+	r.finalChecks = append(r.finalChecks, r.checkKeyRevoked)
 }
 
-// leaveVM stops the focus client's VM without cutting requests.
-func leaveVM(c *cell) {
-	c.leaving = true
-	ctx, cancel := context.WithTimeout(context.Background(), leaveLimit)
+// stopFocusVM shuts the focus client's VM down gracefully, and starts it again
+// after the heal.
+func stopFocusVM(r *scenarioRun) {
+	r.stopping = true
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	stopped := make(chan error, 1)
-	go func() { stopped <- c.fleet.StopVM(ctx, c.focusVM()) }()
-	c.onHeal(func() {
+	go func() { stopped <- r.fleet.StopVM(ctx, r.focusVM()) }()
+	r.onHeal(func() {
 		if err := <-stopped; err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			c.problem("%v", err)
+			r.problemf("%v", err)
 		}
 		cancel()
-		c.must(c.fleet.KillVM(c.focusVM())) // a transaction may have outlasted the limit
-		c.startVM(c.focusVM())
+		r.recordError(r.fleet.KillVM(r.focusVM())) // a transaction may have delayed the stop beyond stopTimeout
+		r.startVM(r.focusVM())
 	})
 }
 
-// applied returns the number of VMs that apply a later ticket than the first.
-func (c *cell) applied() int {
+// vmsWithNewTicket returns the number of VMs that have a later ticket than the first
+// in force.
+func (r *scenarioRun) vmsWithNewTicket() int {
 	n := 0
-	for i := range c.fleet.Profile.VMs {
-		if vm := c.fleet.VM(i); vm != nil && vm.Tables().Config.Current().Ticket.Number > 1 {
+	for i := range r.fleet.Profile.VMs {
+		if vm := r.fleet.VM(i); vm != nil && vm.Tables().Config.Current().Ticket.Number > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// phase returns what the focus client does.
-func (c *cell) phase() phase { return c.focus.currentPhase() }
+// focusActivity returns the current activity of the focus client.
+func (r *scenarioRun) focusActivity() activity { return r.focus.currentActivity() }
 
 // statements returns the number of statements that the group has executed.
-func (c *cell) statements() uint64 {
+func (r *scenarioRun) statements() uint64 {
 	var n uint64
-	for _, s := range c.group.Servers() {
+	for _, s := range r.group.Servers() {
 		n += s.Statements()
 	}
 	return n
 }
 
-// committed returns the number of servers that hold what the focus client
-// writes now.
-func (c *cell) committed() int {
-	p := c.phase()
-	if !p.busy || len(p.changes) == 0 {
+// serversWithWrite returns the number of servers that hold the first change of the
+// focus client's current request.
+func (r *scenarioRun) serversWithWrite() int {
+	a := r.focusActivity()
+	if !a.busy || len(a.changes) == 0 {
 		return 0
 	}
 	n := 0
-	for _, s := range c.group.Servers() {
-		if change := p.changes[0]; change.Key == "" {
+	for _, s := range r.group.Servers() {
+		if change := a.changes[0]; change.Key == "" {
 			if slices.Contains(s.Entries(), change.Value) {
 				n++
 			}
@@ -138,36 +141,36 @@
 	return n
 }
 
-// adopted returns the number of servers that have promised to a later term than
-// that of the step's beginning.
-func (c *cell) adopted() int {
+// serversAdopted returns the number of servers that have adopted a later term than
+// the primary had before the step was prepared.
+func (r *scenarioRun) serversAdopted() int {
 	n := 0
-	for _, s := range c.group.Servers() {
-		if s.Status().AdoptedTerm > c.term {
+	for _, s := range r.group.Servers() {
+		if s.Status().AdoptedTerm > r.term {
 			n++
 		}
 	}
 	return n
 }
 
-// promoted reports whether a later term than that of the step's beginning has
-// begun.
-func (c *cell) promoted() bool {
-	terms := c.group.TermStarts()
-	return terms[len(terms)-1].Term > c.term
+// newTermBegun reports whether a later term has begun than the primary had before
+// the step was prepared.
+func (r *scenarioRun) newTermBegun() bool {
+	terms := r.group.TermStarts()
+	return terms[len(terms)-1].Term > r.term
 }
 
-// draining reports whether a primary refuses writes for a switchover.
-func (c *cell) draining() bool {
-	return slices.ContainsFunc(c.group.Servers(), func(s *server) bool { return s.Status().SwitchingTo != "" })
+// draining reports whether a primary refuses writes because of a switchover.
+func (r *scenarioRun) draining() bool {
+	return slices.ContainsFunc(r.group.Servers(), func(s *server) bool { return s.Status().SwitchingTo != "" })
 }
 
-// attempting reports whether a VM's attempt to change the primary has come to
-// the given step.
-func (c *cell) attempting(step state.FailoverStep) bool {
+// failoverAt reports whether an attempt of some VM to change the primary is at the
+// given step.
+func (r *scenarioRun) failoverAt(step state.FailoverStep) bool {
 	found := false
-	for i := range c.fleet.Profile.VMs {
-		if vm := c.fleet.VM(i); vm != nil {
+	for i := range r.fleet.Profile.VMs {
+		if vm := r.fleet.VM(i); vm != nil {
 			vm.Tables().Groups.With(groupName, func(g *state.GroupState) { found = found || g.Failover.Step == step })
 		}
 	}
--- a/matrix/workload_test.go
+++ b/matrix/workload_test.go
@@ -9,33 +9,34 @@
 
 const (
 	sharedKeys = 2 // keys that all clients write
-	ownKeys    = 2 // keys that one client writes
-	// The pauses keep cells fast, and let a request in most milliseconds of a
-	// cell be under way.
-	shortestPause  = 2 * time.Millisecond
-	longestPause   = 30 * time.Millisecond
-	reconnectPause = 50 * time.Millisecond
+	ownKeys    = 2 // keys of each client that no other client writes
+	// The pauses are short so that scenarios are fast and a request is in progress
+	// for most of a scenario.
+	minRequestPause = 2 * time.Millisecond
+	maxRequestPause = 30 * time.Millisecond
+	reconnectDelay  = 50 * time.Millisecond
 )
 
-// run makes requests until the cell's workload ends. next chooses each one.
-func (cl *client) run(next func()) {
-	for !cl.cell.ending() {
-		if !cl.connected() {
-			time.Sleep(reconnectPause)
+// runWorkload calls sendRequest until the workload ends, with a random pause after
+// each call.
+func (cl *client) runWorkload(sendRequest func()) {
+	for !cl.run.workloadDone() {
+		if !cl.ensureConnected() {
+			time.Sleep(reconnectDelay)
 			continue
 		}
-		if conn := cl.current(); conn.PgConn().TxStatus() != 'I' {
-			cl.close() // a batch failed after its BEGIN
+		if conn := cl.currentConn(); conn.PgConn().TxStatus() != 'I' {
+			cl.close() // a batch failed after its BEGIN and left a transaction open
 			continue
 		}
-		next()
-		time.Sleep(shortestPause + time.Duration(cl.rng.Int64N(int64(longestPause-shortestPause))))
+		sendRequest()
+		time.Sleep(minRequestPause + time.Duration(cl.rng.Int64N(int64(maxRequestPause-minRequestPause))))
 	}
-	cl.leaveTx()
+	cl.rollbackOpenTx()
 }
 
-// anything makes a request of a random kind.
-func (cl *client) anything() {
+// randomRequest sends a request of a random kind.
+func (cl *client) randomRequest() {
 	switch n := cl.rng.IntN(100); {
 	case n < 20:
 		cl.read(cl.ownKey())
@@ -52,21 +53,21 @@
 	case n < 64:
 		cl.insert()
 	case n < 67:
-		cl.selectThatWrites()
+		cl.writingSelect()
 	case n < 77:
 		cl.append()
 	case n < 82:
-		cl.several()
+		cl.multiStatement()
 	case n < 85:
-		cl.idempotent()
+		cl.idempotentWrite()
 	case n < 87:
-		cl.wholeTransaction()
+		cl.singleQueryTransaction()
 	case n < 93:
 		cl.transaction(cl.rng.IntN(8) > 0)
 	case n < 96:
 		cl.readTransaction()
 	default:
-		cl.move()
+		cl.moveToOtherVM()
 	}
 }
 
@@ -74,17 +75,18 @@
 func (cl *client) sharedKey() string { return fmt.Sprintf("shared-%d", cl.rng.IntN(sharedKeys)) }
 
 func (cl *client) read(key string) bool {
-	return cl.do(history.Request{Kind: history.Read, Key: key}, "SELECT value FROM kv WHERE key = $1", key)
+	return cl.execute(history.Request{Kind: history.Read, Key: key}, "SELECT value FROM kv WHERE key = $1", key)
 }
 
-// readStale accepts old data, but no older than the session's own writes.
+// readStale accepts data up to 300 ms old, but no older than the session's own
+// writes.
 func (cl *client) readStale(key string) bool {
-	return cl.do(history.Request{Kind: history.Read, Key: key},
+	return cl.execute(history.Request{Kind: history.Read, Key: key},
 		"/* chestnutdyke.max_staleness=300ms */ SELECT value FROM kv WHERE key = $1", key)
 }
 
 func (cl *client) readLog() bool {
-	return cl.do(history.Request{Kind: history.ReadLog}, "SELECT entry FROM log")
+	return cl.execute(history.Request{Kind: history.ReadLog}, "SELECT entry FROM log")
 }
 
 func (cl *client) write(returning, idempotent bool, change history.Change, sql string) bool {
@@ -92,60 +94,63 @@
 		Kind: history.Write, Changes: []history.Change{change}, Returning: returning, Idempotent: idempotent,
 	}
 	if change.Key == "" {
-		return cl.do(r, sql, change.Value)
+		return cl.execute(r, sql, change.Value)
 	}
-	return cl.do(r, sql, change.Key, change.Value)
+	return cl.execute(r, sql, change.Key, change.Value)
 }
 
 func (cl *client) upsert(key string) bool {
-	return cl.write(true, false, history.Change{Key: key, Value: cl.unique()}, "UPSERT kv ($1, $2) RETURNING value")
+	return cl.write(true, false, history.Change{Key: key, Value: cl.uniqueValue()}, "UPSERT kv ($1, $2) RETURNING value")
 }
 
 func (cl *client) insert() bool {
-	v := cl.unique()
+	v := cl.uniqueValue()
 	return cl.write(true, false, history.Change{Key: "row-" + v, Value: v}, "INSERT INTO kv VALUES ($1, $2) RETURNING value")
 }
 
-// selectThatWrites looks like a read until a server refuses it as a write.
-func (cl *client) selectThatWrites() bool {
-	return cl.write(true, false, history.Change{Key: cl.ownKey(), Value: cl.unique()}, "SELECT write_kv($1, $2)")
+// writingSelect sends a write that the proxy takes for a read until a server
+// refuses it.
+func (cl *client) writingSelect() bool {
+	return cl.write(true, false, history.Change{Key: cl.ownKey(), Value: cl.uniqueValue()}, "SELECT write_kv($1, $2)")
 }
 
 func (cl *client) append() bool {
-	return cl.write(false, false, history.Change{Value: cl.unique()}, "APPEND log $1")
+	return cl.write(false, false, history.Change{Value: cl.uniqueValue()}, "APPEND log $1")
 }
 
-// idempotent writes a key of its own, because a late repetition would replace
-// later values.
-func (cl *client) idempotent() bool {
-	v := cl.unique()
+// idempotentWrite sends a write that the proxy may repeat. Each writes a new key,
+// because a late repetition would overwrite later values.
+func (cl *client) idempotentWrite() bool {
+	v := cl.uniqueValue()
 	return cl.write(true, true, history.Change{Key: "repeated-" + v, Value: v},
 		"/* chestnutdyke.idempotent=on */ UPSERT kv ($1, $2) RETURNING value")
 }
 
-// several sends statements that run in one implicit transaction.
-func (cl *client) several() bool {
-	a, b, c, key := cl.unique(), cl.unique(), cl.unique(), cl.ownKey()
+// multiStatement sends one simple query with statements that run in one implicit
+// transaction.
+func (cl *client) multiStatement() bool {
+	a, b, c, key := cl.uniqueValue(), cl.uniqueValue(), cl.uniqueValue(), cl.ownKey()
 	r := history.Request{Kind: history.Write, Returning: true, Changes: []history.Change{
 		{Value: a}, {Key: key, Value: b}, {Value: c},
 	}}
-	return cl.do(r, fmt.Sprintf("APPEND log '%s'; UPSERT kv ('%s', '%s') RETURNING value; APPEND log '%s'", a, key, b, c))
+	return cl.execute(r, fmt.Sprintf("APPEND log '%s'; UPSERT kv ('%s', '%s') RETURNING value; APPEND log '%s'", a, key, b, c))
 }
 
-// wholeTransaction sends a transaction in one simple query.
-func (cl *client) wholeTransaction() bool {
-	a, b, key := cl.unique(), cl.unique(), cl.ownKey()
+// singleQueryTransaction sends BEGIN, writes and COMMIT in one simple query.
+func (cl *client) singleQueryTransaction() bool {
+	a, b, key := cl.uniqueValue(), cl.uniqueValue(), cl.ownKey()
 	r := history.Request{Kind: history.Write, Returning: true, Changes: []history.Change{{Value: a}, {Key: key, Value: b}}}
-	return cl.do(r, fmt.Sprintf("BEGIN; APPEND log '%s'; UPSERT kv ('%s', '%s') RETURNING value; COMMIT", a, key, b))
+	return cl.execute(r, fmt.Sprintf("BEGIN; APPEND log '%s'; UPSERT kv ('%s', '%s') RETURNING value; COMMIT", a, key, b))
 }
 
-// transaction runs statements in a transaction, each with a mark of it.
+// transaction runs statements in a transaction, and commits it in one of several
+// ways or rolls it back. Each statement is recorded with the transaction's ID.
 func (cl *client) transaction(commit bool) bool {
-	if !cl.do(history.Request{Kind: history.Begin}, "BEGIN") {
+	if !cl.execute(history.Request{Kind: history.Begin}, "BEGIN") {
 		return false
 	}
 	if !cl.statementsInTx() || !commit {
-		return cl.leaveTx()
+		return cl.rollbackOpenTx()
 	}
 	switch cl.rng.IntN(4) {
 	case 0:
@@ -168,57 +173,60 @@
 }
 
 func (cl *client) commit() bool {
-	ok := cl.do(history.Request{Kind: history.Commit}, "COMMIT")
+	ok := cl.execute(history.Request{Kind: history.Commit}, "COMMIT")
 	cl.tx = 0
 	return ok
 }
 
-// commitWithWrite sends the last write and the commit in one simple query.
+// commitWithWrite sends a last write and the COMMIT in one simple query.
 func (cl *client) commitWithWrite() bool {
-	v := cl.unique()
+	v := cl.uniqueValue()
 	r := history.Request{Kind: history.Commit, Changes: []history.Change{{Value: v}}}
-	ok := cl.do(r, fmt.Sprintf("APPEND log '%s'; COMMIT", v))
+	ok := cl.execute(r, fmt.Sprintf("APPEND log '%s'; COMMIT", v))
 	cl.tx = 0
 	return ok
 }
 
-// commitAndBegin commits and begins the next transaction in one simple query.
+// commitAndBegin sends COMMIT and the BEGIN of the next transaction in one simple
+// query.
 func (cl *client) commitAndBegin() bool {
-	ok := cl.do(history.Request{Kind: history.Commit}, "COMMIT; BEGIN")
+	ok := cl.execute(history.Request{Kind: history.Commit}, "COMMIT; BEGIN")
 	cl.tx = 0
 	if !ok {
-		cl.close() // whether a transaction is open is not known
+		cl.close() // unknown whether the second transaction is open
 		return false
 	}
-	cl.tx = cl.cell.recorder.Invoke(history.Request{Session: cl.name, Kind: history.Begin})
-	cl.cell.recorder.End(cl.tx, history.Result{Outcome: history.Answered})
+	cl.tx = cl.run.recorder.Invoke(history.Request{Session: cl.name, Kind: history.Begin})
+	cl.run.recorder.End(cl.tx, history.Result{Outcome: history.Answered})
 	return true
 }
 
-// leaveTx rolls back what is open.
-func (cl *client) leaveTx() bool {
+// rollbackOpenTx rolls back the open transaction, if there is one. It returns
+// false, so that callers can return its result as their own.
+func (cl *client) rollbackOpenTx() bool {
 	if cl.tx == 0 {
 		return false
 	}
-	if conn := cl.current(); conn != nil && !conn.IsClosed() {
-		cl.do(history.Request{Kind: history.Rollback}, "ROLLBACK")
+	if conn := cl.currentConn(); conn != nil && !conn.IsClosed() {
+		cl.execute(history.Request{Kind: history.Rollback}, "ROLLBACK")
 	}
 	cl.tx = 0
 	return false
 }
 
 func (cl *client) readTransaction() bool {
-	if !cl.do(history.Request{Kind: history.Begin}, "BEGIN READ ONLY") {
+	if !cl.execute(history.Request{Kind: history.Begin}, "BEGIN READ ONLY") {
 		return false
 	}
 	if !cl.read(cl.ownKey()) || !cl.readLog() {
-		return cl.leaveTx()
+		return cl.rollbackOpenTx()
 	}
 	return cl.commit()
 }
 
-// checkReads reads everything that the session wrote.
-func (cl *client) checkReads() {
+// readOwnWrites reads the client's keys and the log, for the check that a session
+// sees its own writes.
+func (cl *client) readOwnWrites() {
 	for i := range ownKeys {
 		cl.read(fmt.Sprintf("%s-%d", cl.name, i))
 	}
