--- a/fleettest/key_search_test.go
+++ b/fleettest/key_search_test.go
@@ -23,35 +23,36 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/telemetry"
 )
 
-// logText is a log handler that keeps all entries with their fields.
-type logText struct {
+// logCapture is a log handler that keeps all entries with their fields as text.
+type logCapture struct {
 	mu   sync.Mutex // guards text
 	text strings.Builder
 }
 
 // HandleLog implements log.Handler.
-func (l *logText) HandleLog(e *log.Entry) error {
+func (l *logCapture) HandleLog(e *log.Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fmt.Fprintf(&l.text, "%s %s %+v\n", e.Level, e.Message, e.Fields)
 	return nil
 }
 
-func (l *logText) String() string {
+func (l *logCapture) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// observed is everything that leaves the VMs other than to clients.
-type observed struct {
-	logs    logText
+// capture holds everything that VMs emit, except what they send to clients, other
+// VMs and the store.
+type capture struct {
+	logs    logCapture
 	spans   *tracetest.InMemoryExporter
 	metrics *telemetry.Metrics
 }
 
-// options makes the VMs report to o.
-func (o *observed) options() fleet.Options {
+// options returns fleet options with which the VMs report to o.
+func (o *capture) options() fleet.Options {
 	o.spans = tracetest.NewInMemoryExporter()
 	provider := trace.NewTracerProvider(trace.WithSyncer(o.spans))
 	o.metrics = telemetry.NewMetrics(&log.Logger{Handler: &o.logs})
@@ -62,11 +63,11 @@
 	}
 }
 
-// texts returns what was observed, by name.
-func (o *observed) texts(w *world) map[string]string {
-	w.t.Helper()
+// texts returns what was captured, by name of the source.
+func (o *capture) texts(h *harness) map[string]string {
+	h.t.Helper()
 	if err := o.metrics.Close(); err != nil {
-		w.t.Error(err)
+		h.t.Error(err)
 	}
 	scrape := httptest.NewRecorder()
 	o.metrics.Handler.ServeHTTP(scrape, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -75,7 +76,7 @@
 		fmt.Fprintf(&spans, "%s %v %v %v\n", s.Name, s.Attributes, s.Events, s.Status)
 	}
 	var startups strings.Builder
-	for _, g := range w.fleet.Groups {
+	for _, g := range h.fleet.Groups {
 		for _, s := range g.Startups() {
 			fmt.Fprintf(&startups, "%+v\n", s)
 		}
@@ -83,41 +84,41 @@
 	return map[string]string{
 		"logs": o.logs.String(), "metrics": scrape.Body.String(), "traces": spans.String(),
 		"start-up messages at backend servers": startups.String(),
-		"bytes sent to backend servers":        string(w.tap.bytesSent()),
+		"bytes sent to backend servers":        string(h.recorder.rawBytes()),
 	}
 }
 
-// Guards against a client's key, or anything that it can be recognised by, in
-// what backend servers see, in logs, in metrics and in traces.
+// Guards against a client's key, its hash or an encoding of them in what backend
+// servers receive, in logs, in metrics and in traces.
 func TestKeyIsNowhereElse(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	var o observed
-	inWorldOptions(t, p, o.options, func(w *world) {
-		c := large(p).Name
-		w.tap.keepEverything()
-		l := w.start(&load{customer: c, rate: 100, sql: func(n string) string {
+	var o capture
+	runWithOptions(t, p, o.options, func(h *harness) {
+		c := largeCustomer(p).Name
+		h.recorder.keepBytes()
+		l := h.startLoad(&load{customer: c, rate: 100, sql: func(n string) string {
 			return fmt.Sprintf("APPEND log 'load/%s/%s'", c, n)
 		}})
 		time.Sleep(2 * time.Second)
-		if _, err := w.connectWith(c, fleet.Key(c)+"-mistyped", p.Groups[0], 0); err == nil {
+		if _, err := h.connectWithKey(c, fleet.Key(c)+"-mistyped", p.Groups[0], 0); err == nil {
 			t.Error("a mistyped key was accepted")
 		}
-		if _, err := w.connectWith(c, fleet.Key(c), "nowhere", 0); err == nil {
+		if _, err := h.connectWithKey(c, fleet.Key(c), "nowhere", 0); err == nil {
 			t.Error("an unknown route was accepted")
 		}
-		w.apply("The key is revoked.", setKeys(c, "-"+fleet.Key(c), "second-key"))
-		w.fleet.Groups[p.Groups[0]].Primary().Stop()
+		h.apply("The key is revoked.", setKeys(c, "-"+fleet.Key(c), "second-key"))
+		h.fleet.Groups[p.Groups[0]].Primary().Stop()
 		time.Sleep(3 * time.Second)
 		l.finish()
-		w.searchFor(fleet.Key(c), o.texts(w))
+		h.checkKeyAbsent(fleet.Key(c), o.texts(h))
 	})
 }
 
-// searchFor fails the test if a text holds the key, its hash, or an encoding of
-// one of them, or is empty, which would say nothing.
-func (w *world) searchFor(key string, texts map[string]string) {
-	w.t.Helper()
+// checkKeyAbsent fails the test if a text contains the key, its hash or an encoding of
+// one of them. An empty text fails the test too, because its search proves nothing.
+func (h *harness) checkKeyAbsent(key string, texts map[string]string) {
+	h.t.Helper()
 	hash := sha256.Sum256([]byte(key))
 	forms := map[string]string{
 		"the key":           key,
@@ -128,21 +129,22 @@
 		"its hash printed":  fmt.Sprint(hash),
 	}
 	for where, text := range texts {
-		w.t.Logf("%s: %d bytes", where, len(text))
+		h.t.Logf("%s: %d bytes", where, len(text))
 		if text == "" {
-			w.t.Errorf("%s: nothing was observed", where)
+			h.t.Errorf("%s: nothing was captured", where)
 		}
 		for what, form := range forms {
 			if bytes.Contains([]byte(text), []byte(form)) {
-				w.t.Errorf("%s: found %s", where, what)
+				h.t.Errorf("%s: found %s", where, what)
 			}
 		}
 	}
 }
 
-// Guards against a search that finds nothing because it looks in the wrong way.
+// Guards against a search of logs that cannot find a key because the captured text
+// lacks fields or errors.
 func TestKeySearchFinds(t *testing.T) {
-	var o logText
+	var o logCapture
 	logger := &log.Logger{Handler: &o, Level: log.DebugLevel}
 	logger.WithField("key", "k-1").WithError(context.Canceled).Debug("a message")
 	if !strings.Contains(o.String(), "k-1") || !strings.Contains(o.String(), "canceled") {
--- a/fleettest/key_test.go
+++ b/fleettest/key_test.go
@@ -15,7 +15,8 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// setKeys changes a customer's keys; revoked ones begin with a minus.
+// setKeys returns a ticket change that replaces a customer's keys. A minus before a
+// key marks it as revoked.
 func setKeys(customer string, keys ...string) func(*state.Config, *ticket.Ticket) {
 	return func(c *state.Config, t *ticket.Ticket) {
 		changed := *c.Customers[customer]
@@ -33,112 +34,114 @@
 	}
 }
 
-// connectWith connects a client with a key of its own; an empty key presents
-// none.
-func (w *world) connectWith(customer, key, route string, vm int) (*pgx.Conn, error) {
-	cfg, err := w.fleet.ClientConfig(customer, route, vm, fleet.NewSession)
+// connectWithKey connects a client with the given key. With an empty key, the client
+// presents none.
+func (h *harness) connectWithKey(customer, key, route string, vm int) (*pgx.Conn, error) {
+	cfg, err := h.fleet.ClientConfig(customer, route, vm, fleet.NewSession)
 	if err != nil {
 		return nil, err
 	}
 	cfg.Password = key
-	return pgx.ConnectConfig(background, cfg)
+	return pgx.ConnectConfig(baseContext, cfg)
 }
 
-// connectAll connects a client to each VM.
-func (w *world) connectAll(customer, key string) []*pgx.Conn {
-	w.t.Helper()
+// connectToAllVMs connects a client to each VM, in the order of their numbers.
+func (h *harness) connectToAllVMs(customer, key string) []*pgx.Conn {
+	h.t.Helper()
 	var all []*pgx.Conn
-	for _, vm := range w.allVMs() {
-		conn, err := w.connectWith(customer, key, w.fleet.Profile.Groups[0], vm)
+	for _, vm := range h.allVMs() {
+		conn, err := h.connectWithKey(customer, key, h.fleet.Profile.Groups[0], vm)
 		if err != nil {
-			w.t.Fatalf("%s: %v", fleet.VMName(vm), err)
+			h.t.Fatalf("%s: %v", fleet.VMName(vm), err)
 		}
 		all = append(all, conn)
 	}
 	return all
 }
 
-// codes returns the SQLSTATEs of one request on each connection.
-func (w *world) codes(conns []*pgx.Conn) []string {
+// requestCodes sends a request on each connection and returns the SQLSTATEs, which
+// are empty for answered requests.
+func (h *harness) requestCodes(conns []*pgx.Conn) []string {
 	var all []string
 	for _, conn := range conns {
-		_, err := conn.Exec(background, "SELECT 1")
+		_, err := conn.Exec(baseContext, "SELECT 1")
 		code, _ := sqlState(err)
 		all = append(all, code)
 	}
 	return all
 }
 
-// want fails the test unless all requests ended with the SQLSTATE.
-func (w *world) want(what, code string, got []string) {
-	w.t.Helper()
+// checkCodes fails the test unless the requests through all VMs ended with the
+// SQLSTATE.
+func (h *harness) checkCodes(what, code string, got []string) {
+	h.t.Helper()
 	for vm, c := range got {
 		if c != code {
-			w.t.Errorf("%s: %s: SQLSTATE %q, want %q", what, fleet.VMName(vm), c, code)
+			h.t.Errorf("%s: %s: SQLSTATE %q, want %q", what, fleet.VMName(vm), c, code)
 		}
 	}
 }
 
-func (w *world) closeAll(conns []*pgx.Conn) {
+func (h *harness) closeAll(conns []*pgx.Conn) {
 	for _, conn := range conns {
-		_ = conn.Close(background)
+		_ = conn.Close(baseContext)
 	}
 }
 
-// Guards against a revoked key that goes on working for connected clients, on
-// any VM, and against a rotation during which a key is refused that should work.
+// Guards against a revoked key that still works for connected clients on any VM, and
+// against the refusal of a valid key during a rotation.
 func TestKeyRevocationAndRotation(t *testing.T) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
-				c := large(p).Name
+			runWithFleet(t, p, func(h *harness) {
+				c := largeCustomer(p).Name
 				old, next := fleet.Key(c), "second-key"
-				clients := w.connectAll(c, old)
-				w.apply("The second key is added.", setKeys(c, old, next))
-				w.waitInForce(w.tickets, w.allVMs())
-				newClients := w.connectAll(c, next)
-				w.want("first key during the rotation", "", w.codes(clients))
-				w.want("second key during the rotation", "", w.codes(newClients))
+				clients := h.connectToAllVMs(c, old)
+				h.apply("The second key is added.", setKeys(c, old, next))
+				h.waitInForce(h.tickets, h.allVMs())
+				newClients := h.connectToAllVMs(c, next)
+				h.checkCodes("first key during the rotation", "", h.requestCodes(clients))
+				h.checkCodes("second key during the rotation", "", h.requestCodes(newClients))
 
-				w.apply("The first key is revoked.", setKeys(c, "-"+old, next))
+				h.apply("The first key is revoked.", setKeys(c, "-"+old, next))
 				applied := time.Now()
-				w.waitInForce(w.tickets, w.allVMs())
-				w.want("revoked key of connected clients", "28P01", w.codes(clients))
+				h.waitInForce(h.tickets, h.allVMs())
+				h.checkCodes("revoked key of connected clients", "28P01", h.requestCodes(clients))
 				t.Logf("refused on all VMs %v after the ticket", time.Since(applied))
 				if took := time.Since(applied); took > inForceWithin {
 					t.Errorf("refused after %v", took)
 				}
-				w.want("second key after the rotation", "", w.codes(newClients))
-				for _, vm := range w.allVMs() {
-					_, err := w.connectWith(c, old, p.Groups[0], vm)
+				h.checkCodes("second key after the rotation", "", h.requestCodes(newClients))
+				for _, vm := range h.allVMs() {
+					_, err := h.connectWithKey(c, old, p.Groups[0], vm)
 					if code, _ := sqlState(err); code != "28P01" {
 						t.Errorf("%s: new session with the revoked key: %v", fleet.VMName(vm), err)
 					}
 				}
-				w.closeAll(clients)
-				w.closeAll(newClients)
+				h.closeAll(clients)
+				h.closeAll(newClients)
 			})
 		})
 	}
 }
 
-// Guards against a revocation that does not reach a transaction or a request
-// under load: after the target no statement of the customer may reach a server.
+// Guards against a revocation that has no effect on transactions or on requests under
+// load: after the target time, no statement of the customer may reach a server.
 func TestKeyRevocationUnderLoad(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
-		c := large(p)
-		l := w.start(&load{customer: c.Name, rate: 100})
+	runWithFleet(t, p, func(h *harness) {
+		c := largeCustomer(p)
+		l := h.startLoad(&load{customer: c.Name, rate: 100})
 		time.Sleep(3 * time.Second)
-		w.apply("The key is revoked.", setKeys(c.Name, "-"+fleet.Key(c.Name), "second-key"))
+		h.apply("The key is revoked.", setKeys(c.Name, "-"+fleet.Key(c.Name), "second-key"))
 		applied := time.Now()
 		time.Sleep(inForceWithin + time.Second)
 		l.finish()
 		var last time.Time
-		for _, s := range w.tap.of(c.Name) {
+		for _, s := range h.recorder.sentFor(c.Name) {
 			last = s.at
 		}
 		t.Logf("the last statement was sent %v after the ticket", last.Sub(applied))
@@ -148,30 +151,30 @@
 	})
 }
 
-// Guards against an open route that asks for a key, and against a route that is
-// not open and does not.
+// Guards against an open route that requires a key, and against another route that
+// requires none.
 func TestKeyOpenRoute(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
-		w.apply("Enquiries are open to all.", func(_ *state.Config, t *ticket.Ticket) {
+	runWithFleet(t, p, func(h *harness) {
+		h.apply("Enquiries are open to all.", func(_ *state.Config, t *ticket.Ticket) {
 			t.Routes["enquiries"] = &state.Route{
 				Name: "enquiries", Group: p.Groups[0], Access: state.ReadOnly, Open: true,
-				ChargedTo: small(p).Name, MaxStaleness: time.Second, Deadline: time.Second,
+				ChargedTo: smallCustomer(p).Name, MaxStaleness: time.Second, Deadline: time.Second,
 			}
 		})
-		w.waitInForce(w.tickets, w.allVMs())
-		for _, vm := range w.allVMs() {
-			conn, err := w.connectWith("anybody", "", "enquiries", vm)
+		h.waitInForce(h.tickets, h.allVMs())
+		for _, vm := range h.allVMs() {
+			conn, err := h.connectWithKey("anybody", "", "enquiries", vm)
 			if err != nil {
 				t.Fatalf("%s: %v", fleet.VMName(vm), err)
 			}
-			if _, err := conn.Exec(background, "SELECT value FROM kv WHERE key = 'a'"); err != nil {
+			if _, err := conn.Exec(baseContext, "SELECT value FROM kv WHERE key = 'a'"); err != nil {
 				t.Errorf("%s: %v", fleet.VMName(vm), err)
 			}
-			w.checkReadOnly(conn)
-			_ = conn.Close(background)
-			_, err = w.connectWith("anybody", "", p.Groups[0], vm)
+			h.checkReadOnly(conn)
+			_ = conn.Close(baseContext)
+			_, err = h.connectWithKey("anybody", "", p.Groups[0], vm)
 			if code, _ := sqlState(err); code != "28P01" {
 				t.Errorf("%s: no key on a route that is not open: %v", fleet.VMName(vm), err)
 			}
@@ -179,102 +182,103 @@
 	})
 }
 
-// checkReadOnly fails the test if a write through the session takes effect. The
-// server refuses it before it runs.
-func (w *world) checkReadOnly(conn *pgx.Conn) {
-	w.t.Helper()
+// checkReadOnly fails the test if a write through the session takes effect, or if it
+// is not refused with 25006, which means that it was not run.
+func (h *harness) checkReadOnly(conn *pgx.Conn) {
+	h.t.Helper()
 	for _, sql := range []string{"APPEND log 'x'", "INSERT INTO kv VALUES ('x', '1')", "SELECT write_kv('x', '1')"} {
 		for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeSimpleProtocol, pgx.QueryExecModeExec} {
-			_, err := conn.Exec(background, sql, mode)
+			_, err := conn.Exec(baseContext, sql, mode)
 			if code, _ := sqlState(err); code != "25006" {
-				w.t.Errorf("%s on a read-only route: %v, want 25006", sql, err)
+				h.t.Errorf("%s on a read-only route: %v, want 25006", sql, err)
 			}
 		}
 	}
-	tx, err := conn.Begin(background)
+	tx, err := conn.Begin(baseContext)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	_, err = tx.Exec(background, "APPEND log 'x'")
+	_, err = tx.Exec(baseContext, "APPEND log 'x'")
 	if code, _ := sqlState(err); code != "25006" {
-		w.t.Errorf("APPEND in a transaction on a read-only route: %v, want 25006", err)
+		h.t.Errorf("APPEND in a transaction on a read-only route: %v, want 25006", err)
 	}
-	_ = tx.Rollback(background)
-	for _, g := range w.fleet.Groups {
+	_ = tx.Rollback(baseContext)
+	for _, g := range h.fleet.Groups {
 		if n := len(g.Commits()); n > 0 {
-			w.t.Errorf("%d commits in group %s", n, g.Name())
+			h.t.Errorf("%d commits in group %s", n, g.Name())
 		}
 	}
 }
 
-// setPolicies gives the large customer a short limit when it is cut off, and the
-// small one none.
-func (w *world) setPolicies(p fleet.Profile, limit time.Duration) {
-	w.t.Helper()
-	w.apply("What VMs that are cut off do.", func(c *state.Config, t *ticket.Ticket) {
-		bounded, always := *c.Customers[large(p).Name], *c.Customers[small(p).Name]
+// setCutOffPolicies lets VMs that are cut off serve the large customer for the limit
+// and the small one without a limit.
+func (h *harness) setCutOffPolicies(p fleet.Profile, limit time.Duration) {
+	h.t.Helper()
+	h.apply("What VMs that are cut off do.", func(c *state.Config, t *ticket.Ticket) {
+		bounded, always := *c.Customers[largeCustomer(p).Name], *c.Customers[smallCustomer(p).Name]
 		bounded.CutOff = state.CutOffPolicy{ServeFor: limit, Reason: "keys are revoked often"}
 		always.CutOff = state.CutOffPolicy{Always: true, Reason: "enquiries"}
 		t.Customers[bounded.Name], t.Customers[always.Name] = &bounded, &always
 	})
-	w.waitInForce(w.tickets, w.allVMs())
+	h.waitInForce(h.tickets, h.allVMs())
 }
 
-// Guards against a VM that is cut off and serves a customer for longer than the
-// customer allows, or stops earlier, and against one that does not recover.
+// Guards against a VM that is cut off and serves a customer for longer or shorter than
+// its policy says, and against one that does not serve it again afterwards.
 func TestKeyCutOffPolicy(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
 	const limit = 30 * time.Second
-	inWorld(t, p, func(w *world) {
-		w.setPolicies(p, limit)
+	runWithFleet(t, p, func(h *harness) {
+		h.setCutOffPolicies(p, limit)
 		vm := 4
-		bounded, _ := w.connectWith(large(p).Name, fleet.Key(large(p).Name), "views-"+p.Groups[0], vm)
-		always, _ := w.connectWith(small(p).Name, fleet.Key(small(p).Name), "views-"+p.Groups[0], vm)
-		cut := w.fleet.Isolate(p.DataCentreOf(vm))
+		bounded, _ := h.connectWithKey(largeCustomer(p).Name, fleet.Key(largeCustomer(p).Name), "views-"+p.Groups[0], vm)
+		always, _ := h.connectWithKey(smallCustomer(p).Name, fleet.Key(smallCustomer(p).Name), "views-"+p.Groups[0], vm)
+		cut := h.fleet.Isolate(p.DataCentreOf(vm))
 		time.Sleep(limit - 7*time.Second)
-		if code := w.codeOf(bounded); code == "28000" {
+		if code := h.readCode(bounded); code == "28000" {
 			t.Error("refused before serve_for had passed")
 		}
 		time.Sleep(8 * time.Second)
-		if code := w.codeOf(bounded); code != "28000" {
+		if code := h.readCode(bounded); code != "28000" {
 			t.Errorf("after serve_for: SQLSTATE %q, want 28000", code)
 		}
-		if code := w.codeOf(always); code == "28000" {
+		if code := h.readCode(always); code == "28000" {
 			t.Error("the customer with always was refused")
 		}
 		cut.Heal()
-		t.Logf("served again after %v", w.waitUntil(inForceWithin, "served again", func() bool { return w.codeOf(bounded) == "" }))
-		w.closeAll([]*pgx.Conn{bounded, always})
+		t.Logf("served again after %v", h.waitUntil(inForceWithin, "served again", func() bool { return h.readCode(bounded) == "" }))
+		h.closeAll([]*pgx.Conn{bounded, always})
 	})
 }
 
-func (w *world) codeOf(conn *pgx.Conn) string {
-	ctx, cancel := context.WithTimeout(background, 10*time.Second)
+// readCode sends a read and returns its SQLSTATE, which is empty if it was answered.
+func (h *harness) readCode(conn *pgx.Conn) string {
+	ctx, cancel := context.WithTimeout(baseContext, 10*time.Second)
 	defer cancel()
 	_, err := conn.Exec(ctx, "SELECT value FROM kv WHERE key = 'a'")
 	code, _ := sqlState(err)
 	return code
 }
 
-// Guards against refusals while the store is down for all VMs: no revocation can
-// be accepted then, so there is no reason to stop.
+// Guards against refusals while the store is down for all VMs. No revocation can be
+// accepted then, so VMs have no reason to stop serving.
 func TestKeyStoreDownForAll(t *testing.T) {
 	t.Parallel()
 	p := fleet.Peachtree()
-	inWorld(t, p, func(w *world) {
-		w.setPolicies(p, 10*time.Second)
-		clients := w.connectAll(large(p).Name, fleet.Key(large(p).Name))
+	runWithFleet(t, p, func(h *harness) {
+		h.setCutOffPolicies(p, 10*time.Second)
+		clients := h.connectToAllVMs(largeCustomer(p).Name, fleet.Key(largeCustomer(p).Name))
 		for _, outage := range []store.Outage{store.Refusing, store.Hanging} {
-			w.fleet.Store.SetOutage(outage)
+			h.fleet.Store.SetOutage(outage)
 			for range 4 {
 				time.Sleep(10 * time.Second)
-				w.want("during the outage", "", w.codes(clients))
+				h.checkCodes("during the outage", "", h.requestCodes(clients))
 			}
-			w.fleet.Store.SetOutage(store.InService)
+			h.fleet.Store.SetOutage(store.InService)
 			time.Sleep(5 * time.Second)
-			w.want("after the outage", "", w.codes(clients))
+			h.checkCodes("after the outage", "", h.requestCodes(clients))
 		}
-		w.closeAll(clients)
+		h.closeAll(clients)
 	})
 }
--- a/fleettest/limit_faults_test.go
+++ b/fleettest/limit_faults_test.go
@@ -9,65 +9,64 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// overload is how many times its rate a customer sends in the tests below.
-const overload = 2
+// overloadFactor is the ratio of a customer's load to its rate in the tests below.
+const overloadFactor = 2
 
-// underOverload runs a fault while a large and a small customer send more than
-// their rates through all VMs, and checks all intervals of both.
-func underOverload(t *testing.T, fault func(w *world)) {
+// testUnderOverload causes a fault while a large and a small customer exceed their
+// rates through all VMs, and checks the rate limits of both.
+func testUnderOverload(t *testing.T, fault func(h *harness)) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
+			runWithFleet(t, p, func(h *harness) {
 				limited := []fleet.Customer{
-					{Name: large(p).Name, Rate: 24, Burst: 16},
-					{Name: small(p).Name, Rate: 12, Burst: 6},
+					{Name: largeCustomer(p).Name, Rate: 24, Burst: 16},
+					{Name: smallCustomer(p).Name, Rate: 12, Burst: 6},
 				}
 				for _, c := range limited {
-					w.setLimit(c.Name, c.Rate, c.Burst)
+					h.setLimit(c.Name, c.Rate, c.Burst)
 				}
-				w.waitApplied()
+				h.waitApplied()
 				var loads []*load
 				for _, c := range limited {
-					loads = append(loads, w.start(&load{customer: c.Name, rate: overload * c.Rate}))
+					loads = append(loads, h.startLoad(&load{customer: c.Name, rate: overloadFactor * c.Rate}))
 				}
 				time.Sleep(2 * time.Second)
-				fault(w)
+				fault(h)
 				time.Sleep(4 * time.Second)
 				for i, l := range loads {
-					t.Logf("%s: %v", l.customer, count(l.finish(), limited[i].Rate, limited[i].Burst))
-					w.checkIntervals(limited[i])
+					t.Logf("%s: %v", l.customer, summarize(l.finish(), limited[i].Rate, limited[i].Burst))
+					h.checkRateLimit(limited[i])
 				}
 			})
 		})
 	}
 }
 
-// setLimit changes a customer's rate and burst by a ticket.
-func (w *world) setLimit(customer string, rate, burst float64) {
-	w.t.Helper()
-	w.change(func(c *state.Config) {
+// setLimit applies a ticket that changes a customer's rate and burst.
+func (h *harness) setLimit(customer string, rate, burst float64) {
+	h.t.Helper()
+	h.applyChange(func(c *state.Config) {
 		c.Customers[customer].Rate, c.Customers[customer].Burst = rate, burst
 	})
 }
 
-// change makes the next ticket without the command line.
-func (w *world) change(change func(c *state.Config)) {
-	w.t.Helper()
-	if err := w.fleet.Change(change); err != nil {
-		w.t.Fatal(err)
+// applyChange stores the next ticket directly, without chestnutctl.
+func (h *harness) applyChange(change func(c *state.Config)) {
+	h.t.Helper()
+	if err := h.fleet.Change(change); err != nil {
+		h.t.Fatal(err)
 	}
-	w.tickets++
+	h.tickets++
 }
 
-// waitApplied waits until every VM that runs reports the latest ticket as
-// applied.
-func (w *world) waitApplied() time.Duration {
-	w.t.Helper()
-	return w.waitUntil(time.Minute, "ticket applied", func() bool {
-		for _, vm := range w.allVMs() {
-			if v := w.fleet.VM(vm); v != nil && v.Status(true).Config.Applied != w.tickets {
+// waitApplied waits until every running VM reports the latest ticket as applied.
+func (h *harness) waitApplied() time.Duration {
+	h.t.Helper()
+	return h.waitUntil(time.Minute, "ticket applied", func() bool {
+		for _, vm := range h.allVMs() {
+			if v := h.fleet.VM(vm); v != nil && v.Status(true).Config.Applied != h.tickets {
 				return false
 			}
 		}
@@ -75,167 +74,168 @@
 	})
 }
 
-// Guards against a customer that gets more than its rate while nothing fails.
+// Guards against a customer that gets more than its rate without any fault.
 func TestLimitHoldsUnderOverload(t *testing.T) {
-	underOverload(t, func(w *world) { time.Sleep(5 * time.Second) })
+	testUnderOverload(t, func(h *harness) { time.Sleep(5 * time.Second) })
 }
 
-// Guards against a data centre that is cut off and spends what others spend too.
+// Guards against a data centre that is cut off and uses tokens that other VMs use
+// too.
 func TestLimitHoldsWhileDataCentreIsCutOff(t *testing.T) {
-	underOverload(t, func(w *world) {
-		cut := w.fleet.Isolate(w.fleet.Profile.DataCentres[1])
+	testUnderOverload(t, func(h *harness) {
+		cut := h.fleet.Isolate(h.fleet.Profile.DataCentres[1])
 		time.Sleep(12 * time.Second)
 		cut.Heal()
 	})
 }
 
-// Guards against shares that depend on the store.
+// Guards against shares of the limits that depend on the store.
 func TestLimitHoldsWhileStoreIsDown(t *testing.T) {
-	underOverload(t, func(w *world) {
-		w.fleet.Store.SetOutage(store.Refusing)
+	testUnderOverload(t, func(h *harness) {
+		h.fleet.Store.SetOutage(store.Refusing)
 		time.Sleep(8 * time.Second)
-		w.fleet.Store.SetOutage(store.InService)
+		h.fleet.Store.SetOutage(store.InService)
 	})
 }
 
-// Guards against two processes of one name that spend from the same share.
+// Guards against two processes of one VM name that use the same share.
 func TestLimitHoldsWhileVMIsReplaced(t *testing.T) {
-	underOverload(t, func(w *world) {
+	testUnderOverload(t, func(h *harness) {
 		for _, vm := range []int{0, 4} {
-			if err := w.fleet.KillVM(vm); err != nil {
-				w.t.Error(err)
+			if err := h.fleet.KillVM(vm); err != nil {
+				h.t.Error(err)
 			}
-			if err := w.fleet.StartVM(vm); err != nil {
-				w.t.Fatal(err)
+			if err := h.fleet.StartVM(vm); err != nil {
+				h.t.Fatal(err)
 			}
 			time.Sleep(3 * time.Second)
 		}
 	})
 }
 
-// Guards against a VM that is cut off and goes on spending from loans or from a
-// lease that has ended.
+// Guards against a VM that is cut off and uses loans, or its share after its lease
+// has expired.
 func TestLimitHoldsWhileVMIsCutOff(t *testing.T) {
-	underOverload(t, func(w *world) {
-		cut := w.cutOffVM(3)
+	testUnderOverload(t, func(h *harness) {
+		cut := h.cutOffVM(3)
 		time.Sleep(8 * time.Second)
 		cut.Heal()
 	})
 }
 
-// Guards against VMs that spend their shares of different tickets at a time:
-// before an increase and after a decrease the lower limit holds, and across both
-// the higher one.
+// Guards against VMs that use shares of different tickets at the same time. The lower
+// limit must hold before an increase and after a decrease, and the higher one over
+// the whole test.
 func TestLimitHoldsWhileTicketChangesIt(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	low := fleet.Customer{Name: large(p).Name, Rate: 30, Burst: 12}
-	high := fleet.Customer{Name: large(p).Name, Rate: 90, Burst: 36}
-	inWorld(t, p, func(w *world) {
-		w.setLimit(low.Name, low.Rate, low.Burst)
-		w.waitApplied()
-		l := w.start(&load{customer: low.Name, rate: overload * low.Rate})
+	low := fleet.Customer{Name: largeCustomer(p).Name, Rate: 30, Burst: 12}
+	high := fleet.Customer{Name: largeCustomer(p).Name, Rate: 90, Burst: 36}
+	runWithFleet(t, p, func(h *harness) {
+		h.setLimit(low.Name, low.Rate, low.Burst)
+		h.waitApplied()
+		l := h.startLoad(&load{customer: low.Name, rate: overloadFactor * low.Rate})
 		time.Sleep(4 * time.Second)
 		raised := time.Now()
-		w.setLimit(high.Name, high.Rate, high.Burst)
-		t.Logf("increase applied after %v", w.waitApplied())
+		h.setLimit(high.Name, high.Rate, high.Burst)
+		t.Logf("increase applied after %v", h.waitApplied())
 		time.Sleep(4 * time.Second)
-		w.setLimit(low.Name, low.Rate, low.Burst)
-		t.Logf("decrease applied after %v", w.waitApplied())
+		h.setLimit(low.Name, low.Rate, low.Burst)
+		t.Logf("decrease applied after %v", h.waitApplied())
 		lowered := time.Now()
 		time.Sleep(4 * time.Second)
 		l.finish()
-		w.checkIntervals(high)
-		w.checkIntervalsIn(low, time.Time{}, raised)
-		w.checkIntervalsIn(low, lowered, time.Now())
+		h.checkRateLimit(high)
+		h.checkRateLimitBetween(low, time.Time{}, raised)
+		h.checkRateLimitBetween(low, lowered, time.Now())
 	})
 }
 
-// checkIntervalsIn is checkIntervals for the intervals between two times.
-func (w *world) checkIntervalsIn(c fleet.Customer, from, to time.Time) {
-	w.t.Helper()
+// checkRateLimitBetween is checkRateLimit for the intervals between two times.
+func (h *harness) checkRateLimitBetween(c fleet.Customer, from, to time.Time) {
+	h.t.Helper()
 	var times []time.Time
-	for _, s := range w.tap.of(c.Name) {
+	for _, s := range h.recorder.sentFor(c.Name) {
 		if s.at.After(from) && s.at.Before(to) {
 			times = append(times, s.at)
 		}
 	}
-	e := excess(times, c.Rate, c.Burst)
-	w.t.Logf("%s at rate %v: %d statements, at most %.2f above burst + rate x t", c.Name, c.Rate, len(times), e)
+	e := maxExcess(times, c.Rate, c.Burst)
+	h.t.Logf("%s at rate %v: %d statements, at most %.2f above burst + rate x t", c.Name, c.Rate, len(times), e)
 	if e > 1e-6 {
-		w.t.Errorf("%s: %.2f statements above burst + rate x t in an interval", c.Name, e)
+		h.t.Errorf("%s: %.2f statements above burst + rate x t in an interval", c.Name, e)
 	}
 }
 
-// Guards against statements that are admitted one by one, wait together for a
-// primary, and then reach it all at once: sessions without a token read from the
-// primary, which a data centre that is cut off does not reach.
+// Guards against statements that are admitted one by one, wait for a primary, and
+// then reach it all at once. The sessions have no token, so they read from the
+// primary, which a data centre that is cut off cannot reach.
 func TestLimitHoldsForRequestsThatWaited(t *testing.T) {
 	t.Parallel()
 	p := fleet.Peachtree()
-	inWorld(t, p, func(w *world) {
-		c := small(p)
-		l := w.start(&load{customer: c.Name, rate: overload * c.Rate, token: unknownSession})
+	runWithFleet(t, p, func(h *harness) {
+		c := smallCustomer(p)
+		l := h.startLoad(&load{customer: c.Name, rate: overloadFactor * c.Rate, token: noToken})
 		time.Sleep(3 * time.Second)
-		cut := w.fleet.Isolate(p.DataCentres[1])
+		cut := h.fleet.Isolate(p.DataCentres[1])
 		time.Sleep(12 * time.Second)
 		cut.Heal()
 		time.Sleep(3 * time.Second)
-		w.checkAdmitted(c, l.finish())
-		w.checkIntervals(c)
+		h.checkAdmitted(c, l.finish())
+		h.checkRateLimit(c)
 	})
 }
 
-// checkAdmitted fails the test if more requests than burst + rate x t were
-// admitted in an interval for certain: those that the customer sent after its
-// begin and whose statement reached a backend server before its end.
-func (w *world) checkAdmitted(c fleet.Customer, requests []request) {
-	w.t.Helper()
+// checkAdmitted fails the test if more than burst + rate x t requests were certainly
+// admitted in an interval: those that the customer sent after its start and whose
+// statement reached a backend server before its end.
+func (h *harness) checkAdmitted(c fleet.Customer, requests []request) {
+	h.t.Helper()
 	sent := make(map[string]time.Time)
 	for _, r := range requests {
 		sent[r.id] = r.sent
 	}
-	statements := w.tap.of(c.Name)
-	worst := -c.Burst
+	statements := h.recorder.sentFor(c.Name)
+	largest := -c.Burst
 	for _, first := range statements {
 		begin := sent[first.id]
 		n := 0.0
 		for _, s := range statements {
 			if !sent[s.id].Before(begin) && !s.at.Before(begin) {
 				n++
-				worst = max(worst, n-c.Burst-c.Rate*s.at.Sub(begin).Seconds())
+				largest = max(largest, n-c.Burst-c.Rate*s.at.Sub(begin).Seconds())
 			}
 		}
 	}
-	w.t.Logf("%s: admitted at most %.2f above burst + rate x t", c.Name, worst)
-	if worst > 1e-6 {
-		w.t.Errorf("%s: %.2f requests above burst + rate x t were admitted in an interval", c.Name, worst)
+	h.t.Logf("%s: admitted at most %.2f above burst + rate x t", c.Name, largest)
+	if largest > 1e-6 {
+		h.t.Errorf("%s: %.2f requests above burst + rate x t were admitted in an interval", c.Name, largest)
 	}
 }
 
-// Guards against two processes of one name that both spend: the earlier one is
-// cut off from all VMs and the store, but not from clients and backend servers.
+// Guards against two processes of one VM name that both use the share. The first one
+// is cut off from all VMs and the store, but not from clients and backend servers.
 func TestLimitHoldsWhileTwoProcessesHaveOneName(t *testing.T) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
-				c := small(p)
-				old := w.start(&load{customer: c.Name, rate: overload * c.Rate})
+			runWithFleet(t, p, func(h *harness) {
+				c := smallCustomer(p)
+				allVMs := h.startLoad(&load{customer: c.Name, rate: overloadFactor * c.Rate})
 				time.Sleep(3 * time.Second)
-				cut := w.cutHosts(w.vmHosts(0), w.vmHosts(1, 2, 3, 4, 5, 6, 7, storeNumber))
-				second := w.startSecond(0, "127.120.0.1")
-				beside := w.start(&load{customer: c.Name, rate: overload * c.Rate, vms: []int{0}, connect: second.connect, prefix: "second-"})
+				cut := h.cutHosts(h.vmHosts(0), h.vmHosts(1, 2, 3, 4, 5, 6, 7, storeIndex))
+				second := h.startSecondProcess(0, "127.120.0.1")
+				other := h.startLoad(&load{customer: c.Name, rate: overloadFactor * c.Rate, vms: []int{0}, connect: second.connect, idPrefix: "second-"})
 				time.Sleep(10 * time.Second)
 				if !second.vm.Ready() {
 					t.Error("the second process did not take over")
 				}
 				cut.Heal()
 				time.Sleep(4 * time.Second)
-				t.Logf("all VMs: %v", count(old.finish(), c.Rate, c.Burst))
-				t.Logf("second process: %v", count(beside.finish(), c.Rate, c.Burst))
-				w.checkIntervals(c)
+				t.Logf("all VMs: %v", summarize(allVMs.finish(), c.Rate, c.Burst))
+				t.Logf("second process: %v", summarize(other.finish(), c.Rate, c.Burst))
+				h.checkRateLimit(c)
 				second.stop()
 			})
 		})
--- a/fleettest/limit_test.go
+++ b/fleettest/limit_test.go
@@ -9,14 +9,14 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// wrongfulAim is the share of requests that may be refused although they are
-// inside the customer's rate and burst.
-const wrongfulAim = 0.01
-
-// profiles returns the profiles with a third of the rates and bursts of the large
-// customers, which leaves the ratios as they are and saves two thirds of the
-// time of the tests.
-func profiles() []fleet.Profile {
+// maxWrongfulRefusals is the largest permitted share of requests that are not
+// answered although they are within the customer's rate and burst.
+const maxWrongfulRefusals = 0.01
+
+// testProfiles returns the profiles with a third of the rates and bursts of the large
+// customers. That keeps their ratios and saves two thirds of the running time of the
+// tests.
+func testProfiles() []fleet.Profile {
 	all := []fleet.Profile{fleet.Fes(), fleet.Peachtree()}
 	for _, p := range all {
 		for i := range p.Customers[:2] {
@@ -27,74 +27,77 @@
 	return all
 }
 
-// large returns the first customer of a profile, small the last one.
-func large(p fleet.Profile) fleet.Customer { return p.Customers[0] }
-func small(p fleet.Profile) fleet.Customer { return p.Customers[len(p.Customers)-1] }
+// largeCustomer returns the first customer of a profile, smallCustomer the last one.
+func largeCustomer(p fleet.Profile) fleet.Customer { return p.Customers[0] }
+func smallCustomer(p fleet.Profile) fleet.Customer { return p.Customers[len(p.Customers)-1] }
 
-// checkIntervals fails the test if more of a customer's statements than
-// burst + rate x t reached the backend servers in any interval.
-func (w *world) checkIntervals(c fleet.Customer) {
-	w.t.Helper()
-	w.checkIntervalsIn(c, time.Time{}, time.Now())
+// checkRateLimit fails the test if, in any interval of length t, more than
+// burst + rate x t statements of a customer were sent to the backend servers.
+func (h *harness) checkRateLimit(c fleet.Customer) {
+	h.t.Helper()
+	h.checkRateLimitBetween(c, time.Time{}, time.Now())
 }
 
-// checkWrongful fails the test if too many requests were refused although they
-// were inside the customer's rate.
-func (w *world) checkWrongful(c fleet.Customer, requests []request) {
-	w.t.Helper()
-	counted := count(requests, c.Rate, c.Burst)
-	w.t.Logf("%s: %v", c.Name, counted)
-	if counted.refusedShare() > wrongfulAim {
-		w.t.Errorf("%s: %.2f %% refused although inside the rate, want at most %.0f %%",
-			c.Name, 100*counted.refusedShare(), 100*wrongfulAim)
+// checkWrongfulRefusals fails the test if too many of the requests within the
+// customer's rate and burst were not answered.
+func (h *harness) checkWrongfulRefusals(c fleet.Customer, requests []request) {
+	h.t.Helper()
+	counted := summarize(requests, c.Rate, c.Burst)
+	h.t.Logf("%s: %v", c.Name, counted)
+	if counted.wrongfulRefusals() > maxWrongfulRefusals {
+		h.t.Errorf("%s: %.2f %% refused although within the rate, want at most %.0f %%",
+			c.Name, 100*counted.wrongfulRefusals(), 100*maxWrongfulRefusals)
 	}
 }
 
-// checkWholeRate runs a load at a customer's rate with the given choice of VMs.
-func checkWholeRate(t *testing.T, duration time.Duration, vm func(n int) int) {
+// testFullRate runs a load at the full rate of the large customer, with the given
+// selection of VMs.
+func testFullRate(t *testing.T, duration time.Duration, vm func(n int) int) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
-				c := large(p)
-				l := w.start(&load{customer: c.Name, rate: c.Rate, vm: vm})
+			runWithFleet(t, p, func(h *harness) {
+				c := largeCustomer(p)
+				l := h.startLoad(&load{customer: c.Name, rate: c.Rate, chooseVM: vm})
 				time.Sleep(duration)
-				w.checkWrongful(c, l.finish())
-				w.checkIntervals(c)
+				h.checkWrongfulRefusals(c, l.finish())
+				h.checkRateLimit(c)
 			})
 		})
 	}
 }
 
-// Guards against a customer that gets only a VM's part of its rate.
+// Guards against a customer that gets only one VM's share of its rate when it sends
+// all requests through that VM.
 func TestLimitWholeRateThroughOneVM(t *testing.T) {
-	checkWholeRate(t, 10*time.Second, func(int) int { return 4 })
+	testFullRate(t, 10*time.Second, func(int) int { return 4 })
 }
 
-// Guards against wrongful refusals by uneven shares.
-func TestLimitWholeRateThroughAllVMs(t *testing.T) { checkWholeRate(t, 10*time.Second, nil) }
+// Guards against wrongful refusals when the shares of VMs differ from the load on
+// them.
+func TestLimitWholeRateThroughAllVMs(t *testing.T) { testFullRate(t, 10*time.Second, nil) }
 
-// Guards against loans that stay with a VM whose customer has gone to another VM
-// of the same data centre.
+// Guards against loans that remain with a VM after the customer has moved to another
+// VM of the same data centre.
 func TestLimitWholeRateAfterMoveInsideDataCentre(t *testing.T) {
-	checkWholeRate(t, 14*time.Second, movesTo(3))
+	testFullRate(t, 14*time.Second, moveToVM(3))
 }
 
-// Guards against loans that stay with a VM whose customer has gone to another
+// Guards against loans that remain with a VM after the customer has moved to another
 // data centre.
 func TestLimitWholeRateAfterMoveToAnotherDataCentre(t *testing.T) {
-	checkWholeRate(t, 14*time.Second, movesTo(5))
+	testFullRate(t, 14*time.Second, moveToVM(5))
 }
 
-// Guards against loans that stay with a VM whose customer moves to another data
-// centre and back, faster than loans between data centres end.
+// Guards against loans that remain with a VM while the customer moves between two
+// data centres faster than loans between data centres end.
 func TestLimitWholeRateWhileMovingBackAndForth(t *testing.T) {
-	checkWholeRate(t, 15*time.Second, func(n int) int { return n / 500 % 2 * 5 })
+	testFullRate(t, 15*time.Second, func(n int) int { return n / 500 % 2 * 5 })
 }
 
-// movesTo takes the first VM for 700 requests and another one after that.
-func movesTo(vm int) func(n int) int {
+// moveToVM selects the first VM for 700 requests and the given one for the others.
+func moveToVM(vm int) func(n int) int {
 	return func(n int) int {
 		if n < 700 {
 			return 0
@@ -103,84 +106,86 @@
 	}
 }
 
-// Guards against a customer that sends five times its rate and takes the service
-// of the others with it.
+// Guards against a customer that sends five times its rate and thereby causes
+// refusals or long latencies for other customers.
 func TestLimitOverloadLeavesOthersAlone(t *testing.T) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
-				greedy := small(p)
+			runWithFleet(t, p, func(h *harness) {
+				overloading := smallCustomer(p)
 				var others []*load
 				for _, c := range p.Customers[2:6] {
-					others = append(others, w.start(&load{customer: c.Name, rate: 0.8 * c.Rate}))
+					others = append(others, h.startLoad(&load{customer: c.Name, rate: 0.8 * c.Rate}))
 				}
 				time.Sleep(4 * time.Second)
-				alone := w.finishAll(others, p)
+				before := h.finishAll(others, p)
 				for i, l := range others {
-					others[i] = w.start(&load{customer: l.customer, rate: l.rate})
+					others[i] = h.startLoad(&load{customer: l.customer, rate: l.rate})
 				}
-				l := w.start(&load{customer: greedy.Name, rate: 5 * greedy.Rate})
+				l := h.startLoad(&load{customer: overloading.Name, rate: 5 * overloading.Rate})
 				time.Sleep(5 * time.Second)
-				t.Logf("%s: %v", greedy.Name, count(l.finish(), greedy.Rate, greedy.Burst))
-				w.checkIntervals(greedy)
-				w.checkOthers(alone, w.finishAll(others, p))
+				t.Logf("%s: %v", overloading.Name, summarize(l.finish(), overloading.Rate, overloading.Burst))
+				h.checkRateLimit(overloading)
+				h.checkOtherCustomers(before, h.finishAll(others, p))
 			})
 		})
 	}
 }
 
-// finishAll ends loads and counts them together: requests refused although
-// inside the rate, and the highest p99 of a load.
-func (w *world) finishAll(loads []*load, p fleet.Profile) tally {
-	var sum tally
+// finishAll ends the loads and adds up their statistics. The p99 is the highest of
+// any load.
+func (h *harness) finishAll(loads []*load, p fleet.Profile) loadStats {
+	var sum loadStats
 	for i, l := range loads {
 		c := p.Customers[2+i]
-		one := count(l.finish(), c.Rate, c.Burst)
+		one := summarize(l.finish(), c.Rate, c.Burst)
 		sum.offered += one.offered
 		sum.answered += one.answered
-		sum.inside += one.inside
-		sum.insideRefused += one.insideRefused
+		sum.withinLimit += one.withinLimit
+		sum.wrongfullyRefused += one.wrongfullyRefused
 		sum.p99 = max(sum.p99, one.p99)
 	}
 	return sum
 }
 
-func (w *world) checkOthers(alone, beside tally) {
-	w.t.Helper()
-	w.t.Logf("others alone: %v", alone)
-	w.t.Logf("others beside it: %v", beside)
-	if beside.refusedShare() > wrongfulAim {
-		w.t.Errorf("%.2f %% of the others' requests refused although inside the rate", 100*beside.refusedShare())
+// checkOtherCustomers compares the loads of the other customers before and during
+// the overload.
+func (h *harness) checkOtherCustomers(before, during loadStats) {
+	h.t.Helper()
+	h.t.Logf("others before the overload: %v", before)
+	h.t.Logf("others during the overload: %v", during)
+	if during.wrongfulRefusals() > maxWrongfulRefusals {
+		h.t.Errorf("%.2f %% of the others' requests refused although within the rate", 100*during.wrongfulRefusals())
 	}
-	if limit := max(2*alone.p99, alone.p99+20*time.Millisecond); beside.p99 > limit {
-		w.t.Errorf("p99 of the others %v, alone %v", beside.p99, alone.p99)
+	if limit := max(2*before.p99, before.p99+20*time.Millisecond); during.p99 > limit {
+		h.t.Errorf("p99 of the others during the overload %v, before %v", during.p99, before.p99)
 	}
 }
 
-// Guards against a refusal without the time after which a retry succeeds, and
-// against a time that is too short.
+// Guards against a refusal whose hint has no retry time, or a retry time that is too
+// short.
 func TestLimitRefusalSaysWhenToRetry(t *testing.T) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) { w.checkRetryHint(small(p)) })
+			runWithFleet(t, p, func(h *harness) { h.checkRetryHint(smallCustomer(p)) })
 		})
 	}
 }
 
-// checkRetryHint uses up a customer's burst through one VM and retries a refused
-// request after the time in the hint.
-func (w *world) checkRetryHint(c fleet.Customer) {
-	w.t.Helper()
-	conn, err := w.fleet.Connect(background, c.Name, w.fleet.Profile.Groups[0], 0, "")
+// checkRetryHint uses up a customer's burst through one VM and sends a request again
+// after the time in the hint of the last refusal.
+func (h *harness) checkRetryHint(c fleet.Customer) {
+	h.t.Helper()
+	conn, err := h.fleet.Connect(baseContext, c.Name, h.fleet.Profile.Groups[0], 0, "")
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	defer func() { _ = conn.Close(background) }()
-	l := w.start(&load{customer: c.Name, rate: 8 * c.Rate, vms: []int{0}})
+	defer func() { _ = conn.Close(baseContext) }()
+	l := h.startLoad(&load{customer: c.Name, rate: 8 * c.Rate, vms: []int{0}})
 	time.Sleep(2 * time.Second)
 	requests := l.finish()
 	refused := 0
@@ -190,20 +195,20 @@
 			refused++
 			last = r
 			if !strings.HasPrefix(r.hint, "Retry after ") {
-				w.t.Fatalf("hint of a refusal is %q", r.hint)
+				h.t.Fatalf("hint of a refusal is %q", r.hint)
 			}
 		}
 	}
 	if refused == 0 {
-		w.t.Fatal("no request was refused")
+		h.t.Fatal("no request was refused")
 	}
 	var ms int
 	if _, err := fmt.Sscanf(last.hint, "Retry after %d ms.", &ms); err != nil {
-		w.t.Fatalf("hint %q: %v", last.hint, err)
+		h.t.Fatalf("hint %q: %v", last.hint, err)
 	}
 	time.Sleep(time.Until(last.ended.Add(time.Duration(ms) * time.Millisecond)))
-	if _, err := conn.Exec(background, "SELECT 1"); err != nil {
-		w.t.Errorf("retry after %d ms: %v", ms, err)
+	if _, err := conn.Exec(baseContext, "SELECT 1"); err != nil {
+		h.t.Errorf("retry after %d ms: %v", ms, err)
 	}
-	w.t.Logf("%d of %d refused, the last with %q; the retry was answered", refused, len(requests), last.hint)
+	h.t.Logf("%d of %d refused, the last with %q; the retry was answered", refused, len(requests), last.hint)
 }
--- a/fleettest/load_test.go
+++ b/fleettest/load_test.go
@@ -13,69 +13,69 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// unknownSession makes a load present no token. Such a session may have written
-// before, so it reads the latest.
-const unknownSession = "unknown"
+// noToken as the token of a load makes its sessions present none. Such a session
+// may have written before, so its reads need the latest data.
+const noToken = "unknown"
 
-// connector connects a client of the customer to a VM and a route.
-type connector func(ctx context.Context, customer, route string, vm int, token string) (*pgx.Conn, error)
+// connectFunc opens a session of the customer on a route through a VM.
+type connectFunc func(ctx context.Context, customer, route string, vm int, token string) (*pgx.Conn, error)
 
-// load sends the requests of one customer at a rate, without waiting for the
-// answers of earlier ones.
+// load sends requests of one customer at a given rate, without waiting for the
+// answers to earlier requests.
 type load struct {
-	customer string
-	route    string
-	rate     float64               // requests a second
-	vms      []int                 // taken in turn; none means all
-	vm       func(n int) int       // chooses the VM of a request instead
-	sql      func(n string) string // statement for a request number; the default is a read
-	regular  bool                  // equal gaps; the default is random gaps (Poisson)
-	token    string                // session token; the default is that of sessions that have written nothing
+	customer     string
+	route        string
+	rate         float64               // requests per second
+	vms          []int                 // used in turn; the default is all VMs
+	chooseVM     func(n int) int       // selects the VM of request n; the default uses vms in turn
+	sql          func(n string) string // statement for a request ID; the default is a read
+	evenlySpaced bool                  // constant intervals; the default is a Poisson process
+	token        string                // session token; the default is the one of sessions that have written nothing
 
-	follow  bool      // go to another VM if this one is leaving
-	prefix  string    // of the request numbers
-	connect connector // the default connects to a VM of the fleet
+	retryOtherVM bool        // send a request again through another VM if its VM is leaving
+	idPrefix     string      // of the request IDs
+	connect      connectFunc // the default connects to a VM of the fleet
 
-	world   *world
+	harness *harness
 	random  *rand.Rand
 	stop    chan struct{}
 	running sync.WaitGroup
 
 	mu       sync.Mutex          // guards the fields below
-	idle     map[int][]*pgx.Conn // sessions without a request, by VM
+	idle     map[int][]*pgx.Conn // sessions without a running request, by VM
 	requests []request
 }
 
-// request is a request that ended.
+// request is a request that has ended.
 type request struct {
-	id    string
-	vm    int
-	due   time.Time // when the customer wanted to send it
-	sent  time.Time
-	ended time.Time
-	code  string // SQLSTATE; empty if answered, "connection" if it broke
-	hint  string
-	text  string // of the error
+	id      string
+	vm      int
+	due     time.Time // when the load was to send it
+	sent    time.Time
+	ended   time.Time
+	code    string // SQLSTATE; empty if answered, connectionError if the connection failed
+	hint    string
+	errText string // of the error
 
-	resent int // times that it was sent again because its VM was leaving
+	resent int // number of times that it was sent again because its VM was leaving
 }
 
-// start begins to send.
-func (w *world) start(l *load) *load {
-	l.world = w
+// startLoad sets the defaults of a load and starts to send its requests.
+func (h *harness) startLoad(l *load) *load {
+	l.harness = h
 	l.stop = make(chan struct{})
 	l.random = rand.New(rand.NewPCG(seed, uint64(len(l.customer))))
 	if len(l.vms) == 0 {
-		l.vms = w.allVMs()
+		l.vms = h.allVMs()
 	}
-	if l.vm == nil {
-		l.vm = func(n int) int { return l.vms[n%len(l.vms)] }
+	if l.chooseVM == nil {
+		l.chooseVM = func(n int) int { return l.vms[n%len(l.vms)] }
 	}
 	if l.route == "" {
-		l.route = w.fleet.Profile.Groups[0]
+		l.route = h.fleet.Profile.Groups[0]
 	}
 	if l.connect == nil {
-		l.connect = w.fleet.Connect
+		l.connect = h.fleet.Connect
 	}
 	if l.token == "" {
 		l.token = fleet.NewSession
@@ -85,13 +85,14 @@
 	return l
 }
 
-// finish stops sending, waits for the answers and closes the sessions.
+// finish stops the load, waits for outstanding answers, closes the sessions and
+// returns the requests in the order in which they were due.
 func (l *load) finish() []request {
 	close(l.stop)
 	l.running.Wait()
 	for _, idle := range l.idle {
 		for _, conn := range idle {
-			_ = conn.Close(background)
+			_ = conn.Close(baseContext)
 		}
 	}
 	slices.SortFunc(l.requests, func(a, b request) int { return a.due.Compare(b.due) })
@@ -101,7 +102,7 @@
 func (l *load) run() {
 	due := time.Now()
 	for n := 0; ; n++ {
-		due = due.Add(l.gap())
+		due = due.Add(l.nextInterval())
 		select {
 		case <-l.stop:
 			return
@@ -112,32 +113,32 @@
 	}
 }
 
-func (l *load) gap() time.Duration {
-	gap := float64(time.Second) / l.rate
-	if !l.regular {
-		gap *= l.random.ExpFloat64()
+func (l *load) nextInterval() time.Duration {
+	interval := float64(time.Second) / l.rate
+	if !l.evenlySpaced {
+		interval *= l.random.ExpFloat64()
 	}
-	return time.Duration(gap)
+	return time.Duration(interval)
 }
 
 func (l *load) send(n int, due time.Time) {
-	r := request{id: fmt.Sprint(l.prefix, n), vm: l.vm(n), due: due}
-	if l.follow {
-		r.vm = l.world.ready.next(r.vm)
+	r := request{id: fmt.Sprint(l.idPrefix, n), vm: l.chooseVM(n), due: due}
+	if l.retryOtherVM {
+		r.vm = l.harness.balancer.next(r.vm)
 	}
-	ctx, cancel := context.WithTimeout(background, 10*time.Second)
+	ctx, cancel := context.WithTimeout(baseContext, 10*time.Second)
 	defer cancel()
 	sent := l.attempt(ctx, &r)
 	for range l.vms {
-		// A VM that is leaving refuses with 57P01, one that has gone accepts no
-		// connection. The request was not run in both cases.
-		if !l.follow || r.code != shuttingDown && (sent || r.code != broken) {
+		// A VM that is leaving refuses requests with 57P01; one that has stopped
+		// accepts no connections. In both cases the request was not run.
+		if !l.retryOtherVM || r.code != shuttingDown && (sent || r.code != connectionError) {
 			break
 		}
 		if sent {
 			r.resent++
 		}
-		r.vm = l.world.ready.next(r.vm + 1)
+		r.vm = l.harness.balancer.next(r.vm + 1)
 		sent = l.attempt(ctx, &r)
 	}
 	r.ended = time.Now()
@@ -146,9 +147,10 @@
 	l.requests = append(l.requests, r)
 }
 
-// attempt sends the request through its VM, and returns whether it was sent.
+// attempt sends the request through its VM and reports whether it was sent, as
+// opposed to failing to connect.
 func (l *load) attempt(ctx context.Context, r *request) (sent bool) {
-	conn, code := l.connected(ctx, r.vm)
+	conn, code := l.session(ctx, r.vm)
 	if r.code = code; code != "" {
 		return false
 	}
@@ -156,7 +158,7 @@
 	_, err := conn.Exec(ctx, l.statement(r.id), pgx.QueryExecModeSimpleProtocol)
 	r.code, r.hint = sqlState(err)
 	if err != nil {
-		r.text = err.Error()
+		r.errText = err.Error()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,19 +166,19 @@
 	return true
 }
 
-// connected returns a session without a request. As a client library does, it
-// looks at the connection before it sends, and connects again if the VM closed
-// it between requests.
-func (l *load) connected(ctx context.Context, vm int) (conn *pgx.Conn, code string) {
+// session returns a session without a running request. Like a client library, it
+// checks an idle connection before use, and connects again if the VM has closed it
+// between requests.
+func (l *load) session(ctx context.Context, vm int) (conn *pgx.Conn, code string) {
 	for conn = l.takeIdle(vm); conn != nil; conn = l.takeIdle(vm) {
-		//lint:ignore SA1019 Ping is a request that takes a token of the customer.
+		//lint:ignore SA1019 Ping is a request, which uses a token of the customer's rate limit.
 		if !conn.IsClosed() && conn.PgConn().CheckConn() == nil {
 			return conn, ""
 		}
 		_ = conn.Close(ctx)
 	}
 	token := l.token
-	if token == unknownSession {
+	if token == noToken {
 		token = ""
 	}
 	conn, err := l.connect(ctx, l.customer, l.route, vm, token)
@@ -203,31 +205,32 @@
 	return fmt.Sprintf("SELECT value FROM kv WHERE key = 'load/%s/%s'", l.customer, id)
 }
 
-// balancer is the platform's load balancer: it asks VMs whether they are ready,
-// and its view is up to pollReady old.
-type balancer struct {
-	world *world
+// loadBalancer stands for the platform's load balancer. It polls the readiness of
+// VMs, and its view is up to readinessInterval old.
+type loadBalancer struct {
+	harness *harness
 
-	mu      sync.Mutex // guards the fields below
-	askedAt time.Time
-	ready   map[int]bool
+	mu       sync.Mutex // guards the fields below
+	polledAt time.Time
+	ready    map[int]bool
 }
 
-const pollReady = 500 * time.Millisecond
+const readinessInterval = 500 * time.Millisecond
 
-// next returns the first ready VM from the given one on.
-func (b *balancer) next(vm int) int {
+// next returns the first ready VM, beginning at the given one. If none is ready, it
+// returns the given one.
+func (b *loadBalancer) next(vm int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if time.Since(b.askedAt) >= pollReady {
-		b.askedAt = time.Now()
+	if time.Since(b.polledAt) >= readinessInterval {
+		b.polledAt = time.Now()
 		b.ready = make(map[int]bool)
-		for _, i := range b.world.allVMs() {
-			v := b.world.fleet.VM(i)
+		for _, i := range b.harness.allVMs() {
+			v := b.harness.fleet.VM(i)
 			b.ready[i] = v != nil && v.Ready()
 		}
 	}
-	n := b.world.fleet.Profile.VMs
+	n := b.harness.fleet.Profile.VMs
 	for i := range n {
 		if b.ready[(vm+i)%n] {
 			return (vm + i) % n
@@ -236,19 +239,20 @@
 	return vm % n
 }
 
-// tally counts requests by how they ended.
-type tally struct {
+// loadStats summarizes the requests of a load.
+type loadStats struct {
 	offered, answered int
 	codes             map[string]int
-	inside            int // offered inside the rate and burst
-	insideRefused     int // of them refused
+	withinLimit       int // offered within the rate and burst
+	wrongfullyRefused int // of those within the rate and burst, the ones that were not answered
 	p99               time.Duration
 }
 
-// count counts requests and compares them with a token bucket of the customer's
-// rate and burst.
-func count(requests []request, rate, burst float64) tally {
-	c := tally{codes: make(map[string]int)}
+// summarize counts requests by result, and uses a token bucket with the customer's
+// rate and burst to decide which of them were within the limit. The latencies of
+// the p99 count from when a request was due.
+func summarize(requests []request, rate, burst float64) loadStats {
+	s := loadStats{codes: make(map[string]int)}
 	level, last := burst, time.Time{}
 	var latencies []time.Duration
 	for _, r := range requests {
@@ -256,39 +260,39 @@
 			level = min(burst, level+rate*r.due.Sub(last).Seconds())
 		}
 		last = r.due
-		inside := level >= 1
-		if inside {
+		withinLimit := level >= 1
+		if withinLimit {
 			level--
-			c.inside++
+			s.withinLimit++
 		}
-		c.offered++
+		s.offered++
 		if r.code == "" {
-			c.answered++
+			s.answered++
 			latencies = append(latencies, r.ended.Sub(r.due))
 			continue
 		}
-		c.codes[r.code]++
-		if inside {
-			c.insideRefused++
+		s.codes[r.code]++
+		if withinLimit {
+			s.wrongfullyRefused++
 		}
 	}
 	if len(latencies) > 0 {
 		slices.Sort(latencies)
-		c.p99 = latencies[len(latencies)*99/100]
+		s.p99 = latencies[len(latencies)*99/100]
 	}
-	return c
+	return s
 }
 
-// refusedShare is the share of requests that were refused although inside the
-// customer's rate and burst.
-func (c tally) refusedShare() float64 {
-	if c.inside == 0 {
+// wrongfulRefusals returns the share of requests within the customer's rate and
+// burst that were not answered.
+func (s loadStats) wrongfulRefusals() float64 {
+	if s.withinLimit == 0 {
 		return 0
 	}
-	return float64(c.insideRefused) / float64(c.inside)
+	return float64(s.wrongfullyRefused) / float64(s.withinLimit)
 }
 
-func (c tally) String() string {
-	return fmt.Sprintf("offered %d, answered %d, refused although inside the rate %d of %d (%.2f %%), p99 %v, not answered by SQLSTATE %v",
-		c.offered, c.answered, c.insideRefused, c.inside, 100*c.refusedShare(), c.p99.Round(100*time.Microsecond), c.codes)
+func (s loadStats) String() string {
+	return fmt.Sprintf("offered %d, answered %d, refused although within the rate %d of %d (%.2f %%), p99 %v, not answered by SQLSTATE %v",
+		s.offered, s.answered, s.wrongfullyRefused, s.withinLimit, 100*s.wrongfulRefusals(), s.p99.Round(100*time.Microsecond), s.codes)
 }
--- a/fleettest/race_test.go
+++ b/fleettest/race_test.go
@@ -4,11 +4,12 @@
 
 import "flag"
 
-// racingFleets is the number of fleets that run at once under the race detector.
-// With six of them its runtime fails a check of its own (tsan_rtl.cpp:346) in
-// about one of forty runs, always while the first fleets start.
-const racingFleets = "2"
+// raceParallel is the number of fleets that run at the same time under the race
+// detector. With six, the runtime of the detector failed an internal check
+// (tsan_rtl.cpp:346) in about one of forty runs, always while the first fleets
+// started.
+const raceParallel = "2"
 
 func init() {
-	limitParallel = func() error { return flag.Set("test.parallel", racingFleets) }
+	limitParallel = func() error { return flag.Set("test.parallel", raceParallel) }
 }
--- a/fleettest/ticket_test.go
+++ b/fleettest/ticket_test.go
@@ -14,18 +14,18 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// operator is who applies tickets where it does not matter.
+// operator is the operator who applies tickets in tests in which the name does not
+// matter.
 const operator = "amina"
 
-// writeTicket writes the next ticket into a file and returns its path. change
-// gets the configuration in force and puts the objects that it changes into the
-// ticket.
-func (w *world) writeTicket(operator, reason string, change func(c *state.Config, t *ticket.Ticket)) string {
-	w.t.Helper()
-	w.tickets++
-	c := w.stored()
+// writeTicket writes the next ticket to a file and returns its path. change gets the
+// configuration in the store and puts the objects that it changes into the ticket.
+func (h *harness) writeTicket(operator, reason string, change func(c *state.Config, t *ticket.Ticket)) string {
+	h.t.Helper()
+	h.tickets++
+	c := h.stored()
 	t := &ticket.Ticket{
-		ID:          state.TicketID{Number: w.tickets},
+		ID:          state.TicketID{Number: h.tickets},
 		Operator:    operator,
 		Reason:      reason,
 		Customers:   make(map[string]*state.Customer),
@@ -36,24 +36,24 @@
 	change(c, t)
 	text, err := ticketfile.Format(t)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	path := fmt.Sprintf("%d.yaml", w.tickets)
-	if _, taken := w.files[path]; taken {
-		path = fmt.Sprintf("%d-%s.yaml", w.tickets, operator)
+	path := fmt.Sprintf("%d.yaml", h.tickets)
+	if _, taken := h.files[path]; taken {
+		path = fmt.Sprintf("%d-%s.yaml", h.tickets, operator)
 	}
-	w.files[path] = string(text)
+	h.files[path] = string(text)
 	return path
 }
 
-// apply writes a ticket and applies it with the command line.
-func (w *world) apply(reason string, change func(c *state.Config, t *ticket.Ticket)) {
-	w.t.Helper()
-	w.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), w.writeTicket(operator, reason, change))
+// apply writes a ticket and applies it with chestnutctl.
+func (h *harness) apply(reason string, change func(c *state.Config, t *ticket.Ticket)) {
+	h.t.Helper()
+	h.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), h.writeTicket(operator, reason, change))
 }
 
-// raise changes a customer's rate.
-func raise(customer string, rate float64) func(*state.Config, *ticket.Ticket) {
+// setRate returns a ticket change that changes a customer's rate.
+func setRate(customer string, rate float64) func(*state.Config, *ticket.Ticket) {
 	return func(c *state.Config, t *ticket.Ticket) {
 		changed := *c.Customers[customer]
 		changed.Rate = rate
@@ -61,20 +61,19 @@
 	}
 }
 
-// Guards against a ticket that takes longer than the target to be in force, or
-// is in force on some VMs only.
+// Guards against a ticket that is not in force on all VMs within the target time.
 func TestTicketInForceEverywhere(t *testing.T) {
 	t.Parallel()
-	for _, p := range profiles() {
+	for _, p := range testProfiles() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			inWorld(t, p, func(w *world) {
+			runWithFleet(t, p, func(h *harness) {
 				for i := range 5 {
-					w.apply("A higher rate.", raise(large(p).Name, float64(310+i)))
-					t.Logf("ticket %d in force everywhere after %v", w.tickets, w.waitInForce(w.tickets, w.allVMs()))
+					h.apply("A higher rate.", setRate(largeCustomer(p).Name, float64(310+i)))
+					t.Logf("ticket %d in force everywhere after %v", h.tickets, h.waitInForce(h.tickets, h.allVMs()))
 				}
-				for _, vm := range w.allVMs() {
-					if got := w.fleet.VM(vm).Tables().Config.Current().Customers[large(p).Name].Rate; got != 314 {
+				for _, vm := range h.allVMs() {
+					if got := h.fleet.VM(vm).Tables().Config.Current().Customers[largeCustomer(p).Name].Rate; got != 314 {
 						t.Errorf("%s has rate %v, want 314", fleet.VMName(vm), got)
 					}
 				}
@@ -83,36 +82,36 @@
 	}
 }
 
-// Guards against VMs that need the store themselves to learn of a ticket.
+// Guards against VMs that learn of a ticket only from the store.
 func TestTicketReachesVMsWithoutStore(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
+	runWithFleet(t, p, func(h *harness) {
 		var without []int
 		for _, dc := range p.DataCentres[1:] {
-			without = append(without, w.vmsOf(dc)...)
+			without = append(without, h.vmsOf(dc)...)
 		}
-		w.cutHosts(w.vmHosts(without...), w.vmHosts(storeNumber))
+		h.cutHosts(h.vmHosts(without...), h.vmHosts(storeIndex))
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			w.apply("A higher rate.", raise(large(p).Name, float64(310+i)))
-			t.Logf("ticket %d in force everywhere after %v", w.tickets, w.waitInForce(w.tickets, w.allVMs()))
+			h.apply("A higher rate.", setRate(largeCustomer(p).Name, float64(310+i)))
+			t.Logf("ticket %d in force everywhere after %v", h.tickets, h.waitInForce(h.tickets, h.allVMs()))
 		}
 	})
 }
 
-// Guards against two operators whose tickets of one number are both taken to be
-// applied.
+// Guards against two tickets with the same number, by two operators, that are both
+// reported as applied.
 func TestTicketOfTwoOperatorsWithOneNumber(t *testing.T) {
 	t.Parallel()
 	p := fleet.Peachtree()
-	inWorld(t, p, func(w *world) {
-		first := w.writeTicket("amina", "A higher rate.", raise(large(p).Name, 310))
-		w.tickets--
-		second := w.writeTicket("driss", "A lower rate.", raise(small(p).Name, 20))
+	runWithFleet(t, p, func(h *harness) {
+		first := h.writeTicket("amina", "A higher rate.", setRate(largeCustomer(p).Name, 310))
+		h.tickets--
+		second := h.writeTicket("driss", "A lower rate.", setRate(smallCustomer(p).Name, 20))
 		results := make(chan result, 2)
 		for _, path := range []string{first, second} {
-			go func() { results <- w.ctl("ticket", "apply", "-store", fleet.StoreAddress(), path) }()
+			go func() { results <- h.ctl("ticket", "apply", "-store", fleet.StoreAddress(), path) }()
 		}
 		a, b := <-results, <-results
 		if a.code != ctl.ExitOK {
@@ -121,119 +120,119 @@
 		if a.code != ctl.ExitOK || b.code != ctl.ExitLost {
 			t.Fatalf("exit codes %d and %d, want %d and %d", a.code, b.code, ctl.ExitOK, ctl.ExitLost)
 		}
-		if winner := w.stored(); !strings.Contains(b.stderr, "by ticket 2 of ") || winner.Ticket.Number != 2 {
+		if winner := h.stored(); !strings.Contains(b.stderr, "by ticket 2 of ") || winner.Ticket.Number != 2 {
 			t.Errorf("the other operator is told %q", b.stderr)
 		}
-		changed := w.stored().Customers
-		if (changed[large(p).Name].Rate == 310) == (changed[small(p).Name].Rate == 20) {
+		changed := h.stored().Customers
+		if (changed[largeCustomer(p).Name].Rate == 310) == (changed[smallCustomer(p).Name].Rate == 20) {
 			t.Error("not exactly one of the tickets took effect")
 		}
-		w.waitInForce(2, w.allVMs())
+		h.waitInForce(2, h.allVMs())
 	})
 }
 
-// Guards against a ticket that is applied twice, or reported as failed, when the
-// store's answer is lost after the change took effect.
+// Guards against a ticket that is applied twice or reported as failed because the
+// store's answer was lost after the change took effect.
 func TestTicketWithLostAnswer(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
-		path := w.writeTicket(operator, "A higher rate.", raise(large(p).Name, 310))
-		w.fleet.Store.LoseAnswers(1)
-		if out := w.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), path); !strings.Contains(out, "ticket 2") {
+	runWithFleet(t, p, func(h *harness) {
+		path := h.writeTicket(operator, "A higher rate.", setRate(largeCustomer(p).Name, 310))
+		h.fleet.Store.LoseAnswers(1)
+		if out := h.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), path); !strings.Contains(out, "ticket 2") {
 			t.Errorf("output %q", out)
 		}
-		w.waitInForce(2, w.allVMs())
-		again := w.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), path)
+		h.waitInForce(2, h.allVMs())
+		again := h.mustCtl("ticket", "apply", "-store", fleet.StoreAddress(), path)
 		if !strings.Contains(again, "applied before; nothing to do") {
 			t.Errorf("output of the second application %q", again)
 		}
-		if history := w.mustCtl("ticket", "history", "-store", fleet.StoreAddress()); strings.Count(history, operator) != 1 {
+		if history := h.mustCtl("ticket", "history", "-store", fleet.StoreAddress()); strings.Count(history, operator) != 1 {
 			t.Errorf("history:\n%s", history)
 		}
 	})
 }
 
-// Guards against an invalid ticket of which a part takes effect.
+// Guards against an invalid ticket whose valid objects take effect.
 func TestTicketInvalidIsRefusedWhole(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
-		path := w.writeTicket(operator, "One object is valid, two are not.", func(c *state.Config, t *ticket.Ticket) {
-			raise(large(p).Name, 310)(c, t)
-			raise(small(p).Name, -1)(c, t)
+	runWithFleet(t, p, func(h *harness) {
+		path := h.writeTicket(operator, "One object is valid, two are not.", func(c *state.Config, t *ticket.Ticket) {
+			setRate(largeCustomer(p).Name, 310)(c, t)
+			setRate(smallCustomer(p).Name, -1)(c, t)
 			t.Routes["nowhere"] = &state.Route{Name: "nowhere", Group: "no-group", Access: state.ReadWrite, Deadline: time.Second}
 		})
-		r := w.ctl("ticket", "apply", "-store", fleet.StoreAddress(), path)
+		r := h.ctl("ticket", "apply", "-store", fleet.StoreAddress(), path)
 		if r.code != ctl.ExitError || !strings.Contains(r.stderr, "rate") || !strings.Contains(r.stderr, "no-group") {
 			t.Errorf("exit code %d, errors:\n%s", r.code, r.stderr)
 		}
 		time.Sleep(inForceWithin)
-		if c := w.stored(); c.Ticket.Number != 1 || c.Customers[large(p).Name].Rate != large(p).Rate {
-			t.Errorf("ticket %d in the store, rate %v", c.Ticket.Number, c.Customers[large(p).Name].Rate)
+		if c := h.stored(); c.Ticket.Number != 1 || c.Customers[largeCustomer(p).Name].Rate != largeCustomer(p).Rate {
+			t.Errorf("ticket %d in the store, rate %v", c.Ticket.Number, c.Customers[largeCustomer(p).Name].Rate)
 		}
-		for _, vm := range w.allVMs() {
-			if got := w.inForce(vm); got != 1 {
+		for _, vm := range h.allVMs() {
+			if got := h.inForce(vm); got != 1 {
 				t.Errorf("%s has ticket %d in force", fleet.VMName(vm), got)
 			}
 		}
 	})
 }
 
-// Guards against a VM that goes back to an earlier ticket: one that was cut off,
-// one that starts while the store is down, and all of them when the store comes
-// back with an earlier configuration.
+// Guards against a VM that returns to an earlier ticket: a VM that was cut off, one
+// that starts while the store is down, and all VMs when the store comes back with an
+// earlier configuration.
 func TestTicketNeverGoesBack(t *testing.T) {
 	t.Parallel()
 	p := fleet.Fes()
-	inWorld(t, p, func(w *world) {
-		earlier, _ := w.fleet.Store.Object("config")
-		watched := w.watchTickets()
-		cut := w.cutOffVM(4)
-		w.apply("A higher rate.", raise(large(p).Name, 310))
-		w.waitInForce(2, []int{0, 1, 2, 3, 5, 6, 7})
-		w.fleet.Store.SetOutage(store.Refusing)
+	runWithFleet(t, p, func(h *harness) {
+		earlier, _ := h.fleet.Store.Object("config")
+		watched := h.watchTickets()
+		cut := h.cutOffVM(4)
+		h.apply("A higher rate.", setRate(largeCustomer(p).Name, 310))
+		h.waitInForce(2, []int{0, 1, 2, 3, 5, 6, 7})
+		h.fleet.Store.SetOutage(store.Refusing)
 		cut.Heal()
-		w.waitInForce(2, []int{4})
-		w.startDuringOutage(3)
-		w.fleet.Store.Set("config", earlier.Value)
-		w.fleet.Store.SetOutage(store.InService)
+		h.waitInForce(2, []int{4})
+		h.replaceDuringOutage(3)
+		h.fleet.Store.Set("config", earlier.Value)
+		h.fleet.Store.SetOutage(store.InService)
 		time.Sleep(2 * inForceWithin)
 		watched()
-		for _, vm := range w.allVMs() {
-			if got := w.inForce(vm); got != 2 {
+		for _, vm := range h.allVMs() {
+			if got := h.inForce(vm); got != 2 {
 				t.Errorf("%s has ticket %d in force, want 2", fleet.VMName(vm), got)
 			}
 		}
 	})
 }
 
-// startDuringOutage replaces a VM while the store is down. The new process
-// learns the configuration from its neighbours.
-func (w *world) startDuringOutage(vm int) {
-	w.t.Helper()
-	if err := w.fleet.KillVM(vm); err != nil {
-		w.t.Error(err)
+// replaceDuringOutage replaces a VM by a new process while the store is down. The new
+// process gets the configuration from other VMs.
+func (h *harness) replaceDuringOutage(vm int) {
+	h.t.Helper()
+	if err := h.fleet.KillVM(vm); err != nil {
+		h.t.Error(err)
 	}
-	if err := w.fleet.StartVM(vm); err != nil {
-		w.t.Fatal(err)
+	if err := h.fleet.StartVM(vm); err != nil {
+		h.t.Fatal(err)
 	}
-	w.t.Logf("a VM that starts during the outage has the ticket after %v", w.waitInForce(w.tickets, []int{vm}))
-	w.waitReady()
+	h.t.Logf("a VM that starts during the outage has the ticket after %v", h.waitInForce(h.tickets, []int{vm}))
+	h.waitReady()
 }
 
-// watchTickets fails the test if a process goes back to an earlier ticket. The
-// result ends it.
-func (w *world) watchTickets() (stop func()) {
+// watchTickets fails the test if a process returns to an earlier ticket. The result
+// ends the watch.
+func (h *harness) watchTickets() (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		highest := make(map[any]uint64)
 		for {
-			for _, vm := range w.allVMs() {
-				v, number := w.fleet.VM(vm), w.inForce(vm)
+			for _, vm := range h.allVMs() {
+				v, number := h.fleet.VM(vm), h.inForce(vm)
 				if v != nil && number < highest[v] {
-					w.t.Errorf("%s went back from ticket %d to %d", fleet.VMName(vm), highest[v], number)
+					h.t.Errorf("%s went back from ticket %d to %d", fleet.VMName(vm), highest[v], number)
 				}
 				highest[v] = max(highest[v], number)
 			}
@@ -247,27 +246,27 @@
 	return func() { close(done); <-ended }
 }
 
-// Guards against a status that does not name a VM that lags or is silent.
+// Guards against a status that does not name the VMs that lag or are silent.
 func TestTicketStatusNamesVMs(t *testing.T) {
 	t.Parallel()
 	p := fleet.Peachtree()
-	inWorld(t, p, func(w *world) {
+	runWithFleet(t, p, func(h *harness) {
 		status := []string{"ticket", "status", "-store", fleet.StoreAddress(), "-wait", "10s"}
-		if out := w.mustCtl(status...); strings.Contains(out, "lagging:") || strings.Contains(out, "silent:") {
+		if out := h.mustCtl(status...); strings.Contains(out, "lagging:") || strings.Contains(out, "silent:") {
 			t.Errorf("all VMs have the ticket:\n%s", out)
 		}
-		silent := w.cutOffVM(4)
-		lagging := w.cutHosts(w.vmHosts(6), w.vmHosts(0, 1, 2, 3, 4, 5, 7, storeNumber))
+		silent := h.cutOffVM(4)
+		lagging := h.cutHosts(h.vmHosts(6), h.vmHosts(0, 1, 2, 3, 4, 5, 7, storeIndex))
 		time.Sleep(12 * time.Second)
-		w.apply("A higher rate.", raise(large(p).Name, 310))
-		r := w.ctl(status...)
+		h.apply("A higher rate.", setRate(largeCustomer(p).Name, 310))
+		r := h.ctl(status...)
 		if r.code != ctl.ExitLagging || !strings.Contains(r.stdout, "lagging: vm-7 in juniper") || !strings.Contains(r.stdout, "silent: vm-5 in maple") {
 			t.Errorf("exit code %d\n%s", r.code, r.stdout)
 		}
 		silent.Heal()
 		lagging.Heal()
-		// A VM whose lease had ended counts its earlier connection loans for 30 s
-		// before it reports a ticket as applied.
-		w.mustCtl("ticket", "status", "-store", fleet.StoreAddress(), "-strict", "-wait", "45s")
+		// A VM whose lease had expired counts its earlier connection loans for 30 s before it
+		// reports a ticket as applied.
+		h.mustCtl("ticket", "status", "-store", fleet.StoreAddress(), "-strict", "-wait", "45s")
 	})
 }
