--- a/coordination/leadership/failing_test.go
+++ b/coordination/leadership/failing_test.go
@@ -16,8 +16,8 @@
 	now := 10 * second
 	reader := func() string { return g.Reader(d, servers, "x", point(1, 1), nil, now).ID }
 	run := func(id string, o Outcome) {
-		g.Sent(id)
-		g.Done(id, o, 10*time.Millisecond, point(1, 5), now)
+		g.StatementSent(id)
+		g.StatementDone(id, o, 10*time.Millisecond, point(1, 5), now)
 		now += 20 * time.Millisecond
 	}
 	for range 10 {
@@ -30,7 +30,7 @@
 	for i := range 20 {
 		o := Answered
 		if i%5 < 2 {
-			o = Failing
+			o = Failed
 		}
 		run("near", o)
 	}
@@ -39,8 +39,8 @@
 	}
 	// Reads still go to some server while all of them fail.
 	for range 20 {
-		run("near", Failing)
-		run("far", Failing)
+		run("near", Failed)
+		run("far", Failed)
 	}
 	if got := reader(); got != "near" && got != "far" {
 		t.Errorf("reads go to %q", got)
--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -2,10 +2,10 @@
 // writes and reads.
 //
 // There are three sources of information about the primary, of different age: the
-// role that a server registers, the role in its answers, and a proof of
+// role that a server registers, the role in its answers, and a confirmation of its
 // leadership, which is a statement of a writing transaction that the server ran.
 // A server that is no longer the primary refuses such statements. Consistency
-// depends on proofs only; the other two are hints about which server to try.
+// depends on confirmations only; the other two are hints about which server to try.
 //
 // Times are readings of a monotonic clock of this VM that advances while the VM
 // is suspended.
@@ -80,12 +80,12 @@
 
 // Group holds what this VM knows about the leadership of a group.
 type Group struct {
-	primary  string
-	term     uint64
-	provenAt time.Duration
-	samples  []Sample // in ascending order, all of the current term
-	servers  map[string]*serverStats
-	hedges   float64 // hedged reads that are allowed now
+	primary     string
+	term        uint64
+	confirmedAt time.Duration
+	samples     []Sample // in ascending order, all of the current term
+	servers     map[string]*serverStats
+	hedges      float64 // hedged reads that are allowed now
 }
 
 // Table holds the leadership of all groups by name.
@@ -121,21 +121,22 @@
 	return s
 }
 
-// Prove records that the server was the primary at sentAt or later, with a log
-// that ended at p. Proofs of earlier terms than the latest are ignored.
-func (g *Group) Prove(id string, p state.Point, sentAt time.Duration) {
+// RecordConfirmation records that the server was the primary at sentAt or later,
+// with a log that ended at p. Confirmations of earlier terms than the latest are
+// ignored.
+func (g *Group) RecordConfirmation(id string, p state.Point, sentAt time.Duration) {
 	if p.Term < g.term || p.Term == 0 {
 		return
 	}
 	if p.Term > g.term {
 		g.samples = g.samples[:0]
 		g.term = p.Term
-		g.provenAt = 0
+		g.confirmedAt = 0
 	}
 	g.primary = id
 	s := g.server(id)
 	s.denied = false
-	g.provenAt = max(g.provenAt, sentAt)
+	g.confirmedAt = max(g.confirmedAt, sentAt)
 	g.addSample(Sample{At: sentAt, Point: p})
 }
 
@@ -157,25 +158,27 @@
 	g.samples = append(g.samples, s)
 }
 
-// Newest returns the primary and the sample of the latest proof. It reports false
-// if there is no proof.
-func (g *Group) Newest() (string, Sample, bool) {
+// LatestConfirmation returns the primary and the sample of the latest
+// confirmation. It reports false if there is no confirmation.
+func (g *Group) LatestConfirmation() (string, Sample, bool) {
 	if len(g.samples) == 0 {
 		return "", Sample{}, false
 	}
 	return g.primary, g.samples[len(g.samples)-1], true
 }
 
-// ProvenAt returns the time of the latest proof of the current primary, or zero.
-func (g *Group) ProvenAt() time.Duration { return g.provenAt }
+// ConfirmedAt returns the time of the latest confirmation of the current primary,
+// or zero.
+func (g *Group) ConfirmedAt() time.Duration { return g.confirmedAt }
 
-// Term returns the highest proven term.
+// Term returns the highest confirmed term.
 func (g *Group) Term() uint64 { return g.term }
 
-// Floor returns a point that includes every commit acknowledged more than maxStale
-// before now. It returns the oldest sample that is recent enough, because that is
-// the one that most replicas hold. It reports false if there is none.
-func (g *Group) Floor(now, maxStale time.Duration) (state.Point, bool) {
+// MinReadPoint returns a point that includes every commit acknowledged more than
+// maxStale before now. It returns the oldest sample that is recent enough,
+// because that is the one that most replicas hold. It reports false if there is
+// none.
+func (g *Group) MinReadPoint(now, maxStale time.Duration) (state.Point, bool) {
 	for _, s := range g.samples {
 		if s.At >= now-maxStale {
 			return s.Point, true
@@ -184,19 +187,19 @@
 	return state.Point{}, false
 }
 
-// Cover returns the point that includes both the floor and the session's own
+// MaxPoint returns the point that includes both minPoint and the session's own
 // commits. A point of an earlier term may lie in a tail of the log that a
 // promotion dropped; every point of the current term includes what survived.
-func Cover(floor, own state.Point) state.Point {
-	if own.Term > floor.Term || own.Term == floor.Term && own.Position > floor.Position {
+func MaxPoint(minPoint, own state.Point) state.Point {
+	if own.Term > minPoint.Term || own.Term == minPoint.Term && own.Position > minPoint.Position {
 		return own
 	}
-	return floor
+	return minPoint
 }
 
-// Deny records that the server refused, as a replica, a statement that only a
-// primary runs.
-func (g *Group) Deny(s *catalog.Server) {
+// RecordNotPrimary records that the server refused, as a replica, a statement
+// that only a primary runs.
+func (g *Group) RecordNotPrimary(s *catalog.Server) {
 	v := g.server(s.ID)
 	v.denied, v.deniedRevision = true, s.Revision
 }
@@ -216,16 +219,16 @@
 }
 
 // primaryRank returns the rank of a server as the primary, or -1 if it is not
-// eligible. Suspected servers rank below all others; otherwise a proven
+// eligible. Suspected servers rank below all others; otherwise a confirmed
 // primary ranks above one that is only registered.
 func (g *Group) primaryRank(s *catalog.Server, now time.Duration) int {
 	v := g.server(s.ID)
-	proven := s.ID == g.primary
-	if !proven && !s.Primary || v.denied && s.Revision <= v.deniedRevision {
+	confirmed := s.ID == g.primary
+	if !confirmed && !s.Primary || v.denied && s.Revision <= v.deniedRevision {
 		return -1
 	}
 	rank := 0
-	if proven {
+	if confirmed {
 		rank = 1
 	}
 	if now >= v.suspectUntil {
@@ -271,14 +274,14 @@
 	return cost, covers || now >= v.lagUntil
 }
 
-// Sent records that a statement was sent to the server.
-func (g *Group) Sent(id string) { g.server(id).outstanding++ }
+// StatementSent records that a statement was sent to the server.
+func (g *Group) StatementSent(id string) { g.server(id).outstanding++ }
 
 // CountRead counts a read, which adds hedgeRatio to the allowed hedges.
 func (g *Group) CountRead() { g.hedges = min(g.hedges+hedgeRatio, maxHedges) }
 
-// Hedge reports whether a read may be hedged, and counts the hedge if so.
-func (g *Group) Hedge() bool {
+// AllowHedge reports whether a read may be hedged, and counts the hedge if so.
+func (g *Group) AllowHedge() bool {
 	if g.hedges < 1 {
 		return false
 	}
@@ -292,26 +295,26 @@
 // Outcomes.
 const (
 	Answered Outcome = iota // the statement succeeded
-	Failing                 // it failed, or no answer came
+	Failed                  // it failed, or no answer came
 	Declined                // not run, for a reason unrelated to the server's health
 )
 
-// Done records the end of a statement at now: its outcome, its duration, and the
-// position of the server's log.
-func (g *Group) Done(id string, o Outcome, took time.Duration, at state.Point, now time.Duration) {
+// StatementDone records the end of a statement at now: its outcome, its duration,
+// and the position of the server's log.
+func (g *Group) StatementDone(id string, o Outcome, took time.Duration, at state.Point, now time.Duration) {
 	v := g.server(id)
 	v.outstanding--
 	if o == Declined {
 		return
 	}
 	failed := 0.0
-	if o == Failing {
+	if o == Failed {
 		failed = 1
 	}
 	v.failureRate = v.failureRateAt(now)
 	v.failureRate += failureWeight * (failed - v.failureRate)
 	v.failureRateTime = now
-	if o == Failing {
+	if o == Failed {
 		return
 	}
 	v.latency += time.Duration(latencyWeight * float64(took-v.latency))
@@ -335,12 +338,12 @@
 // Suspected reports whether the server is being avoided.
 func (g *Group) Suspected(id string, now time.Duration) bool { return now < g.server(id).suspectUntil }
 
-// Lags records that a replica lacked a requested point.
-func (g *Group) Lags(id string, now time.Duration) { g.server(id).lagUntil = now + lagPeriod }
+// RecordLag records that a replica lacked a requested point.
+func (g *Group) RecordLag(id string, now time.Duration) { g.server(id).lagUntil = now + lagPeriod }
 
-// Reborn discards the observations of a server that was restarted without its log.
-// born is the server's start time.
-func (g *Group) Reborn(id string, born int64) {
+// ResetIfRestarted discards the observations of a server that was restarted
+// without its log. born is the server's start time.
+func (g *Group) ResetIfRestarted(id string, born int64) {
 	v := g.server(id)
 	if v.startTime == born {
 		return
--- a/coordination/leadership/leadership_test.go
+++ b/coordination/leadership/leadership_test.go
@@ -14,59 +14,59 @@
 
 const second = time.Second
 
-// Guards against a floor that is older than the staleness bound: a read could miss
-// a commit that it must see.
-func TestFloorIsInsideTheBound(t *testing.T) {
+// Guards against a minimum read point that is older than the staleness bound: a
+// read could miss a commit that it must see.
+func TestMinReadPointIsInsideTheBound(t *testing.T) {
 	g := newGroup()
-	if _, ok := g.Floor(10*second, second); ok {
-		t.Error("Floor returned a point without any sample")
+	if _, ok := g.MinReadPoint(10*second, second); ok {
+		t.Error("MinReadPoint returned a point without any sample")
 	}
 	for i := range 20 {
-		g.Prove("a", point(1, uint64(i)), 10*second+time.Duration(i)*100*time.Millisecond)
+		g.RecordConfirmation("a", point(1, uint64(i)), 10*second+time.Duration(i)*100*time.Millisecond)
 	}
 	now := 12 * second
-	p, ok := g.Floor(now, second)
+	p, ok := g.MinReadPoint(now, second)
 	if !ok || p != point(1, 10) {
-		t.Errorf("floor %v, %v", p, ok)
+		t.Errorf("minimum read point %v, %v", p, ok)
 	}
-	if _, ok := g.Floor(now+10*second, second); ok {
-		t.Error("Floor returned a sample that is too old")
+	if _, ok := g.MinReadPoint(now+10*second, second); ok {
+		t.Error("MinReadPoint returned a sample that is too old")
 	}
 }
 
-// Guards against late proofs: a proof of an earlier term must not replace the
+// Guards against late confirmations: one of an earlier term must not replace the
 // primary, and one sent earlier must not replace the latest sample.
-func TestLateProofs(t *testing.T) {
+func TestLateConfirmations(t *testing.T) {
 	g := newGroup()
-	g.Prove("a", point(1, 5), second)
-	g.Prove("b", point(2, 6), 2*second)
-	g.Prove("a", point(1, 9), 3*second)
-	server, s, ok := g.Newest()
+	g.RecordConfirmation("a", point(1, 5), second)
+	g.RecordConfirmation("b", point(2, 6), 2*second)
+	g.RecordConfirmation("a", point(1, 9), 3*second)
+	server, s, ok := g.LatestConfirmation()
 	if !ok || server != "b" || s.Point != point(2, 6) || g.Term() != 2 {
-		t.Errorf("newest is %s %v", server, s)
+		t.Errorf("latest confirmation is %s %v", server, s)
 	}
-	g.Prove("b", point(2, 8), 4*second)
-	g.Prove("b", point(2, 7), 3*second)
-	if _, s, _ := g.Newest(); s.Point != point(2, 8) || s.At != 4*second {
-		t.Errorf("a late proof replaced the latest sample: %v", s)
+	g.RecordConfirmation("b", point(2, 8), 4*second)
+	g.RecordConfirmation("b", point(2, 7), 3*second)
+	if _, s, _ := g.LatestConfirmation(); s.Point != point(2, 8) || s.At != 4*second {
+		t.Errorf("a late confirmation replaced the latest sample: %v", s)
 	}
-	if p, ok := g.Floor(4*second, 3*second); !ok || p.Term != 2 {
-		t.Errorf("floor %v from an earlier term", p)
+	if p, ok := g.MinReadPoint(4*second, 3*second); !ok || p.Term != 2 {
+		t.Errorf("minimum read point %v from an earlier term", p)
 	}
 }
 
 // Guards against a session that waits forever for a point in a log tail that a
 // promotion dropped.
-func TestCoverAfterPromotion(t *testing.T) {
-	for _, tt := range []struct{ floor, own, want state.Point }{
+func TestMaxPointAfterPromotion(t *testing.T) {
+	for _, tt := range []struct{ minPoint, own, want state.Point }{
 		{point(1, 5), point(1, 9), point(1, 9)},
 		{point(1, 9), point(1, 5), point(1, 9)},
 		{point(2, 7), point(1, 9), point(2, 7)},
 		{point(1, 9), point(2, 3), point(2, 3)},
 		{point(1, 9), state.Point{}, point(1, 9)},
 	} {
-		if got := Cover(tt.floor, tt.own); got != tt.want {
-			t.Errorf("Cover(%v, %v) = %v, want %v", tt.floor, tt.own, got, tt.want)
+		if got := MaxPoint(tt.minPoint, tt.own); got != tt.want {
+			t.Errorf("MaxPoint(%v, %v) = %v, want %v", tt.minPoint, tt.own, got, tt.want)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	if p := g.Primary(servers, second); p != old {
 		t.Fatalf("primary %v", p)
 	}
-	g.Deny(old)
+	g.RecordNotPrimary(old)
 	if p := g.Primary(servers, second); p != nil {
 		t.Errorf("primary %v after its denial", p)
 	}
@@ -90,7 +90,7 @@
 		t.Errorf("primary %v, want the one that registered the role", p)
 	}
 	old.Revision = 9
-	g.Deny(other)
+	g.RecordNotPrimary(other)
 	if p := g.Primary(servers, second); p != old {
 		t.Errorf("primary %v, want the one that registered anew", p)
 	}
@@ -101,7 +101,7 @@
 	g := newGroup()
 	old := &catalog.Server{ID: "a", Primary: true, Revision: 4}
 	next := &catalog.Server{ID: "b", Primary: true, Revision: 6}
-	g.Prove("a", point(1, 1), second)
+	g.RecordConfirmation("a", point(1, 1), second)
 	g.Suspect("a", second)
 	if p := g.Primary([]*catalog.Server{old, next}, second); p != next {
 		t.Errorf("primary %v, want the one that is not suspected", p)
@@ -120,14 +120,14 @@
 	c := &catalog.Server{ID: "c", DataCentre: "z"}
 	d := &catalog.Deployment{Out: map[string]bool{"z": true}}
 	servers := []*catalog.Server{a, b, c}
-	g.Prove("b", point(1, 10), second)
+	g.RecordConfirmation("b", point(1, 10), second)
 	read := func(now time.Duration, tried map[string]bool) *catalog.Server {
 		return g.Reader(d, servers, "x", point(1, 10), tried, now)
 	}
 	if s := read(second, nil); s != a {
 		t.Errorf("reads on %v, want the near replica", s)
 	}
-	g.Lags("a", second)
+	g.RecordLag("a", second)
 	if s := read(second, nil); s != b {
 		t.Errorf("reads on %v, want the primary while the replica lags", s)
 	}
@@ -138,7 +138,7 @@
 		t.Errorf("reads on %v, which is in a data centre that is out", s)
 	}
 	for range 20 {
-		g.Sent("a")
+		g.StatementSent("a")
 	}
 	if s := read(2*second, nil); s != b {
 		t.Errorf("reads on %v, want the primary while the replica has many outstanding statements", s)
@@ -147,12 +147,12 @@
 
 // Guards against keeping the observations of a server that was restarted without
 // its log.
-func TestReborn(t *testing.T) {
+func TestResetIfRestarted(t *testing.T) {
 	g := newGroup()
-	g.Reborn("a", 1)
-	g.Sent("a")
-	g.Done("a", Answered, time.Millisecond, point(3, 7), second)
-	g.Reborn("a", 2)
+	g.ResetIfRestarted("a", 1)
+	g.StatementSent("a")
+	g.StatementDone("a", Answered, time.Millisecond, point(3, 7), second)
+	g.ResetIfRestarted("a", 2)
 	if got := g.server("a").applied; got != (state.Point{}) {
 		t.Errorf("a restarted server is assumed to hold %v", got)
 	}
@@ -164,7 +164,7 @@
 	hedged := 0
 	for range 1000 {
 		g.CountRead()
-		if g.Hedge() {
+		if g.AllowHedge() {
 			hedged++
 		}
 	}
@@ -174,7 +174,7 @@
 	for range 10000 {
 		g.CountRead()
 	}
-	for hedged = 0; g.Hedge(); hedged++ {
+	for hedged = 0; g.AllowHedge(); hedged++ {
 	}
 	if hedged > maxHedges {
 		t.Errorf("%d hedged reads at once", hedged)
--- a/coordination/sqlsession/route.go
+++ b/coordination/sqlsession/route.go
@@ -27,24 +27,24 @@
 // sent to a second server. It reports false if the operation must not run twice or
 // can run on one server only.
 func (o *Operation) HedgeAfter() (time.Duration, bool) {
-	if o.NeedsLead || o.Opens || o.Tx.ID != 0 || o.writes() {
+	if o.NeedsPrimary || o.BeginsTx || o.Tx.ID != 0 || o.writes() {
 		return 0, false
 	}
 	return max(time.Duration(hedgeFraction*float64(o.Route.TargetLatency)), minHedgeDelay), true
 }
 
 // Target is the VM and backend server that run an attempt of an operation, and the
-// work to send.
+// statement to send.
 type Target struct {
-	VM     string
-	Server string
-	Work   statement.Work
+	VM        string
+	Server    string
+	Statement statement.RemoteStatement
 }
 
 // Env holds the state of the fleet that a choice depends on.
 type Env struct {
 	Deployment *catalog.Deployment
-	Leads      *leadership.Table
+	Leadership *leadership.Table
 	View       *placement.View
 	DataCentre string
 	Now        time.Duration   // reading of the clock that keeps running while the host is suspended
@@ -54,50 +54,50 @@
 // Choose returns the target for the next attempt of the operation. It reports false
 // if no server can run it at the moment.
 func Choose(o *Operation, env Env) (Target, bool) {
-	work := statement.Work{
+	stmt := statement.RemoteStatement{
 		Customer: o.Customer, Group: o.Route.Group, Values: o.Values, Prepared: o.Prepared,
-		Opens: o.Opens, ReadOnlyTx: o.ReadOnly, Tx: o.Tx.ID,
+		BeginsTx: o.BeginsTx, ReadOnlyTx: o.ReadOnly, Tx: o.Tx.ID,
 		Command: statement.Command{ID: o.Request.ID, Verb: o.Request.Verb, Payload: o.Request.Payload},
 	}
 	if o.Prepared != nil {
-		work.Command.Name = o.Prepared.Name
+		stmt.Command.Name = o.Prepared.Name
 	}
 	if o.Tx.ID != 0 {
-		work.Server = o.Tx.Server
-		work.Proof = !o.ReadOnly
-		return Target{VM: o.Tx.VM, Server: o.Tx.Server, Work: work}, true
+		stmt.Server = o.Tx.Server
+		stmt.RequirePrimary = !o.ReadOnly
+		return Target{VM: o.Tx.VM, Server: o.Tx.Server, Statement: stmt}, true
 	}
 	var server *catalog.Server
-	env.Leads.With(o.Route.Group, func(g *leadership.Group) {
-		server = chooseServer(o, env, g, &work)
+	env.Leadership.With(o.Route.Group, func(g *leadership.Group) {
+		server = chooseServer(o, env, g, &stmt)
 	})
 	if server == nil {
 		return Target{}, false
 	}
-	work.Server = server.ID
+	stmt.Server = server.ID
 	vm, ok := env.View.Executor(o.Customer, server)
-	return Target{VM: vm, Server: server.ID, Work: work}, ok
+	return Target{VM: vm, Server: server.ID, Statement: stmt}, ok
 }
 
 // chooseServer returns a replica that is recent enough for the read, or else the
-// primary, or nil. It completes the work for the server that it returns.
-func chooseServer(o *Operation, env Env, g *leadership.Group, work *statement.Work) *catalog.Server {
+// primary, or nil. It completes the statement for the server that it returns.
+func chooseServer(o *Operation, env Env, g *leadership.Group, stmt *statement.RemoteStatement) *catalog.Server {
 	servers := env.Deployment.GroupServers(o.Route.Group)
-	if !o.NeedsLead {
-		if floor, ok := g.Floor(env.Now, o.Route.MaxStaleness); ok {
-			need := leadership.Cover(floor, ownPosition(o))
+	if !o.NeedsPrimary {
+		if minPoint, ok := g.MinReadPoint(env.Now, o.Route.MaxStaleness); ok {
+			need := leadership.MaxPoint(minPoint, ownPosition(o))
 			if s := g.Reader(env.Deployment, servers, env.DataCentre, need, env.Tried, env.Now); s != nil {
-				work.Command.After = need
+				stmt.Command.After = need
 				return s
 			}
 		}
 	}
 	// The primary runs reads for which no suitable replica is known. A read-only
-	// transaction becomes a read-write one, which proves that the server still leads
-	// the group.
+	// transaction becomes a read-write one, which confirms that the server is still the
+	// primary of the group.
 	if !o.writes() {
-		work.Proof = true
-		work.ReadOnlyTx = false
+		stmt.RequirePrimary = true
+		stmt.ReadOnlyTx = false
 	}
 	var candidates []*catalog.Server
 	for _, s := range servers {
@@ -112,7 +112,7 @@
 // see. It is zero unless the route has consistency ReadYourWrites.
 func ownPosition(o *Operation) state.Point {
 	if o.Route.Consistency == catalog.ReadYourWrites {
-		return o.Own
+		return o.LastWrite
 	}
 	return state.Point{}
 }
@@ -122,20 +122,20 @@
 
 // Verdicts.
 const (
-	Tell  Verdict = iota // send the answer to the client
-	Retry                // run the operation again, on the same or another server
+	Answer Verdict = iota // send the answer to the client
+	Retry                 // run the operation again, on the same or another server
 )
 
-// Judge decides how to continue after the result of an attempt. If the answer goes
-// to the client, it replaces codes that are internal to the fleet.
-func (o *Operation) Judge(r *statement.Result) Verdict {
+// HandleResult decides how to continue after the result of an attempt. If the
+// answer goes to the client, it replaces codes that are internal to the fleet.
+func (o *Operation) HandleResult(r *statement.Result) Verdict {
 	a := &r.Answer
 	if a.Code == statement.OK {
-		return Tell
+		return Answer
 	}
 	if o.Tx.ID != 0 {
 		o.replaceCodeInTx(a)
-		return Tell
+		return Answer
 	}
 	if a.Code.NotRun() {
 		return Retry
@@ -143,21 +143,21 @@
 	switch a.Code {
 	case statement.Lost:
 		// A transaction that was not committed has no lasting effect.
-		if !o.writes() || o.Opens {
+		if !o.writes() || o.BeginsTx {
 			return Retry
 		}
 		a.Code = statement.InDoubt
 	case statement.Timeout:
-		if o.Opens && o.Request.Verb != statement.Commit {
+		if o.BeginsTx && o.Request.Verb != statement.Commit {
 			a.Code = statement.Aborted
 		}
 	case statement.Failed:
 		o.Failures++
-		if !o.writes() && !o.Opens && o.Failures < maxReadFailures {
+		if !o.writes() && !o.BeginsTx && o.Failures < maxReadFailures {
 			return Retry
 		}
 	}
-	return Tell
+	return Answer
 }
 
 // replaceCodeInTx replaces the code of a statement in an open transaction by the
--- a/coordination/sqlsession/session.go
+++ b/coordination/sqlsession/session.go
@@ -82,18 +82,18 @@
 
 // Operation is a statement that has to run on a server.
 type Operation struct {
-	Request   statement.Request
-	Route     *catalog.Route
-	Customer  string
-	Charge    bool // counts against the customer's rate limit; false inside a transaction
-	NeedsLead bool // only the primary may run it
-	Opens     bool // begins the transaction on the server
-	ReadOnly  bool // its transaction is read-only
-	Tx        Tx   // ID is zero unless a transaction is open
-	Values    []statement.Value
-	Prepared  *statement.Prepared
-	Own       state.Point // position of the session's latest commit of a write
-	Failures  int         // number of runs that failed
+	Request      statement.Request
+	Route        *catalog.Route
+	Customer     string
+	Charge       bool // counts against the customer's rate limit; false inside a transaction
+	NeedsPrimary bool // only the primary may run it
+	BeginsTx     bool // begins the transaction on the server
+	ReadOnly     bool // its transaction is read-only
+	Tx           Tx   // ID is zero unless a transaction is open
+	Values       []statement.Value
+	Prepared     *statement.Prepared
+	LastWrite    state.Point // position of the session's latest commit of a write
+	Failures     int         // number of runs that failed
 }
 
 // writes reports whether the statement changes data.
@@ -170,12 +170,12 @@
 	return Step{Answer: s.success(), Charge: true, Customer: customer}
 }
 
-// Unbegin undoes a BEGIN that the rate limit did not admit.
-func (s *Session) Unbegin() { s.phase = txNone }
+// UndoBegin undoes a BEGIN that the rate limit did not admit.
+func (s *Session) UndoBegin() { s.phase = txNone }
 
 // run returns the operation for a statement that has to run on a server.
 func (s *Session) run(r statement.Request, config *catalog.Config) Step {
-	o := &Operation{Request: r, Values: s.values, Own: s.lastCommit}
+	o := &Operation{Request: r, Values: s.values, LastWrite: s.lastCommit}
 	if r.Verb == statement.Execute {
 		o.Prepared = s.prepared[r.Name]
 		if o.Prepared == nil {
@@ -192,15 +192,15 @@
 			return Step{Answer: s.refusal(code, ""), Close: true}
 		}
 		o.Charge = true
-		o.NeedsLead = o.writes() || o.Route.Consistency == catalog.Latest
+		o.NeedsPrimary = o.writes() || o.Route.Consistency == catalog.Latest
 		return Step{Run: o}
 	}
 	o.Route, o.Customer, o.Tx = s.route, s.customer, s.tx
-	o.Opens = s.phase == txBegun
+	o.BeginsTx = s.phase == txBegun
 	// On a route with consistency latest, a read-only transaction has to run as a
 	// read-write one: otherwise it could run on a former primary and see old data.
 	o.ReadOnly = s.readOnly && s.route.Consistency != catalog.Latest
-	o.NeedsLead = !o.ReadOnly || o.writes()
+	o.NeedsPrimary = !o.ReadOnly || o.writes()
 	return Step{Run: o}
 }
 
@@ -256,10 +256,10 @@
 	return customer
 }
 
-// Abandon marks the session's transaction as failed, and returns the transaction to
+// FailTx marks the session's transaction as failed, and returns the transaction to
 // end on its server, or nil. The session stays usable; the client receives the
 // error with its next request.
-func (s *Session) Abandon() *Tx {
+func (s *Session) FailTx() *Tx {
 	end := s.endTx()
 	s.phase = txFailed
 	return end
@@ -277,8 +277,8 @@
 	return end
 }
 
-// Finish updates the session with the result of an operation, after Judge, and
-// returns the answer for the client. vm and server ran the operation.
+// Finish updates the session with the result of an operation, after HandleResult,
+// and returns the answer for the client. vm and server ran the operation.
 func (s *Session) Finish(o *Operation, r statement.Result, vm, server string) statement.Answer {
 	a := r.Answer
 	inTx := s.phase != txNone
--- a/coordination/sqlsession/session_test.go
+++ b/coordination/sqlsession/session_test.go
@@ -76,16 +76,16 @@
 		t.Fatalf("BEGIN: %+v", step)
 	}
 	o := s.Handle(newRequest(statement.Write, "a 1"), testConfig()).Run
-	if !o.Opens || o.Charge || !o.NeedsLead {
+	if !o.BeginsTx || o.Charge || !o.NeedsPrimary {
 		t.Errorf("first statement: %+v", o)
 	}
 	s.Finish(o, statement.Result{Tx: 7}, "vm", "s")
 	o = s.Handle(newRequest(statement.Write, "b 1"), testConfig()).Run
-	if o.Opens || o.Tx != (Tx{VM: "vm", ID: 7, Server: "s"}) {
+	if o.BeginsTx || o.Tx != (Tx{VM: "vm", ID: 7, Server: "s"}) {
 		t.Errorf("second statement: %+v", o)
 	}
 	r := statement.Result{Answer: statement.Refusal(statement.Lost, "")}
-	o.Judge(&r)
+	o.HandleResult(&r)
 	if a := s.Finish(o, r, "vm", "s"); a.Code != statement.Aborted || a.State != statement.FailedTx {
 		t.Errorf("a lost write in a transaction is answered with %+v", a)
 	}
@@ -114,18 +114,18 @@
 		{"read not run", read, statement.Lagging, Retry, statement.Lagging},
 		{"read lost", read, statement.Lost, Retry, statement.Lost},
 		{"write not run", write, statement.ReadOnly, Retry, statement.ReadOnly},
-		{"write lost", write, statement.Lost, Tell, statement.InDoubt},
-		{"write timed out", write, statement.Timeout, Tell, statement.Timeout},
-		{"write failed", write, statement.Failed, Tell, statement.Failed},
-		{"write in a transaction lost", inTx, statement.Lost, Tell, statement.Aborted},
-		{"write in a transaction timed out", inTx, statement.Timeout, Tell, statement.Aborted},
-		{"write in a transaction on a former primary", inTx, statement.ReadOnly, Tell, statement.Aborted},
-		{"commit lost", commit, statement.Lost, Tell, statement.InDoubt},
-		{"commit timed out", commit, statement.Timeout, Tell, statement.InDoubt},
-		{"commit not sent", commit, statement.Unreachable, Tell, statement.Aborted},
+		{"write lost", write, statement.Lost, Answer, statement.InDoubt},
+		{"write timed out", write, statement.Timeout, Answer, statement.Timeout},
+		{"write failed", write, statement.Failed, Answer, statement.Failed},
+		{"write in a transaction lost", inTx, statement.Lost, Answer, statement.Aborted},
+		{"write in a transaction timed out", inTx, statement.Timeout, Answer, statement.Aborted},
+		{"write in a transaction on a former primary", inTx, statement.ReadOnly, Answer, statement.Aborted},
+		{"commit lost", commit, statement.Lost, Answer, statement.InDoubt},
+		{"commit timed out", commit, statement.Timeout, Answer, statement.InDoubt},
+		{"commit not sent", commit, statement.Unreachable, Answer, statement.Aborted},
 	} {
 		r := statement.Result{Answer: statement.Refusal(tt.code, "")}
-		if got := tt.o.Judge(&r); got != tt.verdict || r.Answer.Code != tt.want {
+		if got := tt.o.HandleResult(&r); got != tt.verdict || r.Answer.Code != tt.want {
 			t.Errorf("%s: verdict %d, code for the client %s", tt.name, got, r.Answer.Code)
 		}
 	}
@@ -159,38 +159,40 @@
 
 // Guards against running a read-only transaction of a route with consistency latest
 // on a replica, and against running a read without a known minimum position
-// anywhere but on a server that proves to be the primary.
+// anywhere but on a server that is confirmed as the primary.
 func TestChoose(t *testing.T) {
 	c := testConfig()
 	d := &catalog.Deployment{Config: c, Servers: map[string]*catalog.Server{
 		"p": {ID: "p", Group: "g", DataCentre: "x", Primary: true}, "r": {ID: "r", Group: "g", DataCentre: "y"},
 	}}
 	view := &placement.View{Self: "vm", VMs: []placement.VM{{Name: "vm", DataCentre: "y", Weight: 1, Alive: true}}, Members: 1}
-	leads := leadership.NewTable()
+	table := leadership.NewTable()
 	choose := func(o *Operation) Target {
-		target, ok := Choose(o, Env{Deployment: d, Leads: leads, View: view, DataCentre: "y", Now: time.Minute})
+		target, ok := Choose(o, Env{Deployment: d, Leadership: table, View: view, DataCentre: "y", Now: time.Minute})
 		if !ok {
 			t.Fatal("no target")
 		}
 		return target
 	}
 	own := openSession(t, "own")
-	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || !got.Work.Proof {
-		t.Errorf("a read without a known minimum position runs on %s, proof %v", got.Server, got.Work.Proof)
+	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || !got.Statement.RequirePrimary {
+		t.Errorf("a read without a known minimum position runs on %s, RequirePrimary %v", got.Server, got.Statement.RequirePrimary)
 	}
-	leads.With("g", func(g *leadership.Group) { g.Prove("p", state.Point{Term: 1, Position: 8}, time.Minute-time.Second/2) })
+	table.With("g", func(g *leadership.Group) {
+		g.RecordConfirmation("p", state.Point{Term: 1, Position: 8}, time.Minute-time.Second/2)
+	})
 	got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run)
-	if got.Server != "r" || got.Work.Proof || got.Work.Command.After != (state.Point{Term: 1, Position: 8}) {
-		t.Errorf("a read with a known minimum position runs on %s as %+v", got.Server, got.Work)
+	if got.Server != "r" || got.Statement.RequirePrimary || got.Statement.Command.After != (state.Point{Term: 1, Position: 8}) {
+		t.Errorf("a read with a known minimum position runs on %s as %+v", got.Server, got.Statement)
 	}
 	latest := openSession(t, "latest")
 	latest.Handle(newRequest(statement.BeginReadOnly, ""), c)
-	if got := choose(latest.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || got.Work.ReadOnlyTx || !got.Work.Proves() {
-		t.Errorf("a read-only transaction on a route with consistency latest runs on %s as %+v", got.Server, got.Work)
+	if got := choose(latest.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || got.Statement.ReadOnlyTx || !got.Statement.Proves() {
+		t.Errorf("a read-only transaction on a route with consistency latest runs on %s as %+v", got.Server, got.Statement)
 	}
 	own.Handle(newRequest(statement.BeginReadOnly, ""), c)
-	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "r" || !got.Work.ReadOnlyTx || !got.Work.Opens {
-		t.Errorf("a read-only transaction runs on %s as %+v", got.Server, got.Work)
+	if got := choose(own.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "r" || !got.Statement.ReadOnlyTx || !got.Statement.BeginsTx {
+		t.Errorf("a read-only transaction runs on %s as %+v", got.Server, got.Statement)
 	}
 }
 
@@ -205,9 +207,9 @@
 	for name, change := range map[string]func(*Operation){
 		"a write":                          func(o *Operation) { o.Request.Verb = statement.Write },
 		"a prepared write":                 func(o *Operation) { o.Prepared = &statement.Prepared{Writes: true} },
-		"a read on the primary":            func(o *Operation) { o.NeedsLead = true },
+		"a read on the primary":            func(o *Operation) { o.NeedsPrimary = true },
 		"a read in a transaction":          func(o *Operation) { o.Tx.ID = 1 },
-		"a read that begins a transaction": func(o *Operation) { o.Opens = true },
+		"a read that begins a transaction": func(o *Operation) { o.BeginsTx = true },
 		"a read without time to hedge":     func(o *Operation) { o.Route = &catalog.Route{} },
 	} {
 		o := read
--- a/coordination/succession/succession.go
+++ b/coordination/succession/succession.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// proofInterval is the age from which the coordinator renews a proof of
-	// leadership, in a deployment with few groups.
-	proofInterval = 300 * time.Millisecond
+	// confirmationInterval is the age from which the coordinator renews a
+	// confirmation of leadership, in a deployment with few groups.
+	confirmationInterval = 300 * time.Millisecond
 	// intervalPerGroup limits the coordinator to 200 queries per second. With 800
 	// groups an idle group is queried every 4 s, which leaves 3 s of the 7 s in
 	// which a change of primary must be complete.
 	intervalPerGroup = 5 * time.Millisecond
-	// lostTimeout is how long all VMs must have been without a proof for the
+	// lostTimeout is how long all VMs must have been without a confirmation for the
 	// primary to count as lost. It exceeds the duration of the longest
 	// statements and the time in which a VM that lost its executor finds
 	// another one.
@@ -38,10 +38,10 @@
 	RepeatAfter = 700 * time.Millisecond
 )
 
-// AskInterval returns the age from which the coordinator renews a proof of
+// AskInterval returns the age from which the coordinator renews a confirmation of
 // leadership, for the given number of groups.
 func AskInterval(groups int) time.Duration {
-	return max(proofInterval, time.Duration(groups)*intervalPerGroup)
+	return max(confirmationInterval, time.Duration(groups)*intervalPerGroup)
 }
 
 // Facts holds what the coordinator knows about a group.
@@ -49,7 +49,7 @@
 	Interval time.Duration   // see AskInterval
 	Primary  *catalog.Server // most likely primary; nil if none is known
 	Leaving  bool            // Primary is being taken out of service
-	ProvenAt time.Duration   // latest proof of leadership that any VM has
+	ProvenAt time.Duration   // latest leadership confirmation that any VM has
 	Failures int             // queries that failed since then
 	Refusals int             // of these, refused connections
 	Since    time.Duration   // when the coordinator began to watch the group
@@ -65,7 +65,7 @@
 // Actions.
 const (
 	Nothing  Action = iota
-	Ask             // query the primary for a proof of leadership
+	Ask             // query the primary for a leadership confirmation
 	HandOver        // replace a leaving primary without losing commits
 	Replace         // replace a lost primary
 )
--- a/coordination/succession/succession_test.go
+++ b/coordination/succession/succession_test.go
@@ -17,8 +17,8 @@
 		facts Facts
 		want  Action
 	}{
-		"proven":                     {Facts{Primary: primary, ProvenAt: now - proofInterval/2}, Nothing},
-		"proof is old":               {Facts{Primary: primary, ProvenAt: now - proofInterval*2}, Ask},
+		"proven":                     {Facts{Primary: primary, ProvenAt: now - confirmationInterval/2}, Nothing},
+		"confirmation is old":        {Facts{Primary: primary, ProvenAt: now - confirmationInterval*2}, Ask},
 		"one query failed":           {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: 1}, Ask},
 		"lost":                       {Facts{Primary: primary, ProvenAt: now - 2*lostTimeout, Failures: minFailures}, Replace},
 		"gone":                       {Facts{Primary: primary, ProvenAt: now - refusedTimeout - 1, Failures: minFailures, Refusals: minFailures}, Replace},
@@ -51,7 +51,7 @@
 		detectLate = time.Second     // two consecutive queries that fail
 		promotion  = time.Second     // the order and its effect
 	)
-	if got := AskInterval(3); got != proofInterval {
+	if got := AskInterval(3); got != confirmationInterval {
 		t.Errorf("interval of 3 groups: %v", got)
 	}
 	interval := AskInterval(planned)
--- a/node.go
+++ b/node.go
@@ -62,14 +62,14 @@
 	// reports ready. Without links it would open backend connections itself
 	// instead of using those of the other VMs.
 	warmUpTime = 600 * time.Millisecond
-	// maxProofAge is how old the latest proof of a primary's leadership may be for
-	// its group to count as reachable from this VM.
-	maxProofAge = 1500 * time.Millisecond
-	// maxProofAgeCutOff replaces maxProofAge if this VM reaches no other data
-	// centre. Primaries in the VM's own data centre keep proving their leadership
-	// until VMs elsewhere have replaced them.
-	maxProofAgeCutOff      = 800 * time.Millisecond
-	isolationCheckInterval = 100 * time.Millisecond
+	// maxConfirmationAge is how old the latest confirmation of a primary's leadership
+	// may be for its group to count as reachable from this VM.
+	maxConfirmationAge = 1500 * time.Millisecond
+	// maxConfirmationAgeCutOff replaces maxConfirmationAge if this VM reaches no
+	// other data centre. Primaries in the VM's own data centre keep confirming their
+	// leadership until VMs elsewhere have replaced them.
+	maxConfirmationAgeCutOff = 800 * time.Millisecond
+	isolationCheckInterval   = 100 * time.Millisecond
 	// deregistrationDelay is how long the platform keeps sending new sessions to a
 	// VM that is not ready: it takes two failed checks, one second apart.
 	deregistrationDelay = 2200 * time.Millisecond
@@ -121,17 +121,17 @@
 	})
 	n.admission = admission.New(n.catalog, n.quota, n.links, o.Logger, o.Scope)
 	n.dispatcher = dispatch.New(dispatch.Options{
-		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.admission, Quota: n.quota, Leads: n.leaders, Table: n.catalog, Logger: o.Logger,
+		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.admission, Quota: n.quota, Leadership: n.leaders, Table: n.catalog, Logger: o.Logger,
 	})
 	n.frontend = sqlfront.New(sqlfront.Options{
 		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.Clients, Pool: n.pool, Table: n.catalog,
-		Leads: n.leaders, View: n.links.View, Runner: n.dispatcher, Admitter: n.admission, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
+		Leadership: n.leaders, View: n.links.View, Runner: n.dispatcher, Admitter: n.admission, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
 	})
 	member := directory.Member{Name: o.Name, Address: o.LinkAddress}
 	n.directory = directory.New(o.Source, n.links, n.catalog, n.leaders, member, o.Logger, o.Scope)
 	n.dispatcher.Use(n.directory)
 	n.promoter = promotion.New(promotion.Options{
-		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.Servers, Table: n.catalog, Leads: n.leaders,
+		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.Servers, Table: n.catalog, Leadership: n.leaders,
 		View: n.links.View, Logger: o.Logger, Scope: o.Scope,
 	})
 	return n
@@ -197,16 +197,16 @@
 func (n *Node) isIsolated() bool {
 	view := n.links.View()
 	if view.CutOff() {
-		unproven, _ := n.countUnproven(maxProofAgeCutOff)
-		return unproven > 0
+		unconfirmed, _ := n.countUnconfirmed(maxConfirmationAgeCutOff)
+		return unconfirmed > 0
 	}
-	unproven, groups := n.countUnproven(maxProofAge)
-	return view.Isolated() && 2*unproven > groups
+	unconfirmed, groups := n.countUnconfirmed(maxConfirmationAge)
+	return view.Isolated() && 2*unconfirmed > groups
 }
 
-// countUnproven returns the number of groups, and how many of them have a primary
-// whose latest proof of leadership to this VM is older than maxAge.
-func (n *Node) countUnproven(maxAge time.Duration) (unproven, total int) {
+// countUnconfirmed returns the number of groups, and how many of them have a
+// primary whose latest leadership confirmation to this VM is older than maxAge.
+func (n *Node) countUnconfirmed(maxAge time.Duration) (unconfirmed, total int) {
 	config := n.catalog.Current().Config
 	if config == nil {
 		return 0, 0
@@ -219,12 +219,12 @@
 		}
 		groups[r.Group] = true
 		n.leaders.With(r.Group, func(g *leadership.Group) {
-			if now-g.ProvenAt() > maxAge {
-				unproven++
+			if now-g.ConfirmedAt() > maxAge {
+				unconfirmed++
 			}
 		})
 	}
-	return unproven, len(groups)
+	return unconfirmed, len(groups)
 }
 
 // deregistered reports whether Drain was called long enough ago that load
--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -26,16 +26,16 @@
 
 // Kinds of frames. A reply has the ID of the call that it answers.
 const (
-	KindStatus   Kind = iota + 1 // a Status in JSON: the state of the sender
-	KindPing                     // heartbeat with the halves of customers' limits for which the sender is the ledger
-	KindPong                     // a Pong, the reply to KindPing
-	KindWork                     // a statement.Work to run
-	KindResult                   // a statement.Result, the reply to KindWork
-	KindAbort                    // rolls back the transaction with the given number; no reply
-	KindTokens                   // asks a customer's ledger for tokens
-	KindGrant                    // number of tokens granted, the reply to KindTokens
-	KindSnapshot                 // asks for the store's objects that the receiver knows
-	KindDocument                 // those objects in JSON, the reply to KindSnapshot
+	KindStatus    Kind = iota + 1 // a Status in JSON: the state of the sender
+	KindPing                      // heartbeat with the halves of customers' limits for which the sender is the ledger
+	KindPong                      // a Pong, the reply to KindPing
+	KindStatement                 // a statement.RemoteStatement to run
+	KindResult                    // a statement.Result, the reply to KindStatement
+	KindAbort                     // rolls back the transaction with the given number; no reply
+	KindTokens                    // asks a customer's ledger for tokens
+	KindGrant                     // number of tokens granted, the reply to KindTokens
+	KindSnapshot                  // asks for the store's objects that the receiver knows
+	KindDocument                  // those objects in JSON, the reply to KindSnapshot
 )
 
 // Frame is one message. ID matches a reply to its call; it is zero in messages
@@ -78,10 +78,10 @@
 	return Frame{Kind: Kind(buf[0]), ID: id, Body: buf[1+k:]}, nil
 }
 
-// Flags in the first byte of KindWork.
+// Flags in the first byte of KindStatement.
 const (
-	flagProof = 1 << iota
-	flagOpens
+	flagRequirePrimary = 1 << iota
+	flagBeginsTx
 	flagReadOnlyTx
 	flagWrites
 	flagPrepared
@@ -89,80 +89,80 @@
 	flagTraced
 )
 
-// AppendWork appends the encoded work to dst. Durations are cut to whole
+// AppendStatement appends the encoded statement to dst. Durations are cut to whole
 // milliseconds.
-func AppendWork(dst []byte, w *statement.Work) []byte {
+func AppendStatement(dst []byte, stmt *statement.RemoteStatement) []byte {
 	var flags byte
 	setFlag := func(on bool, flag byte) {
 		if on {
 			flags |= flag
 		}
 	}
-	setFlag(w.Proof, flagProof)
-	setFlag(w.Opens, flagOpens)
-	setFlag(w.ReadOnlyTx, flagReadOnlyTx)
-	setFlag(w.Command.Writes, flagWrites)
-	setFlag(w.Prepared != nil, flagPrepared)
-	setFlag(w.Prepared != nil && w.Prepared.Writes, flagPreparedWrites)
-	setFlag(w.Trace != statement.Trace{}, flagTraced)
-	dst = append(dst, flags, byte(w.Command.Verb))
-	for _, s := range []string{w.Customer, w.Group, w.Server, w.Command.ID, w.Command.Name, w.Command.Payload} {
+	setFlag(stmt.RequirePrimary, flagRequirePrimary)
+	setFlag(stmt.BeginsTx, flagBeginsTx)
+	setFlag(stmt.ReadOnlyTx, flagReadOnlyTx)
+	setFlag(stmt.Command.Writes, flagWrites)
+	setFlag(stmt.Prepared != nil, flagPrepared)
+	setFlag(stmt.Prepared != nil && stmt.Prepared.Writes, flagPreparedWrites)
+	setFlag(stmt.Trace != statement.Trace{}, flagTraced)
+	dst = append(dst, flags, byte(stmt.Command.Verb))
+	for _, s := range []string{stmt.Customer, stmt.Group, stmt.Server, stmt.Command.ID, stmt.Command.Name, stmt.Command.Payload} {
 		dst = appendString(dst, s)
 	}
-	for _, n := range []uint64{w.Command.After.Term, w.Command.After.Position, w.Command.Term, w.Tx,
-		uint64(w.Timeout.Milliseconds()), uint64(w.Wait.Milliseconds()), uint64(len(w.Values))} {
+	for _, n := range []uint64{stmt.Command.After.Term, stmt.Command.After.Position, stmt.Command.Term, stmt.Tx,
+		uint64(stmt.Timeout.Milliseconds()), uint64(stmt.Wait.Milliseconds()), uint64(len(stmt.Values))} {
 		dst = binary.AppendUvarint(dst, n)
 	}
-	for _, v := range w.Values {
+	for _, v := range stmt.Values {
 		dst = appendString(appendString(dst, v.Name), v.Data)
 	}
-	if w.Prepared != nil {
-		dst = appendString(appendString(dst, w.Prepared.Name), w.Prepared.Shape)
+	if stmt.Prepared != nil {
+		dst = appendString(appendString(dst, stmt.Prepared.Name), stmt.Prepared.Shape)
 	}
 	if flags&flagTraced != 0 {
-		dst = append(append(dst, w.Trace.TraceID[:]...), w.Trace.SpanID[:]...)
+		dst = append(append(dst, stmt.Trace.TraceID[:]...), stmt.Trace.SpanID[:]...)
 	}
 	return dst
 }
 
-// DecodeWork decodes the output of AppendWork. It fails on unknown verbs, which a
-// newer VM may send.
-func DecodeWork(b []byte) (*statement.Work, error) {
+// DecodeStatement decodes the output of AppendStatement. It fails on unknown
+// verbs, which a newer VM may send.
+func DecodeStatement(b []byte) (*statement.RemoteStatement, error) {
 	d := decoder{b: b}
 	flags, verb := d.byte(), d.byte()
-	w := &statement.Work{Proof: flags&flagProof != 0, Opens: flags&flagOpens != 0, ReadOnlyTx: flags&flagReadOnlyTx != 0}
-	w.Command.Verb, w.Command.Writes = statement.Verb(verb), flags&flagWrites != 0
-	if !w.Command.Verb.Valid() {
+	stmt := &statement.RemoteStatement{RequirePrimary: flags&flagRequirePrimary != 0, BeginsTx: flags&flagBeginsTx != 0, ReadOnlyTx: flags&flagReadOnlyTx != 0}
+	stmt.Command.Verb, stmt.Command.Writes = statement.Verb(verb), flags&flagWrites != 0
+	if !stmt.Command.Verb.Valid() {
 		return nil, eris.Errorf("work with the unknown verb %d", verb)
 	}
-	for _, s := range []*string{&w.Customer, &w.Group, &w.Server, &w.Command.ID, &w.Command.Name, &w.Command.Payload} {
+	for _, s := range []*string{&stmt.Customer, &stmt.Group, &stmt.Server, &stmt.Command.ID, &stmt.Command.Name, &stmt.Command.Payload} {
 		*s = d.string()
 	}
-	w.Command.After = state.Point{Term: d.uvarint(), Position: d.uvarint()}
-	w.Command.Term, w.Tx = d.uvarint(), d.uvarint()
-	w.Timeout = time.Duration(d.uvarint()) * time.Millisecond
-	w.Wait = time.Duration(d.uvarint()) * time.Millisecond
+	stmt.Command.After = state.Point{Term: d.uvarint(), Position: d.uvarint()}
+	stmt.Command.Term, stmt.Tx = d.uvarint(), d.uvarint()
+	stmt.Timeout = time.Duration(d.uvarint()) * time.Millisecond
+	stmt.Wait = time.Duration(d.uvarint()) * time.Millisecond
 	for n := d.length(); n > 0; n-- {
-		w.Values = append(w.Values, statement.Value{Name: d.string(), Data: d.string()})
+		stmt.Values = append(stmt.Values, statement.Value{Name: d.string(), Data: d.string()})
 	}
 	if flags&flagPrepared != 0 {
-		w.Prepared = &statement.Prepared{Name: d.string(), Writes: flags&flagPreparedWrites != 0, Shape: d.string()}
+		stmt.Prepared = &statement.Prepared{Name: d.string(), Writes: flags&flagPreparedWrites != 0, Shape: d.string()}
 	}
 	if flags&flagTraced != 0 {
-		d.copy(w.Trace.TraceID[:])
-		d.copy(w.Trace.SpanID[:])
+		d.copy(stmt.Trace.TraceID[:])
+		d.copy(stmt.Trace.SpanID[:])
 	}
-	return w, d.finish("work")
+	return stmt, d.finish("work")
 }
 
 // AppendResult appends the encoded result to dst.
 func AppendResult(dst []byte, res *statement.Result) []byte {
 	a := &res.Answer
-	proven := byte(0)
-	if res.Proven {
-		proven = 1
+	confirmed := byte(0)
+	if res.PrimaryConfirmed {
+		confirmed = 1
 	}
-	dst = append(dst, byte(a.Code), byte(a.State), proven)
+	dst = append(dst, byte(a.Code), byte(a.State), confirmed)
 	dst = appendString(appendString(dst, a.Text), a.Signature)
 	for _, n := range []uint64{a.At.Term, a.At.Position, res.Tx} {
 		dst = binary.AppendUvarint(dst, n)
@@ -180,7 +180,7 @@
 	if !a.Code.Valid() || !a.State.Valid() {
 		return statement.Result{}, eris.Errorf("result with the unknown code %d or state %d", a.Code, a.State)
 	}
-	res.Proven = d.byte() == 1
+	res.PrimaryConfirmed = d.byte() == 1
 	a.Text, a.Signature = d.string(), d.string()
 	a.At = state.Point{Term: d.uvarint(), Position: d.uvarint()}
 	res.Tx = d.uvarint()
@@ -188,30 +188,30 @@
 	return res, d.finish("result")
 }
 
-// Lead is a proof that a server was the primary of its group.
-type Lead struct {
+// LeadershipConfirmation confirms that a server was the primary of its group.
+type LeadershipConfirmation struct {
 	Group  string
 	Server string
 	Point  state.Point   // end of the server's log at that time
-	Age    time.Duration // when encoded; rounded up to whole milliseconds, so that the proof never looks fresher
+	Age    time.Duration // when encoded; rounded up to whole milliseconds, so that the confirmation never looks fresher
 }
 
 // Pong is the reply to a ping.
 type Pong struct {
-	Lent  []catalog.Half // halves of limits of which the sender lends its share to the receiver
-	Lease time.Duration  // duration of the loans; whole milliseconds
-	Leads []Lead         // latest proofs known to the sender
+	Lent          []catalog.Half           // halves of limits of which the sender lends its share to the receiver
+	Lease         time.Duration            // duration of the loans; whole milliseconds
+	Confirmations []LeadershipConfirmation // latest confirmations known to the sender
 }
 
 // Append appends the encoded pong to dst.
 func (p *Pong) Append(dst []byte) []byte {
 	dst = AppendHalves(dst, p.Lent)
 	dst = binary.AppendUvarint(dst, uint64(p.Lease.Milliseconds()))
-	dst = binary.AppendUvarint(dst, uint64(len(p.Leads)))
-	for _, l := range p.Leads {
-		dst = appendString(appendString(dst, l.Group), l.Server)
-		age := (l.Age + time.Millisecond - 1).Milliseconds()
-		for _, n := range []uint64{l.Point.Term, l.Point.Position, uint64(max(age, 0))} {
+	dst = binary.AppendUvarint(dst, uint64(len(p.Confirmations)))
+	for _, c := range p.Confirmations {
+		dst = appendString(appendString(dst, c.Group), c.Server)
+		age := (c.Age + time.Millisecond - 1).Milliseconds()
+		for _, n := range []uint64{c.Point.Term, c.Point.Position, uint64(max(age, 0))} {
 			dst = binary.AppendUvarint(dst, n)
 		}
 	}
@@ -225,10 +225,10 @@
 	p.Lent = d.halves()
 	p.Lease = time.Duration(d.uvarint()) * time.Millisecond
 	for n := d.length(); n > 0; n-- {
-		l := Lead{Group: d.string(), Server: d.string()}
-		l.Point = state.Point{Term: d.uvarint(), Position: d.uvarint()}
-		l.Age = time.Duration(d.uvarint()) * time.Millisecond
-		p.Leads = append(p.Leads, l)
+		c := LeadershipConfirmation{Group: d.string(), Server: d.string()}
+		c.Point = state.Point{Term: d.uvarint(), Position: d.uvarint()}
+		c.Age = time.Duration(d.uvarint()) * time.Millisecond
+		p.Confirmations = append(p.Confirmations, c)
 	}
 	return p, d.finish("pong")
 }
--- a/protocol/fleetwire/fleetwire_test.go
+++ b/protocol/fleetwire/fleetwire_test.go
@@ -15,37 +15,38 @@
 
 // Guards against fields that are lost or swapped by encoding and decoding.
 func TestRoundTrip(t *testing.T) {
-	work := &statement.Work{
-		Customer: "c", Group: "g", Server: "s", Proof: true, Tx: 7, Opens: true, ReadOnlyTx: true, Timeout: 800 * time.Millisecond, Wait: 30 * time.Millisecond,
+	stmt := &statement.RemoteStatement{
+		Customer: "c", Group: "g", Server: "s", RequirePrimary: true, Tx: 7, BeginsTx: true, ReadOnlyTx: true, Timeout: 800 * time.Millisecond, Wait: 30 * time.Millisecond,
 		Command:  statement.Command{ID: "1f", Verb: statement.Execute, Name: "p1", Payload: "a b", Writes: true, After: state.Point{Term: 3, Position: 9}, Term: 4},
 		Values:   []statement.Value{{Name: "n", Data: "d"}, {Name: "m"}},
 		Prepared: &statement.Prepared{Name: "p1", Writes: true, Shape: "q"},
 		Trace:    statement.Trace{TraceID: [16]byte{1, 15: 2}, SpanID: [8]byte{3, 7: 4}},
 	}
-	gotWork, err := DecodeWork(AppendWork(nil, work))
-	if err != nil || !cmp.Equal(work, gotWork) {
-		t.Errorf("work: %v\n%s", err, cmp.Diff(work, gotWork))
+	gotStmt, err := DecodeStatement(AppendStatement(nil, stmt))
+	if err != nil || !cmp.Equal(stmt, gotStmt) {
+		t.Errorf("statement: %v\n%s", err, cmp.Diff(stmt, gotStmt))
 	}
-	result := statement.Result{Proven: true, Tx: 9, Answer: statement.Answer{
+	result := statement.Result{PrimaryConfirmed: true, Tx: 9, Answer: statement.Answer{
 		Code: statement.Failed, Text: "t", Rows: []string{"a", ""}, Signature: "s", State: statement.InTx, At: state.Point{Term: 1, Position: 2},
 	}}
 	gotResult, err := DecodeResult(AppendResult(nil, &result))
 	if err != nil || !cmp.Equal(result, gotResult) {
 		t.Errorf("result: %v\n%s", err, cmp.Diff(result, gotResult))
 	}
-	pong := Pong{Lent: []catalog.Half{{Customer: "c", Index: 1}, {Customer: "d"}}, Lease: time.Second, Leads: []Lead{{Group: "g", Server: "s", Point: state.Point{Term: 1, Position: 2}, Age: 3 * time.Millisecond}}}
+	pong := Pong{Lent: []catalog.Half{{Customer: "c", Index: 1}, {Customer: "d"}}, Lease: time.Second, Confirmations: []LeadershipConfirmation{{Group: "g", Server: "s", Point: state.Point{Term: 1, Position: 2}, Age: 3 * time.Millisecond}}}
 	gotPong, err := DecodePong(pong.Append(nil))
 	if err != nil || !cmp.Equal(pong, gotPong) {
 		t.Errorf("pong: %v\n%s", err, cmp.Diff(pong, gotPong))
 	}
 }
 
-// Guards against ages that are rounded down: a proof would look fresher than it is.
+// Guards against ages that are rounded down: a confirmation would look fresher
+// than it is.
 func TestAgeIsRoundedUp(t *testing.T) {
-	pong := Pong{Leads: []Lead{{Age: 3*time.Millisecond + 1}}}
+	pong := Pong{Confirmations: []LeadershipConfirmation{{Age: 3*time.Millisecond + 1}}}
 	got, err := DecodePong(pong.Append(nil))
-	if err != nil || got.Leads[0].Age != 4*time.Millisecond {
-		t.Errorf("age %v, %v", got.Leads[0].Age, err)
+	if err != nil || got.Confirmations[0].Age != 4*time.Millisecond {
+		t.Errorf("age %v, %v", got.Confirmations[0].Age, err)
 	}
 }
 
@@ -58,19 +59,19 @@
 			t.Errorf("result with an unknown %s is decoded as %+v", name, r)
 		}
 	}
-	if w, err := DecodeWork(AppendWork(nil, &statement.Work{Command: statement.Command{Verb: unknown}})); err == nil {
-		t.Errorf("work with an unknown verb is decoded as %+v", w)
+	if w, err := DecodeStatement(AppendStatement(nil, &statement.RemoteStatement{Command: statement.Command{Verb: unknown}})); err == nil {
+		t.Errorf("a statement with an unknown verb is decoded as %+v", w)
 	}
 }
 
 // Guards against a crash on malformed messages.
 func FuzzDecode(f *testing.F) {
-	f.Add(AppendWork(nil, &statement.Work{Customer: "c", Values: []statement.Value{{Name: "n"}}}))
+	f.Add(AppendStatement(nil, &statement.RemoteStatement{Customer: "c", Values: []statement.Value{{Name: "n"}}}))
 	f.Add(AppendResult(nil, &statement.Result{Answer: statement.Answer{Rows: []string{"a"}}}))
 	f.Add((&Pong{Lent: []catalog.Half{{Customer: "c"}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if w, err := DecodeWork(b); err == nil && w == nil {
-			t.Error("DecodeWork returned neither work nor an error")
+		if w, err := DecodeStatement(b); err == nil && w == nil {
+			t.Error("DecodeStatement returned neither a statement nor an error")
 		}
 		DecodeResult(b)
 		DecodePong(b)
@@ -86,7 +87,7 @@
 // Guards against a frame whose length makes a VM allocate all of its memory, and
 // against frames without an ID.
 func TestFrameBounds(t *testing.T) {
-	good := Frame{Kind: KindWork, ID: 300, Body: []byte("body")}
+	good := Frame{Kind: KindStatement, ID: 300, Body: []byte("body")}
 	got, err := ReadFrame(bufio.NewReader(bytes.NewReader(good.Append(nil))))
 	if err != nil || !cmp.Equal(good, got) {
 		t.Errorf("frame: %v %+v", err, got)
--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -348,7 +348,7 @@
 		}
 		servers[name] = e.Server
 		delete(d.lapsedSince, name)
-		d.leaders.With(e.Server.Group, func(g *leadership.Group) { g.Reborn(name, e.Server.Born) })
+		d.leaders.With(e.Server.Group, func(g *leadership.Group) { g.ResetIfRestarted(name, e.Server.Born) })
 	}
 	for name, s := range old {
 		if servers[name] != nil || s.Draining {
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -26,34 +26,35 @@
 // is a number.
 const selfOrigin = "self"
 
-// maxVMsForRemoteProofs is the largest fleet in which proofs of leadership are
-// sent to other data centres. In a larger fleet the VMs of a data centre obtain
-// enough proofs of their own.
-const maxVMsForRemoteProofs = 16
-
-// maxProofsPerPong limits the proofs of leadership in a pong, which take about
-// 40 bytes each. With 60 pongs per second within a data centre they amount to
-// 14 KB/s, which leaves a third of a VM's budget for control traffic to other
-// messages. With more groups, successive pongs carry their proofs in rotation.
-const maxProofsPerPong = 6
+// maxVMsForRemoteConfirmations is the largest fleet in which leadership
+// confirmations are sent to other data centres. In a larger fleet the VMs of a
+// data centre obtain enough confirmations of their own.
+const maxVMsForRemoteConfirmations = 16
+
+// maxConfirmationsPerPong limits the leadership confirmations in a pong, which
+// take about 40 bytes each. With 60 pongs per second within a data centre they
+// amount to 14 KB/s, which leaves a third of a VM's budget for control traffic to
+// other messages. With more groups, successive pongs carry their confirmations in
+// rotation.
+const maxConfirmationsPerPong = 6
 
 // Options holds the components that a Dispatcher connects.
 type Options struct {
-	Self     string
-	Links    *fleetlink.Links
-	Executor *sqlback.Executor
-	Gate     *admission.Gate
-	Quota    *quota.Table
-	Leads    *leadership.Table
-	Table    *catalog.Table
-	Logger   log.Interface
+	Self       string
+	Links      *fleetlink.Links
+	Executor   *sqlback.Executor
+	Gate       *admission.Gate
+	Quota      *quota.Table
+	Leadership *leadership.Table
+	Table      *catalog.Table
+	Logger     log.Interface
 }
 
 // Dispatcher implements fleetlink.Handler and sqlfront.Runner.
 type Dispatcher struct {
 	Options
-	directory   Directory
-	proofCursor atomic.Uint64 // position of the rotation of latestProofs among the groups
+	directory          Directory
+	confirmationCursor atomic.Uint64 // position of the rotation of latestConfirmations among the groups
 
 	mu      sync.Mutex // guards ledgers; no other lock is taken under it
 	ledgers ledgerHalves
@@ -85,12 +86,12 @@
 func (d *Dispatcher) Use(directory Directory) { d.directory = directory }
 
 // Run runs a statement on the named VM and calls done once on a pool worker.
-func (d *Dispatcher) Run(vm string, w *statement.Work, done func(statement.Result)) {
+func (d *Dispatcher) Run(vm string, w *statement.RemoteStatement, done func(statement.Result)) {
 	if vm == d.Self {
 		d.Executor.Execute(selfOrigin, w, done)
 		return
 	}
-	sent := d.Links.Call(vm, fleetwire.KindWork, fleetwire.AppendWork(nil, w), func(f fleetwire.Frame, ok bool) {
+	sent := d.Links.Call(vm, fleetwire.KindStatement, fleetwire.AppendStatement(nil, w), func(f fleetwire.Frame, ok bool) {
 		if !ok {
 			done(refusal(statement.Lost, "the link to the VM broke"))
 			return
@@ -121,7 +122,7 @@
 }
 
 // Execute implements fleetlink.Handler.
-func (d *Dispatcher) Execute(origin string, w *statement.Work, reply func(statement.Result)) {
+func (d *Dispatcher) Execute(origin string, w *statement.RemoteStatement, reply func(statement.Result)) {
 	d.Executor.Execute(origin, w, reply)
 }
 
@@ -166,7 +167,7 @@
 
 // HandlePing implements fleetlink.Handler. It lends this VM's shares to the
 // sender for the halves whose ledger the sender is, and returns the known
-// proofs of leadership.
+// leadership confirmations.
 func (d *Dispatcher) HandlePing(from, origin string, body []byte) fleetwire.Pong {
 	var p fleetwire.Pong
 	config := d.Table.Current().Config
@@ -183,10 +184,10 @@
 	d.Quota.Release(from, origin, counted, now)
 	p.Lease = quota.Lease(d.Links.PingInterval())
 	p.Lent = d.Quota.Lend(from, origin, intersect(d.halvesOf(from, view, config), counted), p.Lease, now)
-	if len(view.VMs) > maxVMsForRemoteProofs && !view.Near(from) {
+	if len(view.VMs) > maxVMsForRemoteConfirmations && !view.Near(from) {
 		return p
 	}
-	p.Leads = d.latestProofs(config, now)
+	p.Confirmations = d.latestConfirmations(config, now)
 	return p
 }
 
@@ -201,22 +202,22 @@
 	return both
 }
 
-// latestProofs returns the latest proofs of leadership of up to
-// maxProofsPerPong groups, in rotation.
-func (d *Dispatcher) latestProofs(config *catalog.Config, now time.Duration) []fleetwire.Lead {
+// latestConfirmations returns the latest leadership confirmations of up to
+// maxConfirmationsPerPong groups, in rotation.
+func (d *Dispatcher) latestConfirmations(config *catalog.Config, now time.Duration) []fleetwire.LeadershipConfirmation {
 	groups := len(config.Groups)
-	count := min(groups, maxProofsPerPong)
-	end := int(d.proofCursor.Add(uint64(count)) % uint64(max(groups, 1)))
-	var proofs []fleetwire.Lead
+	count := min(groups, maxConfirmationsPerPong)
+	end := int(d.confirmationCursor.Add(uint64(count)) % uint64(max(groups, 1)))
+	var confirmations []fleetwire.LeadershipConfirmation
 	for i := range count {
 		name := config.Groups[(end+groups-count+i)%groups].Name
-		d.Leads.With(name, func(g *leadership.Group) {
-			if server, sample, ok := g.Newest(); ok {
-				proofs = append(proofs, fleetwire.Lead{Group: name, Server: server, Point: sample.Point, Age: now - sample.At})
+		d.Leadership.With(name, func(g *leadership.Group) {
+			if server, sample, ok := g.LatestConfirmation(); ok {
+				confirmations = append(confirmations, fleetwire.LeadershipConfirmation{Group: name, Server: server, Point: sample.Point, Age: now - sample.At})
 			}
 		})
 	}
-	return proofs
+	return confirmations
 }
 
 // halvesOf returns the halves whose ledger is the given VM.
@@ -238,7 +239,7 @@
 // HandlePong implements fleetlink.Handler.
 func (d *Dispatcher) HandlePong(from string, p fleetwire.Pong, sentAt time.Duration) {
 	d.Quota.Receive(from, intersect(p.Lent, d.ownHalves()), p.Lease, sentAt)
-	for _, l := range p.Leads {
-		d.Leads.With(l.Group, func(g *leadership.Group) { g.Prove(l.Server, l.Point, sentAt-l.Age) })
+	for _, c := range p.Confirmations {
+		d.Leadership.With(c.Group, func(g *leadership.Group) { g.RecordConfirmation(c.Server, c.Point, sentAt-c.Age) })
 	}
 }
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -11,28 +11,28 @@
 )
 
 // Guards against pongs whose size grows with the number of groups, and against
-// groups whose proofs are never sent.
+// groups whose confirmations are never sent.
 func TestPongsAreBounded(t *testing.T) {
-	for _, groups := range []int{0, 1, maxProofsPerPong, 20} {
-		d := &Dispatcher{Options: Options{Leads: leadership.NewTable()}}
+	for _, groups := range []int{0, 1, maxConfirmationsPerPong, 20} {
+		d := &Dispatcher{Options: Options{Leadership: leadership.NewTable()}}
 		config := &catalog.Config{}
 		for i := range groups {
 			name := fmt.Sprintf("g%d", i)
 			config.Groups = append(config.Groups, catalog.Group{Name: name})
-			d.Leads.With(name, func(g *leadership.Group) { g.Prove("s", state.Point{Term: 1}, time.Minute) })
+			d.Leadership.With(name, func(g *leadership.Group) { g.RecordConfirmation("s", state.Point{Term: 1}, time.Minute) })
 		}
 		sent := make(map[string]bool)
-		for range (groups + maxProofsPerPong - 1) / maxProofsPerPong {
-			proofs := d.latestProofs(config, time.Minute)
-			if len(proofs) > maxProofsPerPong {
-				t.Errorf("%d proofs in one pong", len(proofs))
+		for range (groups + maxConfirmationsPerPong - 1) / maxConfirmationsPerPong {
+			confirmations := d.latestConfirmations(config, time.Minute)
+			if len(confirmations) > maxConfirmationsPerPong {
+				t.Errorf("%d confirmations in one pong", len(confirmations))
 			}
-			for _, l := range proofs {
+			for _, l := range confirmations {
 				sent[l.Group] = true
 			}
 		}
 		if len(sent) != groups {
-			t.Errorf("proofs of %d of %d groups were sent", len(sent), groups)
+			t.Errorf("confirmations of %d of %d groups were sent", len(sent), groups)
 		}
 	}
 }
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -148,9 +148,9 @@
 	case fleetwire.KindPing:
 		pong := l.handler.HandlePing(from, origin, f.Body)
 		reply(fleetwire.KindPong, pong.Append(nil))
-	case fleetwire.KindWork:
-		var w *statement.Work
-		if w, err = fleetwire.DecodeWork(f.Body); err == nil {
+	case fleetwire.KindStatement:
+		var w *statement.RemoteStatement
+		if w, err = fleetwire.DecodeStatement(f.Body); err == nil {
 			l.handler.Execute(origin, w, func(r statement.Result) { reply(fleetwire.KindResult, fleetwire.AppendResult(nil, &r)) })
 		}
 	case fleetwire.KindAbort:
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -43,7 +43,7 @@
 type Handler interface {
 	// Execute runs a statement and calls reply once. origin identifies the link
 	// on which it arrived.
-	Execute(origin string, w *statement.Work, reply func(statement.Result))
+	Execute(origin string, w *statement.RemoteStatement, reply func(statement.Result))
 	// AbortTx aborts a transaction that was opened over the link.
 	AbortTx(origin string, tx uint64)
 	// LinkClosed reports that a link dialled by another VM was closed.
--- a/transport/fleetlink/fleetlink_test.go
+++ b/transport/fleetlink/fleetlink_test.go
@@ -24,16 +24,16 @@
 // idleHandler answers pings and ignores everything else.
 type idleHandler struct{}
 
-func (idleHandler) Execute(string, *statement.Work, func(statement.Result)) {}
-func (idleHandler) AbortTx(string, uint64)                                  {}
-func (idleHandler) LinkClosed(string)                                       {}
-func (idleHandler) GrantTokens(catalog.Half, int) int                       { return 0 }
-func (idleHandler) VMLost(string)                                           {}
-func (idleHandler) PingBody() []byte                                        { return nil }
-func (idleHandler) HandlePing(string, string, []byte) fleetwire.Pong        { return fleetwire.Pong{} }
-func (idleHandler) HandlePong(string, fleetwire.Pong, time.Duration)        {}
-func (idleHandler) HandleStatus(*fleetwire.Status)                          {}
-func (idleHandler) UpdatesSince([]byte) []byte                              { return nil }
+func (idleHandler) Execute(string, *statement.RemoteStatement, func(statement.Result)) {}
+func (idleHandler) AbortTx(string, uint64)                                             {}
+func (idleHandler) LinkClosed(string)                                                  {}
+func (idleHandler) GrantTokens(catalog.Half, int) int                                  { return 0 }
+func (idleHandler) VMLost(string)                                                      {}
+func (idleHandler) PingBody() []byte                                                   { return nil }
+func (idleHandler) HandlePing(string, string, []byte) fleetwire.Pong                   { return fleetwire.Pong{} }
+func (idleHandler) HandlePong(string, fleetwire.Pong, time.Duration)                   {}
+func (idleHandler) HandleStatus(*fleetwire.Status)                                     {}
+func (idleHandler) UpdatesSince([]byte) []byte                                         { return nil }
 
 // testFleet is the environment in which the VMs of a test run.
 type testFleet struct {
--- a/transport/promotion/order.go
+++ b/transport/promotion/order.go
@@ -16,24 +16,24 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/sqlback"
 )
 
-// queryPrimary requests a proof of leadership from the primary.
+// queryPrimary requests a leadership confirmation from the primary.
 func (s *Steward) queryPrimary(group string, primary *catalog.Server, gs *groupState) {
 	sentAt := clock.Now()
-	s.runOnServer(group, primary, statement.Work{
-		Opens: true, Command: statement.Command{Verb: statement.Rollback},
+	s.runOnServer(group, primary, statement.RemoteStatement{
+		BeginsTx: true, Command: statement.Command{Verb: statement.Rollback},
 	}, func(r statement.Result) {
-		s.Leads.With(group, func(l *leadership.Group) {
+		s.Leadership.With(group, func(l *leadership.Group) {
 			switch {
-			case r.Proven:
-				l.Prove(primary.ID, r.Answer.At, sentAt)
+			case r.PrimaryConfirmed:
+				l.RecordConfirmation(primary.ID, r.Answer.At, sentAt)
 			case r.Answer.Code == statement.ReadOnly:
-				l.Deny(primary)
+				l.RecordNotPrimary(primary)
 			}
 		})
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		gs.queryPending = false
-		if !r.Proven {
+		if !r.PrimaryConfirmed {
 			gs.failures++
 		}
 		if r.Answer.Code == statement.Down {
@@ -45,7 +45,7 @@
 // runOnServer runs a command of the coordinator itself on a server. It uses a
 // connection of the customer with the highest rate, because that is the most
 // likely one to be open.
-func (s *Steward) runOnServer(group string, server *catalog.Server, w statement.Work, done func(statement.Result)) {
+func (s *Steward) runOnServer(group string, server *catalog.Server, w statement.RemoteStatement, done func(statement.Result)) {
 	w.Group, w.Server, w.Customer = group, server.ID, s.connectionCustomer()
 	w.Timeout, w.Wait = queryTimeout, queryTimeout
 	vm, ok := s.View().Executor(w.Customer, server)
@@ -69,7 +69,7 @@
 // queryServer queries a server for its role and position.
 func (s *Steward) queryServer(ctx context.Context, group string, server *catalog.Server, c statement.Command) (sqlback.Report, error) {
 	results := make(chan statement.Result, 1)
-	s.runOnServer(group, server, statement.Work{Command: c}, func(r statement.Result) { results <- r })
+	s.runOnServer(group, server, statement.RemoteStatement{Command: c}, func(r statement.Result) { results <- r })
 	select {
 	case <-ctx.Done():
 		return sqlback.Report{}, ctx.Err()
@@ -122,17 +122,17 @@
 			s.Logger.WithField("group", group).Error("promotion: no server can take over.")
 			return
 		}
-		if ctx.Err() != nil || s.provenSince(group, startedAt) || s.promote(ctx, group, best, gs) {
+		if ctx.Err() != nil || s.confirmedSince(group, startedAt) || s.promote(ctx, group, best, gs) {
 			return
 		}
 	}
 }
 
-// provenSince reports whether a primary has proven its leadership since then.
-func (s *Steward) provenSince(group string, since time.Duration) bool {
-	proven := false
-	s.Leads.With(group, func(l *leadership.Group) { proven = l.ProvenAt() >= since })
-	return proven
+// confirmedSince reports whether a primary has confirmed its leadership since then.
+func (s *Steward) confirmedSince(group string, since time.Duration) bool {
+	confirmed := false
+	s.Leadership.With(group, func(l *leadership.Group) { confirmed = l.ConfirmedAt() >= since })
+	return confirmed
 }
 
 // handOver replaces a primary that is being taken out of service. The primary
@@ -151,7 +151,7 @@
 		return
 	}
 	term := uint64(0)
-	s.Leads.With(group, func(l *leadership.Group) { term = l.Term() })
+	s.Leadership.With(group, func(l *leadership.Group) { term = l.Term() })
 	last, err := s.queryServer(ctx, group, primary, statement.Command{Verb: statement.StepDown, Term: term + 1})
 	if err != nil {
 		s.Logger.WithError(err).WithField("server", primary.ID).Warn("promotion: the leaving primary did not step down.")
@@ -183,21 +183,21 @@
 	ordered := clock.Now()
 	deadline := time.Now().Add(succession.RepeatAfter)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		proven := make(chan bool, 1)
+		confirmed := make(chan bool, 1)
 		sentAt := clock.Now()
-		s.runOnServer(group, c.Server, statement.Work{Opens: true, Command: statement.Command{Verb: statement.Rollback}}, func(r statement.Result) {
-			if r.Proven {
-				s.Leads.With(group, func(l *leadership.Group) { l.Prove(c.Server.ID, r.Answer.At, sentAt) })
+		s.runOnServer(group, c.Server, statement.RemoteStatement{BeginsTx: true, Command: statement.Command{Verb: statement.Rollback}}, func(r statement.Result) {
+			if r.PrimaryConfirmed {
+				s.Leadership.With(group, func(l *leadership.Group) { l.RecordConfirmation(c.Server.ID, r.Answer.At, sentAt) })
 			}
-			proven <- r.Proven
+			confirmed <- r.PrimaryConfirmed
 		})
 		select {
 		case <-ctx.Done():
 			return false
-		case isPrimary := <-proven:
+		case isPrimary := <-confirmed:
 			if isPrimary {
-				s.steps[stepProof].RecordDuration(clock.Now() - ordered)
-				s.Logger.WithFields(log.Fields{"group": group, "server": c.Server.ID}).Info("promotion: the new primary has proven its leadership.")
+				s.steps[stepConfirm].RecordDuration(clock.Now() - ordered)
+				s.Logger.WithFields(log.Fields{"group": group, "server": c.Server.ID}).Info("promotion: the new primary has confirmed its leadership.")
 				return true
 			}
 		}
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -81,21 +81,21 @@
 
 // Runner runs statements on the VMs of the fleet.
 type Runner interface {
-	Run(vm string, w *statement.Work, done func(statement.Result))
+	Run(vm string, w *statement.RemoteStatement, done func(statement.Result))
 }
 
 // Options holds the dependencies of a Steward.
 type Options struct {
-	Name     string
-	Platform Platform
-	Duties   Duties
-	Runner   Runner
-	Reports  sqlback.Dialect
-	Table    *catalog.Table
-	Leads    *leadership.Table
-	View     func() *placement.View
-	Logger   log.Interface
-	Scope    tally.Scope
+	Name       string
+	Platform   Platform
+	Duties     Duties
+	Runner     Runner
+	Reports    sqlback.Dialect
+	Table      *catalog.Table
+	Leadership *leadership.Table
+	View       func() *placement.View
+	Logger     log.Interface
+	Scope      tally.Scope
 }
 
 // Steward monitors the groups while its VM is the failover coordinator. It must
@@ -117,9 +117,9 @@
 type step string
 
 const (
-	stepDetect step = "detect" // from the latest proof of leadership to the decision
-	stepOrder  step = "order"  // an order, regardless of its outcome
-	stepProof  step = "lead"   // from the order to the new primary's proof
+	stepDetect  step = "detect" // from the latest leadership confirmation to the decision
+	stepOrder   step = "order"  // an order, regardless of its outcome
+	stepConfirm step = "lead"   // from the order to the new primary's confirmation
 )
 
 // stepBuckets cover the 7 s in which a change of primary must be complete.
@@ -127,7 +127,7 @@
 
 func newSteps(scope tally.Scope) map[step]tally.Histogram {
 	steps := make(map[step]tally.Histogram)
-	for _, s := range []step{stepDetect, stepOrder, stepProof} {
+	for _, s := range []step{stepDetect, stepOrder, stepConfirm} {
 		steps[s] = scope.Tagged(map[string]string{"step": string(s)}).Histogram("promotion_step", stepBuckets)
 	}
 	return steps
@@ -270,9 +270,9 @@
 func (s *Steward) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
 	now, d := clock.Now(), r.deployment
 	facts := succession.Facts{Now: now, Isolated: s.View().Isolated(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
-	s.Leads.With(group, func(l *leadership.Group) {
+	s.Leadership.With(group, func(l *leadership.Group) {
 		facts.Primary = l.Primary(d.GroupServers(group), now)
-		facts.ProvenAt = l.ProvenAt()
+		facts.ProvenAt = l.ConfirmedAt()
 	})
 	facts.Leaving = facts.Primary != nil && !d.Usable(facts.Primary)
 	s.mu.Lock()
@@ -280,7 +280,7 @@
 	gs := s.groups[group]
 	if gs == nil {
 		// watchedSince is the start of this VM rather than of its duty, because
-		// proofs of leadership reach all VMs.
+		// leadership confirmations reach all VMs.
 		gs = &groupState{watchedSince: s.started}
 		s.groups[group] = gs
 	}
--- a/transport/sqlback/conn.go
+++ b/transport/sqlback/conn.go
@@ -54,7 +54,7 @@
 	commandSetup     commandKind = iota // sets session variables or prepares a statement
 	commandBegin                        // begins the job's transaction
 	commandStatement                    // the job's statement
-	commandRollback                     // ends a proof that the server is the primary, or a failed transaction
+	commandRollback                     // ends a confirmation that the server is the primary, or a failed transaction
 )
 
 // outboxLimit, in bytes, is never reached: a connection runs one statement at a
@@ -139,7 +139,7 @@
 // variables and the prepared statement of the job, and records them as applied.
 func (c *conn) setupCommands(j *job) []statement.Command {
 	var commands []statement.Command
-	w := j.work
+	w := j.stmt
 	if !slices.Equal(c.values, w.Values) {
 		if len(c.values) > 0 {
 			commands = append(commands, statement.Command{Verb: statement.Discard})
--- a/transport/sqlback/executor.go
+++ b/transport/sqlback/executor.go
@@ -77,7 +77,7 @@
 
 // job is a statement that this VM runs on a backend server.
 type job struct {
-	work        *statement.Work
+	stmt        *statement.RemoteStatement
 	origin      string
 	done        func(statement.Result)
 	span        trace.Span
@@ -159,8 +159,8 @@
 
 // Execute runs a statement that came over the link named origin and calls done
 // once, on a pool worker.
-func (e *Executor) Execute(origin string, w *statement.Work, done func(statement.Result)) {
-	j := &job{work: w, origin: origin, done: done, submittedAt: time.Now(), span: e.startSpan(w)}
+func (e *Executor) Execute(origin string, w *statement.RemoteStatement, done func(statement.Result)) {
+	j := &job{stmt: w, origin: origin, done: done, submittedAt: time.Now(), span: e.startSpan(w)}
 	e.post(func() { e.submit(j) })
 }
 
--- a/transport/sqlback/executor_test.go
+++ b/transport/sqlback/executor_test.go
@@ -114,7 +114,7 @@
 }
 
 // withExecutor runs a test in virtual time with an executor for the server.
-func withExecutor(t *testing.T, s *scriptedServer, test func(run func(statement.Work) statement.Result)) {
+func withExecutor(t *testing.T, s *scriptedServer, test func(run func(statement.RemoteStatement) statement.Result)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -144,7 +144,7 @@
 			},
 		})
 		running.Go(func() { _ = e.Run(ctx) })
-		test(func(w statement.Work) statement.Result {
+		test(func(w statement.RemoteStatement) statement.Result {
 			w.Customer, w.Group, w.Server, w.Timeout = customer, group, server, time.Second
 			result := make(chan statement.Result, 1)
 			e.Execute("vm-1", &w, func(r statement.Result) { result <- r })
@@ -159,8 +159,8 @@
 // them has stopped.
 func TestAbandonedTransactionEnds(t *testing.T) {
 	s := &scriptedServer{answer: answerInTx}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		r := run(statement.Work{Opens: true, Command: statement.Command{Verb: statement.Write}})
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		r := run(statement.RemoteStatement{BeginsTx: true, Command: statement.Command{Verb: statement.Write}})
 		if r.Tx == 0 {
 			t.Fatalf("no transaction is open: %+v", r)
 		}
@@ -172,29 +172,29 @@
 		if verbs := s.received(); !slices.Contains(verbs, statement.Rollback) {
 			t.Errorf("the abandoned transaction is still open: %v", verbs)
 		}
-		if r := run(statement.Work{Tx: r.Tx, Command: statement.Command{Verb: statement.Commit}}); r.Answer.Code != statement.Aborted {
+		if r := run(statement.RemoteStatement{Tx: r.Tx, Command: statement.Command{Verb: statement.Commit}}); r.Answer.Code != statement.Aborted {
 			t.Errorf("COMMIT of the rolled back transaction: code %s, want aborted", r.Answer.Code)
 		}
 	})
 }
 
-// Guards against a proof that carries the log position of ROLLBACK. Only BEGIN
-// proves that the server is the primary; it may have lost that role before
-// ROLLBACK, and then reports the position of another primary's log.
+// Guards against a confirmation that carries the log position of ROLLBACK. Only
+// BEGIN confirms that the server is the primary; it may have lost that role
+// before ROLLBACK, and then reports the position of another primary's log.
 func TestProbeReportsPositionAtBegin(t *testing.T) {
-	proven := state.Point{Term: 2, Position: 7}
+	confirmed := state.Point{Term: 2, Position: 7}
 	s := &scriptedServer{answer: func(c statement.Command) statement.Answer {
 		a := answerInTx(c)
 		a.At = state.Point{Term: 2, Position: 5} // of the log that it replicates after losing the primary role
 		if c.Verb == statement.Begin {
-			a.At = proven
+			a.At = confirmed
 		}
 		return a
 	}}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		r := run(statement.Work{Opens: true, Command: statement.Command{Verb: statement.Rollback}})
-		if !r.Proven || r.Answer.At != proven {
-			t.Errorf("proven %v at %+v, want true and the position at BEGIN", r.Proven, r.Answer.At)
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		r := run(statement.RemoteStatement{BeginsTx: true, Command: statement.Command{Verb: statement.Rollback}})
+		if !r.PrimaryConfirmed || r.Answer.At != confirmed {
+			t.Errorf("confirmed %v at %+v, want true and the position at BEGIN", r.PrimaryConfirmed, r.Answer.At)
 		}
 	})
 }
@@ -203,10 +203,10 @@
 // refused BEGIN.
 func TestNothingFollowsRefusedBegin(t *testing.T) {
 	s := &scriptedServer{answer: func(c statement.Command) statement.Answer { return statement.Refusal(statement.ReadOnly, "") }}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		r := run(statement.Work{Proof: true, Command: statement.Command{Verb: statement.Read}})
-		if r.Answer.Code != statement.ReadOnly || r.Proven {
-			t.Errorf("code %s, proven %v, want read_only and false", r.Answer.Code, r.Proven)
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		r := run(statement.RemoteStatement{RequirePrimary: true, Command: statement.Command{Verb: statement.Read}})
+		if r.Answer.Code != statement.ReadOnly || r.PrimaryConfirmed {
+			t.Errorf("code %s, confirmed %v, want read_only and false", r.Answer.Code, r.PrimaryConfirmed)
 		}
 		if verbs := s.received(); !slices.Equal(verbs, []statement.Verb{statement.Begin}) {
 			t.Errorf("the server received %v, want BEGIN only", verbs)
@@ -225,8 +225,8 @@
 		}
 		return statement.Answer{State: statement.Idle}
 	}}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		write := statement.Work{Command: statement.Command{Verb: statement.Write}}
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		write := statement.RemoteStatement{Command: statement.Command{Verb: statement.Write}}
 		if r := run(write); r.Answer.Code != statement.Lost {
 			t.Errorf("a write whose answer was lost: code %s, want lost", r.Answer.Code)
 		}
@@ -246,10 +246,10 @@
 		}
 		return answerInTx(c)
 	}}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
 		silent = make(chan struct{})
 		defer close(silent)
-		read := statement.Work{Proof: true, Command: statement.Command{Verb: statement.Read}}
+		read := statement.RemoteStatement{RequirePrimary: true, Command: statement.Command{Verb: statement.Read}}
 		if r := run(read); r.Answer.Code != statement.OK {
 			t.Fatalf("the first read: code %s, want ok", r.Answer.Code)
 		}
@@ -273,8 +273,8 @@
 		defer mu.Unlock()
 		reports = append(reports, len(unreachable))
 	}}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		read := statement.Work{Command: statement.Command{Verb: statement.Read}}
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		read := statement.RemoteStatement{Command: statement.Command{Verb: statement.Read}}
 		s.down.Store(true)
 		run(read)
 		time.Sleep(300 * time.Millisecond)
@@ -294,8 +294,8 @@
 func TestIdleConnectionsUseKeepAlive(t *testing.T) {
 	const dropAfter = 3 * time.Second // servers drop connections whose client is silent for this long
 	s := &scriptedServer{answer: answerInTx}
-	withExecutor(t, s, func(run func(statement.Work) statement.Result) {
-		run(statement.Work{Command: statement.Command{Verb: statement.Read}})
+	withExecutor(t, s, func(run func(statement.RemoteStatement) statement.Result) {
+		run(statement.RemoteStatement{Command: statement.Command{Verb: statement.Read}})
 		k := s.keepAlive.Load()
 		if k == nil || !k.Enable || k.Idle+time.Duration(k.Count)*k.Interval > dropAfter {
 			t.Errorf("keep-alive settings %+v detect a failure too late", k)
--- a/transport/sqlback/job.go
+++ b/transport/sqlback/job.go
@@ -38,7 +38,7 @@
 
 // startSpan starts the span of a statement on this VM as a child of the hop that
 // forwarded it.
-func (e *Executor) startSpan(w *statement.Work) trace.Span {
+func (e *Executor) startSpan(w *statement.RemoteStatement) trace.Span {
 	if w.Trace == (statement.Trace{}) {
 		return noop.Span{}
 	}
@@ -52,13 +52,13 @@
 
 // submit assigns the job to a connection or queues it until one is idle.
 func (e *Executor) submit(j *job) {
-	server := e.table.Current().Servers[j.work.Server]
+	server := e.table.Current().Servers[j.stmt.Server]
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runningJobs++
-	j.timer = time.AfterFunc(j.work.Timeout, func() { e.post(func() { e.handleTimeout(j) }) })
-	if j.work.Tx != 0 {
-		c := e.txs[j.work.Tx]
+	j.timer = time.AfterFunc(j.stmt.Timeout, func() { e.post(func() { e.handleTimeout(j) }) })
+	if j.stmt.Tx != 0 {
+		c := e.txs[j.stmt.Tx]
 		if c == nil || c.origin != j.origin || c.job != nil {
 			e.finish(j, statement.Refusal(statement.Aborted, "the transaction was ended"))
 			return
@@ -70,8 +70,8 @@
 		e.finish(j, statement.Refusal(statement.Unreachable, "the server is not registered here"))
 		return
 	}
-	p := e.pool(poolKey{j.work.Customer, j.work.Server})
-	if c := p.findIdle(j.work.Values); c != nil {
+	p := e.pool(poolKey{j.stmt.Customer, j.stmt.Server})
+	if c := p.findIdle(j.stmt.Values); c != nil {
 		e.assign(c, j)
 		return
 	}
@@ -84,8 +84,8 @@
 		return
 	}
 	p.waiting = append(p.waiting, j)
-	if j.work.Wait > 0 && j.work.Wait < j.work.Timeout {
-		time.AfterFunc(j.work.Wait, func() { e.post(func() { e.handleWaitTimeout(j) }) })
+	if j.stmt.Wait > 0 && j.stmt.Wait < j.stmt.Timeout {
+		time.AfterFunc(j.stmt.Wait, func() { e.post(func() { e.handleWaitTimeout(j) }) })
 	}
 }
 
@@ -97,11 +97,11 @@
 	for _, command := range c.setupCommands(j) {
 		e.send(c, commandSetup, command)
 	}
-	w := j.work
+	w := j.stmt
 	switch {
-	case w.Opens && w.ReadOnlyTx:
+	case w.BeginsTx && w.ReadOnlyTx:
 		e.send(c, commandBegin, statement.Command{Verb: statement.BeginReadOnly, After: w.Command.After})
-	case w.Opens || w.Wrapped():
+	case w.BeginsTx || w.Wrapped():
 		e.send(c, commandBegin, statement.Command{Verb: statement.Begin})
 	}
 	if len(c.unanswered) == 0 {
@@ -115,12 +115,12 @@
 func (e *Executor) sendStatement(c *conn) {
 	j := c.job
 	j.sent = true
-	command := j.work.Command
-	if j.work.Opens {
+	command := j.stmt.Command
+	if j.stmt.BeginsTx {
 		command.After.Term, command.After.Position = 0, 0
 	}
 	e.send(c, commandStatement, command)
-	if j.work.Wrapped() {
+	if j.stmt.Wrapped() {
 		e.send(c, commandRollback, statement.Command{Verb: statement.Rollback})
 	}
 }
@@ -203,16 +203,16 @@
 func (e *Executor) handleStatementAnswer(c *conn, a statement.Answer) {
 	j := c.job
 	c.job = nil
-	w := j.work
+	w := j.stmt
 	ok := a.Code == statement.OK
 	if w.Command.Verb == statement.Rollback {
-		// BEGIN proved that the server was the primary. It may have lost that role
-		// since, so the proof holds for the log position at BEGIN only.
+		// BEGIN confirmed that the server was the primary. It may have lost that role
+		// since, so the confirmation holds for the log position at BEGIN only.
 		a.At = j.beginPoint
 	}
 	r := statement.Result{Answer: a}
-	r.Proven = ok && w.Proves()
-	keep := ok && a.State == statement.InTx && (w.Opens || w.Tx != 0) && !j.aborted
+	r.PrimaryConfirmed = ok && w.Proves()
+	keep := ok && a.State == statement.InTx && (w.BeginsTx || w.Tx != 0) && !j.aborted
 	if !keep {
 		if c.tx != 0 {
 			e.clearTx(c)
@@ -249,7 +249,8 @@
 	}
 }
 
-// handleWaitTimeout refuses a job that got no connection within Work.Wait.
+// handleWaitTimeout refuses a job that got no connection within
+// RemoteStatement.Wait.
 func (e *Executor) handleWaitTimeout(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -261,7 +262,7 @@
 // refuseWaiting removes a job from the queue for connections and refuses it. The
 // caller holds mu.
 func (e *Executor) refuseWaiting(j *job, reason string) {
-	p := e.pool(poolKey{j.work.Customer, j.work.Server})
+	p := e.pool(poolKey{j.stmt.Customer, j.stmt.Server})
 	p.waiting = slices.DeleteFunc(p.waiting, func(other *job) bool { return other == j })
 	e.finish(j, statement.Refusal(statement.Busy, reason))
 }
--- a/transport/sqlfront/attempt.go
+++ b/transport/sqlfront/attempt.go
@@ -35,7 +35,7 @@
 	}
 	c.send(ex, target, now)
 	if delay, may := ex.op.HedgeAfter(); may {
-		c.server.Leads.With(ex.op.Route.Group, func(g *leadership.Group) { g.CountRead() })
+		c.server.Leadership.With(ex.op.Route.Group, func(g *leadership.Group) { g.CountRead() })
 		ex.hedgeTimer = time.AfterFunc(delay, func() { c.queue.PostAlways(func() { c.runHedge(ex) }) })
 	}
 }
@@ -43,7 +43,7 @@
 func (c *session) chooseTarget(ex *execution, now time.Duration) (sqlsession.Target, bool) {
 	s := c.server
 	return sqlsession.Choose(ex.op, sqlsession.Env{
-		Deployment: s.Table.Current(), Leads: s.Leads, View: s.View(), DataCentre: s.DataCentre, Now: now, Tried: ex.tried,
+		Deployment: s.Table.Current(), Leadership: s.Leadership, View: s.View(), DataCentre: s.DataCentre, Now: now, Tried: ex.tried,
 	})
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	allowed := false
-	c.server.Leads.With(ex.op.Route.Group, func(g *leadership.Group) { allowed = g.Hedge() })
+	c.server.Leadership.With(ex.op.Route.Group, func(g *leadership.Group) { allowed = g.AllowHedge() })
 	if allowed {
 		c.server.readsHedged.Inc(1)
 		c.send(ex, target, now)
@@ -70,12 +70,12 @@
 // send runs the operation on the target.
 func (c *session) send(ex *execution, target sqlsession.Target, now time.Duration) {
 	s := c.server
-	w := target.Work
+	w := target.Statement
 	w.Timeout = ex.deadline - now
 	w.Wait = max(ex.waitUntil-now, time.Millisecond)
 	ex.attempts++
 	ex.runningOn = append(ex.runningOn, w.Server)
-	s.Leads.With(w.Group, func(g *leadership.Group) { g.Sent(w.Server) })
+	s.Leadership.With(w.Group, func(g *leadership.Group) { g.StatementSent(w.Server) })
 	hop := s.startHop(ex, s.View(), target.VM, &w)
 	s.Runner.Run(target.VM, &w, func(r statement.Result) {
 		hop.end(&r)
@@ -89,7 +89,7 @@
 
 // handleResult handles the result of an attempt. A transaction that a late result
 // leaves open is ended.
-func (c *session) handleResult(ex *execution, vm string, w *statement.Work, r statement.Result) {
+func (c *session) handleResult(ex *execution, vm string, w *statement.RemoteStatement, r statement.Result) {
 	if c.current != ex {
 		if r.Tx != 0 {
 			c.server.Runner.Abort(vm, r.Tx)
@@ -99,7 +99,7 @@
 	ex.stopHedge()
 	ex.runningOn = slices.DeleteFunc(ex.runningOn, func(server string) bool { return server == w.Server })
 	failed := r.Answer.Code != statement.OK
-	verdict := ex.op.Judge(&r)
+	verdict := ex.op.HandleResult(&r)
 	if failed && verdict == sqlsession.Retry {
 		// A failure that repeats is logged once; the number of attempts shows the
 		// repetitions.
@@ -112,7 +112,7 @@
 	switch {
 	case failed && len(ex.runningOn) > 0:
 		// The other attempt may still succeed.
-	case verdict == sqlsession.Tell:
+	case verdict == sqlsession.Answer:
 		c.finishExecution(ex, r, vm, w.Server)
 	case clock.Now() < ex.deadline:
 		c.startAttempt(ex)
@@ -129,15 +129,15 @@
 }
 
 // logAttempt logs a failed attempt with the state that the choice of the server
-// depended on: the configuration in force, and the age of the latest proof of which
-// server is the group's primary.
-func (s *Server) logAttempt(ex *execution, vm string, w *statement.Work, r *statement.Result) {
-	var proofAge time.Duration
-	s.Leads.With(w.Group, func(g *leadership.Group) { proofAge = clock.Now() - g.ProvenAt() })
+// depended on: the configuration in force, and the age of the latest leadership
+// confirmation of which server is the group's primary.
+func (s *Server) logAttempt(ex *execution, vm string, w *statement.RemoteStatement, r *statement.Result) {
+	var confirmationAge time.Duration
+	s.Leadership.With(w.Group, func(g *leadership.Group) { confirmationAge = clock.Now() - g.ConfirmedAt() })
 	s.Logger.WithFields(log.Fields{
 		"id": ex.op.Request.ID, "customer": w.Customer, "group": w.Group, "server": w.Server, "vm": vm, "attempt": ex.attempts,
 		"code": r.Answer.Code.String(), "why": r.Answer.Text,
-		"config": s.Table.Current().Config.Version, "proof_age_ms": proofAge.Milliseconds(),
+		"config": s.Table.Current().Config.Version, "proof_age_ms": confirmationAge.Milliseconds(),
 	}).Info("session: attempt failed.")
 }
 
--- a/transport/sqlfront/hop.go
+++ b/transport/sqlfront/hop.go
@@ -68,9 +68,9 @@
 	span      trace.Span
 }
 
-// startHop starts the span of an attempt and adds its IDs to the work, so that the
-// VM that runs the statement can attach its own span.
-func (s *Server) startHop(ex *execution, view *placement.View, vm string, w *statement.Work) hop {
+// startHop starts the span of an attempt and adds its IDs to the statement, so
+// that the VM that runs the statement can attach its own span.
+func (s *Server) startHop(ex *execution, view *placement.View, vm string, w *statement.RemoteStatement) hop {
 	_, span := s.Tracer.Start(ex.ctx, "hop", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
 		attribute.String("vm", vm), attribute.String("server", w.Server), attribute.Int("attempt", ex.attempts),
 	))
@@ -98,23 +98,23 @@
 
 // observe updates the state of the group's servers with the result: latency,
 // health, log position, and whether the server is the primary.
-func (c *session) observe(w *statement.Work, r *statement.Result, sentAt time.Duration) {
+func (c *session) observe(w *statement.RemoteStatement, r *statement.Result, sentAt time.Duration) {
 	now := clock.Now()
 	s := c.server
 	server := s.Table.Current().Servers[w.Server]
-	s.Leads.With(w.Group, func(g *leadership.Group) {
-		g.Done(w.Server, healthOutcome(r.Answer.Code), now-sentAt, r.Answer.At, now)
+	s.Leadership.With(w.Group, func(g *leadership.Group) {
+		g.StatementDone(w.Server, healthOutcome(r.Answer.Code), now-sentAt, r.Answer.At, now)
 		switch r.Answer.Code {
 		case statement.OK:
-			if r.Proven {
-				g.Prove(w.Server, r.Answer.At, sentAt)
+			if r.PrimaryConfirmed {
+				g.RecordConfirmation(w.Server, r.Answer.At, sentAt)
 			}
 		case statement.ReadOnly:
 			if server != nil {
-				g.Deny(server)
+				g.RecordNotPrimary(server)
 			}
 		case statement.Lagging:
-			g.Lags(w.Server, now)
+			g.RecordLag(w.Server, now)
 		case statement.Lost, statement.Timeout, statement.Unreachable, statement.Down, statement.WrongServer, statement.ConnectionLimit:
 			g.Suspect(w.Server, now)
 		}
@@ -127,7 +127,7 @@
 	case statement.OK:
 		return leadership.Answered
 	case statement.Failed, statement.Busy, statement.Lost, statement.Timeout, statement.Unreachable, statement.Down:
-		return leadership.Failing
+		return leadership.Failed
 	}
 	return leadership.Declined
 }
--- a/transport/sqlfront/server.go
+++ b/transport/sqlfront/server.go
@@ -45,8 +45,8 @@
 
 // Runner runs statements on the VMs of the fleet.
 type Runner interface {
-	// Run runs the work on the named VM and calls done once, on a pool worker.
-	Run(vm string, w *statement.Work, done func(statement.Result))
+	// Run runs the statement on the named VM and calls done once, on a pool worker.
+	Run(vm string, w *statement.RemoteStatement, done func(statement.Result))
 	// Abort rolls back a transaction whose client has disconnected, or that was
 	// idle for too long.
 	Abort(vm string, tx uint64)
@@ -67,7 +67,7 @@
 	Dialect    Dialect
 	Pool       *pool.Pool
 	Table      *catalog.Table
-	Leads      *leadership.Table
+	Leadership *leadership.Table
 	View       func() *placement.View
 	Runner     Runner
 	Admitter   Admitter
--- a/transport/sqlfront/session.go
+++ b/transport/sqlfront/session.go
@@ -122,7 +122,7 @@
 			}
 			a := *step.Answer
 			if !admitted {
-				c.core.Unbegin()
+				c.core.UndoBegin()
 				a.Code, a.Text, a.State = statement.Busy, rateLimitText(retryAfter), c.core.State()
 				c.logRefusal(r.ID, step.Customer, &a, 0, 0)
 			}
@@ -242,7 +242,7 @@
 	if c.closed || c.busy() || c.core.State() != statement.InTx {
 		return
 	}
-	if tx := c.core.Abandon(); tx != nil {
+	if tx := c.core.FailTx(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
 	c.server.Logger.Info("session: idle transaction rolled back.")
@@ -280,7 +280,7 @@
 func (c *session) disconnected() {
 	c.closed = true
 	c.stopIdleTxTimer()
-	if tx := c.core.Abandon(); tx != nil {
+	if tx := c.core.FailTx(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
 	if c.current != nil {
