--- a/coordination/failover/attempt.go
+++ b/coordination/failover/attempt.go
@@ -51,7 +51,7 @@
 // startIfNeeded begins an attempt if the condition of the group requires one
 // and the delay that gives other VMs precedence has passed.
 func (d *decision) startIfNeeded() {
-	if !d.mayAct() || !d.Part.HasIndex {
+	if !d.mayAct() || !d.Role.HasIndex {
 		return
 	}
 	if d.failover.Condition == state.ConditionHealthy {
@@ -78,7 +78,7 @@
 func (d *decision) ensureFresh(since time.Time) bool {
 	n := 0
 	for i := range d.Group.Servers {
-		if v := d.State.Servers[d.Group.Servers[i].Name]; v != nil && !v.AskedAt.Before(since) {
+		if v := d.State.Servers[d.Group.Servers[i].Name]; v != nil && !v.QueriedAt.Before(since) {
 			n++
 		}
 	}
@@ -115,7 +115,7 @@
 		return true
 	}
 	v := d.State.Servers[server]
-	return v != nil && (v.Status.AdoptedTerm >= term || !v.AskedAt.Before(since) || !v.FailedAt.Before(since))
+	return v != nil && (v.Status.AdoptedTerm >= term || !v.QueriedAt.Before(since) || !v.FailedAt.Before(since))
 }
 
 // startDelay returns how long the condition must persist before this VM begins an
@@ -124,7 +124,7 @@
 	switch d.failover.Condition {
 	case state.ConditionFailed:
 		return d.stagger(), true
-	case state.ConditionHeadless:
+	case state.ConditionNoPrimary:
 		switch {
 		case d.ticketMayBeStale():
 			return ticketPropagation + d.stagger(), true
@@ -133,8 +133,8 @@
 		default:
 			return promotionGrace + d.stagger(), true
 		}
-	case state.ConditionStray:
-		return strayGrace + time.Duration(d.watcherOrder())*strayStagger, d.Part.Watcher
+	case state.ConditionDivergedReplica:
+		return divergedGrace + time.Duration(d.watcherOrder())*divergedStagger, d.Role.Watcher
 	}
 	return 0, false
 }
@@ -164,7 +164,7 @@
 // beginAttempt starts an attempt: it orders every server to adopt a new term.
 // target and predecessor are set in a planned switchover only.
 func (d *decision) beginAttempt(target, predecessor string) {
-	term, ok := nextTerm(d.highestTerm(), d.Part.Index)
+	term, ok := nextTerm(d.highestTerm(), d.Role.Index)
 	if !ok {
 		return
 	}
@@ -178,7 +178,7 @@
 	} else {
 		d.emit(Report{Step: StepDrained, Server: predecessor, Term: term, After: d.Now.Sub(d.failover.StepStarted)})
 	}
-	d.failover.Began = d.Now
+	d.failover.StartedAt = d.Now
 	d.enterStep(state.FailoverAdopting, orderTimeout)
 	for i := range d.Group.Servers {
 		d.sendOrder(Adopt, d.Group.Servers[i].Name, term, "", orderTimeout)
@@ -236,7 +236,7 @@
 func (d *decision) handleMajority(pending int) {
 	if d.failover.MajorityAt.IsZero() {
 		d.failover.MajorityAt = d.Now
-		d.emit(Report{Step: StepAdopted, Term: d.failover.Term, After: d.Now.Sub(d.failover.Began)})
+		d.emit(Report{Step: StepAdopted, Term: d.failover.Term, After: d.Now.Sub(d.failover.StartedAt)})
 	}
 	if pending > 0 && d.adoptionsPending() && !d.due(d.failover.MajorityAt.Add(adoptGrace)) {
 		return
@@ -301,8 +301,8 @@
 func (d *decision) retryDelay() time.Duration {
 	doublings := min(d.failover.Attempts, retryDoublings)
 	slot := d.watcherOrder()
-	if !d.Part.Watcher {
-		slot += 1 + d.Part.Rank%8
+	if !d.Role.Watcher {
+		slot += 1 + d.Role.Rank%8
 	}
 	return retryBase<<doublings + time.Duration(slot)*watcherStagger
 }
--- a/coordination/failover/detect.go
+++ b/coordination/failover/detect.go
@@ -50,20 +50,20 @@
 		return state.ConditionUncertain
 	}
 	if d.Group.Server(d.State.Primary) == nil {
-		return state.ConditionHeadless
+		return state.ConditionNoPrimary
 	}
 	if !d.isResponsive(d.State.Primary) {
 		return d.unresponsivePrimaryCondition(ahead)
 	}
 	switch {
 	case !d.State.Servers[d.State.Primary].Status.Leads(d.State.Term):
-		return state.ConditionHeadless
+		return state.ConditionNoPrimary
 	case ahead == 0:
 		return state.ConditionHealthy
 	case answering-ahead >= majority:
-		return state.ConditionStray
+		return state.ConditionDivergedReplica
 	default:
-		return state.ConditionHeadless
+		return state.ConditionNoPrimary
 	}
 }
 
@@ -75,7 +75,7 @@
 	case failed && ahead == 0:
 		return state.ConditionFailed
 	case failed, ahead >= d.Group.Majority():
-		return state.ConditionHeadless // another VM has begun a promotion
+		return state.ConditionNoPrimary // another VM has begun a promotion
 	default:
 		return state.ConditionUncertain
 	}
@@ -85,7 +85,7 @@
 // answerWindow.
 func (d *decision) isResponsive(server string) bool {
 	v := d.State.Servers[server]
-	return v != nil && !v.AskedAt.IsZero() && v.Missed == 0 && d.Now.Sub(v.AskedAt) <= answerWindow
+	return v != nil && !v.QueriedAt.IsZero() && v.Missed == 0 && d.Now.Sub(v.QueriedAt) <= answerWindow
 }
 
 // primaryFailed reports whether the primary has been silent long enough to count as
@@ -119,7 +119,7 @@
 	}
 	started := d.State.Round.Started
 	at := started.Add(interval)
-	if d.Part.Watcher && d.failover.ReportedAt.After(started) {
+	if d.Role.Watcher && d.failover.ReportedAt.After(started) {
 		at = d.failover.ReportedAt
 	}
 	if d.due(at) {
@@ -130,7 +130,7 @@
 
 func (d *decision) probeInterval() (interval time.Duration, wanted bool) {
 	switch {
-	case !d.Part.Watcher:
+	case !d.Role.Watcher:
 		return d.recheckInterval()
 	case d.failover.Condition != state.ConditionHealthy && d.Now.Sub(d.failover.ConditionSince) < suspectPeriod:
 		return suspectInterval, true
--- a/coordination/failover/failover.go
+++ b/coordination/failover/failover.go
@@ -55,11 +55,11 @@
 	promotionGrace = 250 * time.Millisecond
 	// ticketPropagation exceeds the time in which a ticket reaches every VM.
 	ticketPropagation = 10 * time.Second
-	// strayGrace is longer, because recovering a stray server (one that has
+	// divergedGrace is longer, because recovering a diverged replica (one that has
 	// adopted a later term) requires promoting a working primary again.
-	strayGrace   = 2 * time.Second
-	strayStagger = 500 * time.Millisecond
-	rejoinDelay  = 250 * time.Millisecond
+	divergedGrace   = 2 * time.Second
+	divergedStagger = 500 * time.Millisecond
+	rejoinDelay     = 250 * time.Millisecond
 	// switchoverStagger gives precedence to the watcher in the successor's data
 	// centre.
 	switchoverStagger = 1 * time.Second
@@ -82,8 +82,8 @@
 	plannedRetry   = 5 * time.Second
 )
 
-// Part describes the role of this VM in a group.
-type Part struct {
+// VMRole describes the role of this VM in a group.
+type VMRole struct {
 	Watcher    bool
 	Rank       int // of this VM among all VMs, for this group
 	Index      uint16
@@ -96,7 +96,7 @@
 	State  *state.GroupState
 	Config *state.Config
 	Group  *state.Group
-	Part   Part
+	Role   VMRole
 	Now    time.Time
 }
 
@@ -115,7 +115,8 @@
 // Effect is an action that the driver must carry out.
 type Effect interface{ effect() }
 
-// Call sends an order to a server. The driver passes the same value to Answer.
+// Call sends an order to a server. The driver passes the same value to
+// HandleOutcome.
 type Call struct {
 	Order   Order
 	Server  string
@@ -186,14 +187,15 @@
 // the group's state.
 func Tick(in Input) []Effect { return decide(in, func(*decision) {}) }
 
-// Answer processes the outcome of a call. Late and repeated answers are allowed.
-func Answer(in Input, c Call, o Outcome) []Effect {
+// HandleOutcome processes the outcome of a call. Late and repeated answers are
+// allowed.
+func HandleOutcome(in Input, c Call, o Outcome) []Effect {
 	return decide(in, func(d *decision) { d.handleOutcome(c, o) })
 }
 
-// Suspect records that a connection to the server was lost or that the server did
-// not answer in time, and requests an immediate probe.
-func Suspect(in Input, server string) []Effect {
+// HandleConnectionFailure records that a connection to the server was lost or
+// that the server did not answer in time, and requests an immediate probe.
+func HandleConnectionFailure(in Input, server string) []Effect {
 	return decide(in, func(d *decision) {
 		if d.Group.Server(server) == nil {
 			return
@@ -203,8 +205,8 @@
 	})
 }
 
-// Merge processes the state of the group as reported by another VM.
-func Merge(in Input, term uint64, primary string, suspect bool) []Effect {
+// HandlePeerReport processes the state of the group as reported by another VM.
+func HandlePeerReport(in Input, term uint64, primary string, suspect bool) []Effect {
 	return decide(in, func(d *decision) {
 		d.State.Learn(term, primary)
 		if suspect && term == d.State.Term && primary == d.State.Primary {
@@ -270,7 +272,7 @@
 func (d *decision) hasWaiters() bool { return len(d.State.Waiters) > 0 }
 
 // mayAct reports whether this VM may act on the group at present.
-func (d *decision) mayAct() bool { return d.Part.Watcher || d.hasWaiters() }
+func (d *decision) mayAct() bool { return d.Role.Watcher || d.hasWaiters() }
 
 // watcherOrder returns the position of this VM among the watchers of the group.
 // Watchers are ordered as their data centres first appear in the list of the
@@ -282,7 +284,7 @@
 		if s.Name == d.State.Primary || seen[s.DataCentre] {
 			continue
 		}
-		if s.DataCentre == d.Part.DataCentre {
+		if s.DataCentre == d.Role.DataCentre {
 			return order
 		}
 		seen[s.DataCentre] = true
@@ -293,8 +295,8 @@
 
 // stagger returns how long this VM waits for other VMs to act first.
 func (d *decision) stagger() time.Duration {
-	if d.Part.Watcher {
+	if d.Role.Watcher {
 		return time.Duration(d.watcherOrder()) * watcherStagger
 	}
-	return time.Duration(d.Part.Rank+1) * waiterStagger
+	return time.Duration(d.Role.Rank+1) * waiterStagger
 }
--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -22,7 +22,7 @@
 
 // newInput returns a group of servers a, b and c in three data centres. The
 // primary is a, and all servers answered at start.
-func newInput(part Part, states ...state.ServiceState) Input {
+func newInput(role VMRole, states ...state.ServiceState) Input {
 	grp := &state.Group{Name: "g"}
 	g := &state.GroupState{Name: "g", Servers: map[string]*state.ServerView{}}
 	for i, name := range []string{"a", "b", "c"} {
@@ -34,8 +34,8 @@
 		g.Observe(newStatus(name, 1, 1, 10), start)
 	}
 	g.Round.Started = start
-	part.HasIndex = true
-	return Input{State: g, Config: &state.Config{}, Group: grp, Part: part, Now: start}
+	role.HasIndex = true
+	return Input{State: g, Config: &state.Config{}, Group: grp, Role: role, Now: start}
 }
 
 func (in *Input) at(d time.Duration) Input {
@@ -75,7 +75,7 @@
 		"leaving, majority without it": {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
 		"leaving, needed":              {states: []state.ServiceState{in, out, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
 	} {
-		d := &decision{Input: newInput(Part{}, c.states...)}
+		d := &decision{Input: newInput(VMRole{}, c.states...)}
 		d.failover = &d.State.Failover
 		d.failover.Candidate, d.failover.Adopted = c.target, map[string]state.ServerStatus{}
 		for _, s := range c.adopted {
@@ -105,21 +105,21 @@
 	const never = 0
 	waiters := []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	for name, c := range map[string]struct {
-		part    Part
+		role    VMRole
 		waiting bool
 		silent  []string
 		want    time.Duration
 	}{
-		"first watcher, requests wait":  {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters},
-		"second watcher":                {Part{Watcher: true, DataCentre: "dc-c"}, true, []string{"a"}, silenceWithWaiters + watcherStagger},
-		"watcher, no requests wait":     {Part{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, silenceWithoutWaiters},
-		"other VM, requests wait":       {Part{Rank: 1, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters + 2*waiterStagger},
-		"other VM, no requests wait":    {Part{Rank: 0, DataCentre: "dc-b"}, false, []string{"a"}, never},
-		"primary of a newer ticket":     {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, never},
-		"no majority":                   {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"a", "c"}, never},
-		"replica silent, primary works": {Part{Watcher: true, DataCentre: "dc-b"}, true, []string{"c"}, never},
+		"first watcher, requests wait":  {VMRole{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters},
+		"second watcher":                {VMRole{Watcher: true, DataCentre: "dc-c"}, true, []string{"a"}, silenceWithWaiters + watcherStagger},
+		"watcher, no requests wait":     {VMRole{Watcher: true, DataCentre: "dc-b"}, false, []string{"a"}, silenceWithoutWaiters},
+		"other VM, requests wait":       {VMRole{Rank: 1, DataCentre: "dc-b"}, true, []string{"a"}, silenceWithWaiters + 2*waiterStagger},
+		"other VM, no requests wait":    {VMRole{Rank: 0, DataCentre: "dc-b"}, false, []string{"a"}, never},
+		"primary of a newer ticket":     {VMRole{Watcher: true, DataCentre: "dc-b"}, true, []string{"a"}, never},
+		"no majority":                   {VMRole{Watcher: true, DataCentre: "dc-b"}, true, []string{"a", "c"}, never},
+		"replica silent, primary works": {VMRole{Watcher: true, DataCentre: "dc-b"}, true, []string{"c"}, never},
 	} {
-		in := newInput(c.part)
+		in := newInput(c.role)
 		if c.waiting {
 			in.State.Waiters = waiters
 		}
@@ -146,7 +146,7 @@
 // orders, and the first of them.
 func startedAttempt(t *testing.T) (in Input, adopt Call) {
 	t.Helper()
-	in = newInput(Part{Watcher: true, DataCentre: "dc-b", Index: 7})
+	in = newInput(VMRole{Watcher: true, DataCentre: "dc-b", Index: 7})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	in.failQueries(silenceWithWaiters, "a")
 	orders, adopt := calls(Tick(in.at(silenceWithWaiters)))
@@ -159,7 +159,7 @@
 // deliver processes the outcome of an order and returns the orders that follow.
 func (in *Input) deliver(o Order, server string, term uint64, r Result, s state.ServerStatus) []string {
 	c := Call{Order: o, Server: server, Term: term, Peer: in.State.Failover.Candidate, Sent: in.Now}
-	orders, _ := calls(Answer(*in, c, Outcome{Result: r, Status: s}))
+	orders, _ := calls(HandleOutcome(*in, c, Outcome{Result: r, Status: s}))
 	return orders
 }
 
@@ -220,7 +220,7 @@
 		Refused: nil,
 		Failed:  {"resume a"},
 	} {
-		in := newInput(Part{Watcher: true, DataCentre: "dc-b"}, state.Leaving)
+		in := newInput(VMRole{Watcher: true, DataCentre: "dc-b"}, state.Leaving)
 		orders, first := calls(Tick(in))
 		if len(orders) != 1 || first.Order != Switchover || first.Peer != "b" {
 			t.Fatalf("orders %v, first %+v", orders, first)
@@ -236,7 +236,7 @@
 // of the servers answers before the new primary is queried.
 func TestPromotedPrimaryIsAskedFirst(t *testing.T) {
 	const term = 3 << indexBits
-	in := newInput(Part{Watcher: true, DataCentre: "dc-b"})
+	in := newInput(VMRole{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	observe := func(at time.Duration, servers ...string) []string {
 		for _, name := range servers {
@@ -261,19 +261,19 @@
 	}
 	// The same if another VM reports the promotion after the group has had no
 	// primary for a long time.
-	in = newInput(Part{Watcher: true, DataCentre: "dc-b"})
+	in = newInput(VMRole{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	for at = 0; at < promotionGrace; at += 10 * time.Millisecond {
 		observe(at, "a", "b")
 	}
-	Merge(in.at(at), term, "c", false)
+	HandlePeerReport(in.at(at), term, "c", false)
 	for ; at <= 2*promotionGrace; at += 10 * time.Millisecond {
 		if orders := observe(at, "a", "b"); len(orders) > 0 {
 			t.Fatalf("orders %v after %v, although c was promoted and not queried", orders, at)
 		}
 	}
 	// A new primary that does not answer must be replaced.
-	in = newInput(Part{Watcher: true, DataCentre: "dc-b"})
+	in = newInput(VMRole{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
 	var orders []string
 	for at = 0; at <= 3*time.Second && len(orders) == 0; at += 10 * time.Millisecond {
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -71,8 +71,8 @@
 // each index, which can happen while VMs apply different tickets.
 func (v *simVM) input() failover.Input {
 	first := slices.IndexFunc(v.vms, func(o *simVM) bool { return o.dataCentre == v.dataCentre && o.up })
-	part := failover.Part{Watcher: first == v.index, Rank: v.index, Index: uint16(v.index / 2), HasIndex: true, DataCentre: v.dataCentre}
-	return failover.Input{State: v.g, Config: v.cfg, Group: v.currentGroup(), Part: part, Now: v.now}
+	role := failover.VMRole{Watcher: first == v.index, Rank: v.index, Index: uint16(v.index / 2), HasIndex: true, DataCentre: v.dataCentre}
+	return failover.Input{State: v.g, Config: v.cfg, Group: v.currentGroup(), Role: role, Now: v.now}
 }
 
 // process carries out the given effects and those of the decisions that follow, on
@@ -86,7 +86,7 @@
 	}
 	for _, e := range positions {
 		switch e := e.(type) {
-		case replication.AskStatus:
+		case replication.QueryStatus:
 			v.queryStatus(e)
 		case replication.Resolve:
 			w := v.waits[e.ID]
@@ -153,12 +153,12 @@
 	})
 }
 
-func (v *simVM) queryStatus(a replication.AskStatus) {
+func (v *simVM) queryStatus(a replication.QueryStatus) {
 	v.call(a.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
 		func(o failover.Outcome) {
 			if o.Result == failover.Failed {
 				// A server that is down refuses the connection.
-				v.process(replication.Failure(v.g, v.currentGroup(), a, !v.servers[a.Server].up, v.now), nil)
+				v.process(replication.QueryFailed(v.g, v.currentGroup(), a, !v.servers[a.Server].up, v.now), nil)
 				return
 			}
 			v.process(replication.Answer(v.g, v.currentGroup(), a, o.Status, v.now), nil)
@@ -174,7 +174,7 @@
 		} else {
 			reply(failover.Done)
 		}
-	}, func(o failover.Outcome) { v.process(nil, failover.Answer(v.input(), c, o)) })
+	}, func(o failover.Outcome) { v.process(nil, failover.HandleOutcome(v.input(), c, o)) })
 }
 
 // drain replies once the successor holds the whole log.
@@ -197,7 +197,7 @@
 	if primary == "" || !to.up {
 		return
 	}
-	v.send(v.name, to.name, to.onVM(func() { to.process(nil, failover.Merge(to.input(), term, primary, suspect)) }))
+	v.send(v.name, to.name, to.onVM(func() { to.process(nil, failover.HandlePeerReport(to.input(), term, primary, suspect)) }))
 }
 
 // wait adds a waiter, whose result is passed to onResult.
@@ -243,7 +243,7 @@
 	}, func(o failover.Outcome) {
 		switch {
 		case o.Result == failover.Failed:
-			v.process(nil, failover.Suspect(v.input(), server))
+			v.process(nil, failover.HandleConnectionFailure(v.input(), server))
 		case !accepted:
 			v.awaitPrimary()
 		case !v.ackOnCommit:
--- a/coordination/failover/rejoin.go
+++ b/coordination/failover/rejoin.go
@@ -36,7 +36,7 @@
 		at = v.FollowAt
 	}
 	// A status from before DetachedSince can predate the latest promotion.
-	if !d.due(at) || !v.AskedAt.After(v.DetachedSince) {
+	if !d.due(at) || !v.QueriedAt.After(v.DetachedSince) {
 		return
 	}
 	v.FollowAt = d.Now.Add(followRetry)
--- a/coordination/failover/switchover.go
+++ b/coordination/failover/switchover.go
@@ -9,7 +9,7 @@
 // handlePlanned starts a switchover when the primary's server is leaving, and
 // resumes a primary whose switchover was abandoned.
 func (d *decision) handlePlanned() {
-	if !d.Part.Watcher {
+	if !d.Role.Watcher {
 		return
 	}
 	d.trackSwitching()
@@ -61,7 +61,7 @@
 // the time that it may take.
 func (d *decision) switchoverTime(target string) time.Time {
 	at := d.failover.LeavingSince
-	if d.Group.Server(target).DataCentre != d.Part.DataCentre {
+	if d.Group.Server(target).DataCentre != d.Role.DataCentre {
 		at = at.Add(time.Duration(d.watcherOrder()+1) * switchoverStagger)
 	}
 	if at.Before(d.failover.RetryAt) {
@@ -97,7 +97,7 @@
 	if d.failover.SwitchingSince.IsZero() {
 		return
 	}
-	grace := resumeGrace + time.Duration(d.watcherOrder())*strayStagger
+	grace := resumeGrace + time.Duration(d.watcherOrder())*divergedStagger
 	if d.due(d.failover.SwitchingSince.Add(grace)) {
 		d.failover.SwitchingSince = d.Now
 		d.resumePrimary(d.State.Primary)
--- a/coordination/placement/connections.go
+++ b/coordination/placement/connections.go
@@ -4,7 +4,7 @@
 
 const (
 	// reservedConnections is the number of connections per server that are not
-	// planned, because VMs with another view may choose further executors.
+	// planned, because VMs with another view may choose further connection owners.
 	reservedConnections = 3
 	// transientConnections is the number of connections per server that the
 	// customers without permanent connections share.
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,14 +1,15 @@
 // Package placement assigns tasks to VMs.
 //
 // A connection to a backend server belongs to one customer, and there are fewer
-// connections than combinations of VM and customer. Therefore one VM, the executor,
-// holds the connections of a customer to a server, and the other VMs forward
-// statements to it. Executors are chosen in the server's data centre: a statement
-// then crosses data centres at most once, and reads on a local replica never do.
+// connections than combinations of VM and customer. Therefore one VM, the
+// connection owner, holds the connections of a customer to a server, and the
+// other VMs forward statements to it. Connection owners are chosen in the
+// server's data centre: a statement then crosses data centres at most once, and
+// reads on a local replica never do.
 //
 // The choice uses a weighted rendezvous hash over the VMs that this VM considers
-// alive. VMs with different views may choose different executors; that costs
-// connections and is otherwise harmless.
+// alive. VMs with different views may choose different connection owners; that
+// costs connections and is otherwise harmless.
 package placement
 
 import (
@@ -52,10 +53,10 @@
 	return n
 }
 
-// CutOff reports whether no VM of another data centre is alive although VMs of two
-// or more others are known. It is then more likely that this data centre is
-// partitioned than that all others have failed.
-func (v *View) CutOff() bool {
+// DataCentreCutOff reports whether no VM of another data centre is alive although
+// VMs of two or more others are known. It is then more likely that this data
+// centre is partitioned than that all others have failed.
+func (v *View) DataCentreCutOff() bool {
 	self := v.vm(v.Self)
 	others := make(map[string]bool)
 	for i := range v.VMs {
@@ -75,9 +76,9 @@
 // perspective. It is then probably on the minority side of a partition.
 func (v *View) Isolated() bool { return v.Members > 2 && 2*v.AliveCount() <= v.Members }
 
-// Executor returns the VM that holds the customer's connections to the server. It
-// reports false if no VM that is alive can reach the server.
-func (v *View) Executor(customer string, s *catalog.Server) (string, bool) {
+// ConnectionOwner returns the VM that holds the customer's connections to the
+// server. It reports false if no VM that is alive can reach the server.
+func (v *View) ConnectionOwner(customer string, s *catalog.Server) (string, bool) {
 	key := customer + "|" + s.ID
 	local := v.bestVM(key, func(vm *VM) bool {
 		return vm.DataCentre == s.DataCentre && !vm.Leaving && !vm.Unreachable[s.ID]
@@ -150,10 +151,11 @@
 // Complete reports whether all VMs that own a share of the limits are alive.
 func (v *View) Complete() bool { return v.Listed && v.AliveCount() == v.Members }
 
-// Steward returns the failover coordinator, which orders promotions: the VM with
-// the longest uptime. A hash would return this duty to a VM that has just restarted
-// after a crash, and no primary is replaced while the duty changes hands.
-func (v *View) Steward() string {
+// FailoverCoordinator returns the failover coordinator, which orders promotions:
+// the VM with the longest uptime. A hash would return this duty to a VM that has
+// just restarted after a crash, and no primary is replaced while the duty changes
+// hands.
+func (v *View) FailoverCoordinator() string {
 	var oldest *VM
 	for i := range v.VMs {
 		vm := &v.VMs[i]
@@ -207,8 +209,8 @@
 	return v.bestVM("relay", func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == self.DataCentre }) == v.Self
 }
 
-// Near reports whether the VM is in this VM's data centre.
-func (v *View) Near(name string) bool {
+// InSameDataCentre reports whether the VM is in this VM's data centre.
+func (v *View) InSameDataCentre(name string) bool {
 	vm := v.vm(name)
 	return vm != nil && vm.DataCentre == v.vm(v.Self).DataCentre
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -17,31 +17,32 @@
 	return v
 }
 
-// Guards against choosing an executor outside the server's data centre while one
-// inside is eligible, and against choosing a VM that cannot run the statement.
-func TestExecutor(t *testing.T) {
+// Guards against choosing a connection owner outside the server's data centre
+// while one inside is eligible, and against choosing a VM that cannot run the
+// statement.
+func TestConnectionOwner(t *testing.T) {
 	v := newView(3, 2)
 	s := &catalog.Server{ID: "s", DataCentre: "z1"}
-	first, ok := v.Executor("c", s)
+	first, ok := v.ConnectionOwner("c", s)
 	if !ok || first != "vm-1-0" && first != "vm-1-1" {
-		t.Fatalf("executor %s", first)
+		t.Fatalf("connection owner %s", first)
 	}
 	vm := v.vm(first)
 	vm.Unreachable = map[string]bool{"s": true}
-	second, _ := v.Executor("c", s)
+	second, _ := v.ConnectionOwner("c", s)
 	if second == first || second != "vm-1-0" && second != "vm-1-1" {
-		t.Errorf("executor %s, want the other VM of the data centre", second)
+		t.Errorf("connection owner %s, want the other VM of the data centre", second)
 	}
 	v.vm(second).Leaving = true
-	third, ok := v.Executor("c", s)
+	third, ok := v.ConnectionOwner("c", s)
 	if !ok || third == first || third == second {
-		t.Errorf("executor %s, want one in another data centre", third)
+		t.Errorf("connection owner %s, want one in another data centre", third)
 	}
 	for i := range v.VMs {
 		v.VMs[i].Alive = false
 	}
-	if vm, ok := v.Executor("c", s); ok {
-		t.Errorf("executor %s although no VM is alive", vm)
+	if vm, ok := v.ConnectionOwner("c", s); ok {
+		t.Errorf("connection owner %s although no VM is alive", vm)
 	}
 }
 
@@ -158,21 +159,21 @@
 }
 
 // Guards against a coordinator duty that returns to a VM which has just restarted.
-func TestStewardIsTheOldest(t *testing.T) {
+func TestFailoverCoordinatorIsTheOldest(t *testing.T) {
 	v := newView(3, 2)
 	for i := range v.VMs {
 		v.VMs[i].Incarnation = int64(10 + i)
 	}
-	if s := v.Steward(); s != "vm-0-0" {
-		t.Errorf("steward %s", s)
+	if s := v.FailoverCoordinator(); s != "vm-0-0" {
+		t.Errorf("failover coordinator %s", s)
 	}
 	v.VMs[0].Alive = false
 	v.VMs[1].StoreCutOff = true
-	if s := v.Steward(); s != "vm-1-0" {
-		t.Errorf("steward %s", s)
+	if s := v.FailoverCoordinator(); s != "vm-1-0" {
+		t.Errorf("failover coordinator %s", s)
 	}
 	v.VMs[0].Alive, v.VMs[0].Incarnation = true, 99
-	if s := v.Steward(); s != "vm-1-0" {
-		t.Errorf("steward %s after a VM was restarted", s)
+	if s := v.FailoverCoordinator(); s != "vm-1-0" {
+		t.Errorf("failover coordinator %s after a VM was restarted", s)
 	}
 }
--- a/coordination/replication/replication.go
+++ b/coordination/replication/replication.go
@@ -24,18 +24,18 @@
 	incompleteRoundDelay = 10 * time.Millisecond
 )
 
-// Kind is the kind of a wait's result.
-type Kind int
+// ResultKind is the kind of a wait's result.
+type ResultKind int
 
 // Kinds of results.
 const (
-	Satisfied Kind = iota + 1
-	TimedOut       // the deadline passed; the write of a WaitDurable may or may not survive
-	Lost           // WaitDurable: the write cannot be shown to have survived
+	Satisfied ResultKind = iota + 1
+	TimedOut             // the deadline passed; the write of a WaitDurable may or may not survive
+	Lost                 // WaitDurable: the write cannot be shown to have survived
 )
 
 // String returns the name used in logs and metrics.
-func (k Kind) String() string {
+func (k ResultKind) String() string {
 	switch k {
 	case Satisfied:
 		return "satisfied"
@@ -51,7 +51,7 @@
 // exactly one.
 type Result struct {
 	Wait   state.WaitKind
-	Kind   Kind
+	Kind   ResultKind
 	Point  state.Point // WaitDurable: the acknowledged point, for the session token; else the position of Server
 	Server string      // the primary, or the replica of a WaitCover
 	Term   uint64      // the term of Server's log
@@ -60,9 +60,9 @@
 // Effect is an action that the driver must carry out.
 type Effect interface{ effect() }
 
-// AskStatus requests a status query to a server. The driver passes the same value
-// to Answer or Failure, once for each AskStatus.
-type AskStatus struct {
+// QueryStatus requests a status query to a server. The driver passes the same value
+// to Answer or QueryFailed, once for each QueryStatus.
+type QueryStatus struct {
 	Server string
 	Round  uint64
 	Sent   time.Time // no later than the time at which the query is sent
@@ -81,7 +81,7 @@
 // RoundStarted reports the start of a round, for metrics.
 type RoundStarted struct{ Waiters int }
 
-func (AskStatus) effect()    {}
+func (QueryStatus) effect()  {}
 func (Resolve) effect()      {}
 func (WakeAt) effect()       {}
 func (RoundStarted) effect() {}
@@ -100,14 +100,14 @@
 
 // Answer records the answer to a status query. Late and repeated answers are
 // allowed.
-func Answer(g *state.GroupState, grp *state.Group, ask AskStatus, st state.ServerStatus, now time.Time) []Effect {
+func Answer(g *state.GroupState, grp *state.Group, ask QueryStatus, st state.ServerStatus, now time.Time) []Effect {
 	if grp == nil || grp.Server(ask.Server) == nil {
 		return resolveAndSchedule(g, grp, now, nil)
 	}
 	if st.Server != ask.Server {
 		// Another server answered at this control address. It must not be counted
 		// twice.
-		return Failure(g, grp, ask, false, now)
+		return QueryFailed(g, grp, ask, false, now)
 	}
 	g.Observe(st, ask.Sent)
 	v := g.View(ask.Server)
@@ -119,16 +119,17 @@
 	return resolveAndSchedule(g, grp, now, nil)
 }
 
-// Failure records that a status query was not answered. down is true if the host
-// refused the connection, which shows that the server's process does not run.
-func Failure(g *state.GroupState, grp *state.Group, ask AskStatus, down bool, now time.Time) []Effect {
+// QueryFailed records that a status query was not answered. down is true if the
+// host refused the connection, which shows that the server's process does not
+// run.
+func QueryFailed(g *state.GroupState, grp *state.Group, ask QueryStatus, down bool, now time.Time) []Effect {
 	if grp == nil || grp.Server(ask.Server) == nil {
 		return resolveAndSchedule(g, grp, now, nil)
 	}
 	v := g.View(ask.Server)
 	if v.Outstanding == ask.Round {
 		endQuery(g, v, ask)
-		if !ask.Sent.Before(v.AskedAt) {
+		if !ask.Sent.Before(v.QueriedAt) {
 			v.Missed++
 			v.Down = down
 			v.FailedAt = now
--- a/coordination/replication/replication_test.go
+++ b/coordination/replication/replication_test.go
@@ -35,10 +35,10 @@
 }
 
 // splitEffects splits effects into queries, results and the wake-up time.
-func splitEffects(effects []Effect) (asks []AskStatus, results []Result, wake time.Time) {
+func splitEffects(effects []Effect) (asks []QueryStatus, results []Result, wake time.Time) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case AskStatus:
+		case QueryStatus:
 			asks = append(asks, e)
 		case Resolve:
 			results = append(results, e.Result)
@@ -58,7 +58,7 @@
 	for name, c := range map[string]struct {
 		term, target uint64 // a zero target is unknown
 		statuses     []state.ServerStatus
-		want         Kind // zero if the write must stay pending
+		want         ResultKind // zero if the write must stay pending
 		point        state.Point
 	}{
 		"majority":                   {2, 15, []state.ServerStatus{newStatus("a", p, 2, 2, 15), newStatus("b", r, 2, 2, 15)}, Satisfied, old},
@@ -96,7 +96,7 @@
 	for name, c := range map[string]struct {
 		seen   []state.ServerStatus // before the write
 		answer state.ServerStatus   // of a, after it
-		want   Kind
+		want   ResultKind
 		point  state.Point
 	}{
 		"end of the old log":                 {[]state.ServerStatus{led}, newStatus("a", r, 3, 2, 20), Satisfied, state.Point{Term: 3, Position: 21}},
@@ -132,7 +132,7 @@
 		at := start.Add(2 * time.Millisecond)
 		switch ask.Server {
 		case "a":
-			effects = Failure(g, threeServers, ask, false, at)
+			effects = QueryFailed(g, threeServers, ask, false, at)
 		case "b":
 			effects = Answer(g, threeServers, ask, newStatus("b", state.Primary, 3, 3, 21), at)
 		case "c":
@@ -144,7 +144,7 @@
 	checkResult(t, "silent", results, Lost, state.Point{})
 }
 
-func checkResult(t *testing.T, name string, results []Result, want Kind, point state.Point) {
+func checkResult(t *testing.T, name string, results []Result, want ResultKind, point state.Point) {
 	t.Helper()
 	switch {
 	case want == 0 && len(results) != 0, want != 0 && len(results) != 1:
@@ -224,7 +224,7 @@
 		point    state.Point
 		maxAge   time.Duration
 		failed   bool
-		want     Kind
+		want     ResultKind
 	}{
 		"covered":                 {statuses: fresh, point: state.Point{Term: 2, Position: 15}, want: Satisfied},
 		"behind":                  {statuses: fresh, point: state.Point{Term: 2, Position: 16}},
@@ -262,7 +262,7 @@
 	for name, c := range map[string]struct {
 		a, b  state.ServerStatus
 		other bool // this VM is replacing the primary
-		want  Kind
+		want  ResultKind
 	}{
 		"confirmed":          {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 2, 2, 15), want: Satisfied},
 		"majority has moved": {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 3, 2, 15)},
--- a/coordination/replication/rounds.go
+++ b/coordination/replication/rounds.go
@@ -9,7 +9,7 @@
 // startRound queries every server that has no outstanding query.
 func startRound(g *state.GroupState, grp *state.Group, now time.Time, effects []Effect) []Effect {
 	spacing := min(2*g.Round.Spacing, maxSpacing)
-	if g.Round.Settled > 0 || hasUnservedWaiter(g) || spacing == 0 {
+	if g.Round.Resolved > 0 || hasUnservedWaiter(g) || spacing == 0 {
 		spacing = minSpacing
 	}
 	g.Round = state.PositionRound{Number: g.Round.Number + 1, Started: now, Spacing: spacing}
@@ -23,14 +23,14 @@
 			v.SilentSince = now
 		}
 		g.Round.Pending++
-		effects = append(effects, AskStatus{Server: grp.Servers[i].Name, Round: g.Round.Number, Sent: now})
+		effects = append(effects, QueryStatus{Server: grp.Servers[i].Name, Round: g.Round.Number, Sent: now})
 	}
 	return append(effects, RoundStarted{Waiters: len(g.Waiters)})
 }
 
 // endQuery marks the query as ended. It reports whether the query was outstanding
 // and belonged to the current round.
-func endQuery(g *state.GroupState, v *state.ServerView, ask AskStatus) bool {
+func endQuery(g *state.GroupState, v *state.ServerView, ask QueryStatus) bool {
 	if v.Outstanding != ask.Round {
 		return false
 	}
--- a/coordination/replication/waiters.go
+++ b/coordination/replication/waiters.go
@@ -11,7 +11,7 @@
 // server's log is at or after the write. This holds after a planned switchover
 // too, because the server drops no records in it. The write may have run in a
 // later term than this VM knew; then the end of the log is in a later term too.
-func setWriteTargets(g *state.GroupState, ask AskStatus) {
+func setWriteTargets(g *state.GroupState, ask QueryStatus) {
 	v := g.View(ask.Server)
 	for i := range g.Waiters {
 		w := &g.Waiters[i]
@@ -19,7 +19,7 @@
 			continue
 		}
 		w.Target, w.TargetKnown = v.LogEnd(w.Term)
-		if w.TargetKnown && w.Alone {
+		if w.TargetKnown && w.OwnRound {
 			return
 		}
 	}
@@ -35,7 +35,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		g.Round.Settled++
+		g.Round.Resolved++
 		r.Wait = w.Kind
 		effects = append(effects, Resolve{ID: w.ID, Result: r})
 	}
@@ -128,7 +128,7 @@
 func countHolding(g *state.GroupState, grp *state.Group, p state.Point) int {
 	n := 0
 	for i := range grp.Servers {
-		if v := g.Servers[grp.Servers[i].Name]; v != nil && !v.AskedAt.IsZero() && v.Status.Holds(p) {
+		if v := g.Servers[grp.Servers[i].Name]; v != nil && !v.QueriedAt.IsZero() && v.Status.Holds(p) {
 			n++
 		}
 	}
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -24,8 +24,8 @@
 	Point          state.Point   // point that the read must cover; zero is covered by every server
 	MaxAge         time.Duration // maximum age of the data; zero means no limit
 	Excluded       string        // backend server on which this request has just failed
-	Asked          string        // replica whose position was already queried for this request
-	Spread         uint64        // varies between requests, to spread them over equal choices
+	QueriedReplica string        // replica whose position was already queried for this request
+	TieBreaker     uint64        // varies between requests, to spread them over equal choices
 	Load           func(server string) float64
 	PrimaryOnly    bool // send all reads to the primary, as a baseline for benchmarks
 }
@@ -35,9 +35,9 @@
 
 // Kinds of choices.
 const (
-	Send         Kind = iota // send the request to Server
-	AskPosition              // query the position of Server, a replica, then choose again
-	AwaitPrimary             // no usable primary is known
+	Send          Kind = iota // send the request to Server
+	QueryPosition             // query the position of Server, a replica, then choose again
+	AwaitPrimary              // no usable primary is known
 )
 
 // Choice is the result of Choose.
@@ -87,15 +87,15 @@
 			local = lessLoaded(q, local, s)
 		case covers(g, q, s.Name):
 			remote = lessLoaded(q, remote, s)
-		case sameDC && s.Name != q.Asked:
+		case sameDC && s.Name != q.QueriedReplica:
 			toQuery = lessLoaded(q, toQuery, s)
 		}
 	}
 	switch {
 	case local != nil:
 		return Choice{Kind: Send, Server: local.Name}, true
-	case toQuery != nil && q.Asked == "":
-		return Choice{Kind: AskPosition, Server: toQuery.Name}, true
+	case toQuery != nil && q.QueriedReplica == "":
+		return Choice{Kind: QueryPosition, Server: toQuery.Name}, true
 	case remote != nil:
 		return Choice{Kind: Send, Server: remote.Name}, true
 	default:
@@ -126,14 +126,14 @@
 		return true
 	}
 	const steps = 64
-	return time.Duration(q.Spread%steps)*RampUp/steps < elapsed
+	return time.Duration(q.TieBreaker%steps)*RampUp/steps < elapsed
 }
 
 // covers reports whether a replica is known to cover the point and to be recent
 // enough.
 func covers(g *state.GroupState, q Query, server string) bool {
 	v := g.View(server)
-	if v.AskedAt.IsZero() || v.Status.Role != state.Replica || !v.Status.Covers(q.Point) {
+	if v.QueriedAt.IsZero() || v.Status.Role != state.Replica || !v.Status.Covers(q.Point) {
 		return false
 	}
 	if q.MaxAge == 0 {
@@ -149,7 +149,7 @@
 		return s
 	}
 	a, b := q.Load(best.Name), q.Load(s.Name)
-	if b < a || b == a && q.Spread%2 == 1 {
+	if b < a || b == a && q.TieBreaker%2 == 1 {
 		return s
 	}
 	return best
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -39,7 +39,7 @@
 func TestChoose(t *testing.T) {
 	primary := Choice{Kind: Send, Server: "a", Primary: true, Term: 2}
 	replica := func(name string) Choice { return Choice{Kind: Send, Server: name} }
-	ask := func(name string) Choice { return Choice{Kind: AskPosition, Server: name} }
+	ask := func(name string) Choice { return Choice{Kind: QueryPosition, Server: name} }
 	tests := []struct {
 		name   string
 		change func(cfg *state.Config, g *state.GroupState, q *Query)
@@ -50,23 +50,23 @@
 		{"covered by the local replica", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 2, Position: 90} }, replica("b")},
 		{"not covered by the local replica", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 2, Position: 91} }, ask("b")},
 		{"not covered after asking", func(_ *state.Config, _ *state.GroupState, q *Query) {
-			q.Point, q.Asked = state.Point{Term: 2, Position: 91}, "b"
+			q.Point, q.QueriedReplica = state.Point{Term: 2, Position: 91}, "b"
 		}, primary},
 		{"write of an earlier term is covered by a later one", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 1, Position: 50} }, replica("b")},
 		{"replica of an earlier term covers nothing of a later one", func(_ *state.Config, _ *state.GroupState, q *Query) {
-			q.DataCentre, q.Point, q.Asked = "dc3", state.Point{Term: 2, Position: 51}, "c"
+			q.DataCentre, q.Point, q.QueriedReplica = "dc3", state.Point{Term: 2, Position: 51}, "c"
 		}, replica("b")},
 		{"token of a term that is not known here", func(_ *state.Config, _ *state.GroupState, q *Query) {
-			q.Point, q.Asked = state.Point{Term: 3, Position: 1}, "b"
+			q.Point, q.QueriedReplica = state.Point{Term: 3, Position: 1}, "b"
 		}, Choice{Kind: AwaitPrimary}},
 		{"bounded staleness, fresh enough", func(_ *state.Config, _ *state.GroupState, q *Query) {
 			q.ReplicaAllowed, q.MaxAge = false, 2*time.Second
 		}, replica("b")},
 		{"bounded staleness, too old", func(_ *state.Config, _ *state.GroupState, q *Query) {
-			q.ReplicaAllowed, q.MaxAge, q.Asked = false, 1900*time.Millisecond, "b"
+			q.ReplicaAllowed, q.MaxAge, q.QueriedReplica = false, 1900*time.Millisecond, "b"
 		}, primary},
 		{"bounded staleness, unknown age", func(_ *state.Config, _ *state.GroupState, q *Query) {
-			q.DataCentre, q.ReplicaAllowed, q.MaxAge, q.Asked = "dc3", false, time.Hour, "c"
+			q.DataCentre, q.ReplicaAllowed, q.MaxAge, q.QueriedReplica = "dc3", false, time.Hour, "c"
 		}, replica("b")},
 		{"data centre leaves", func(cfg *state.Config, _ *state.GroupState, _ *Query) {
 			cfg.DataCentres["dc2"] = &state.DataCentre{Name: "dc2", State: state.Leaving}
@@ -108,7 +108,7 @@
 	const requests = 640
 	for n := range uint64(requests) {
 		q := Query{
-			Config: cfg, Group: grp, DataCentre: "dc2", Now: now, Read: true, ReplicaAllowed: true, Spread: n,
+			Config: cfg, Group: grp, DataCentre: "dc2", Now: now, Read: true, ReplicaAllowed: true, TieBreaker: n,
 			Load: func(string) float64 { return 0 },
 		}
 		if Choose(g, q).Server == "b" {
--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -89,7 +89,7 @@
 		Deadline: s.Request.Deadline,
 		Term:     s.Term,
 		Server:   s.Server,
-		Alone:    d.Options.NoGroupCommit,
+		OwnRound: d.Options.NoGroupCommit,
 	}})
 }
 
--- a/coordination/session/check.go
+++ b/coordination/session/check.go
@@ -62,7 +62,7 @@
 func (d *Decider) answeredSince(s *state.Session, since time.Time) bool {
 	answered := false
 	d.Tables.Groups.With(d.groupOf(s), func(g *state.GroupState) {
-		answered = !g.View(s.Server).AskedAt.Before(since)
+		answered = !g.View(s.Server).QueriedAt.Before(since)
 	})
 	return answered
 }
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -240,7 +240,7 @@
 	var choice routing.Choice
 	d.Tables.Groups.With(group.Name, func(g *state.GroupState) { choice = routing.Choose(g, q) })
 	switch choice.Kind {
-	case routing.AskPosition:
+	case routing.QueryPosition:
 		return d.awaitReplicaPosition(s, q, choice.Server, now)
 	case routing.AwaitPrimary:
 		return d.awaitPrimary(s, group.Name, now)
@@ -269,8 +269,8 @@
 		Point:          point,
 		MaxAge:         maxAge,
 		Excluded:       s.Excluded,
-		Asked:          s.CoverAsked,
-		Spread:         s.ID + s.Request.Number,
+		QueriedReplica: s.CoverAsked,
+		TieBreaker:     s.ID + s.Request.Number,
 		Load:           d.Tables.Backends.Load,
 		PrimaryOnly:    d.Options.ReadsOnPrimary,
 	}
--- a/coordination/succession/succession.go
+++ b/coordination/succession/succession.go
@@ -1,8 +1,9 @@
 // Package succession decides when a group needs a new primary and selects it.
 //
 // The platform performs promotions on the order of a single VM, the failover
-// coordinator (see placement.View.Steward). Each order carries a unique fencing
-// token, so an order that is executed after a newer one has no effect.
+// coordinator (see placement.View.FailoverCoordinator). Each order carries a
+// unique fencing token, so an order that is executed after a newer one has no
+// effect.
 package succession
 
 import (
@@ -22,7 +23,7 @@
 	intervalPerGroup = 5 * time.Millisecond
 	// lostTimeout is how long all VMs must have been without a confirmation for the
 	// primary to count as lost. It exceeds the duration of the longest
-	// statements and the time in which a VM that lost its executor finds
+	// statements and the time in which a VM that lost its connection owner finds
 	// another one.
 	lostTimeout = time.Second
 	// refusedTimeout is the same for a primary that refuses connections.
@@ -38,22 +39,22 @@
 	RepeatAfter = 700 * time.Millisecond
 )
 
-// AskInterval returns the age from which the coordinator renews a confirmation of
+// QueryInterval returns the age from which the coordinator renews a confirmation of
 // leadership, for the given number of groups.
-func AskInterval(groups int) time.Duration {
+func QueryInterval(groups int) time.Duration {
 	return max(confirmationInterval, time.Duration(groups)*intervalPerGroup)
 }
 
-// Facts holds what the coordinator knows about a group.
-type Facts struct {
-	Interval time.Duration   // see AskInterval
-	Primary  *catalog.Server // most likely primary; nil if none is known
-	Leaving  bool            // Primary is being taken out of service
-	ProvenAt time.Duration   // latest leadership confirmation that any VM has
-	Failures int             // queries that failed since then
-	Refusals int             // of these, refused connections
-	Since    time.Duration   // when the coordinator began to watch the group
-	Isolated bool            // the coordinator has no contact with a majority of the VMs
+// GroupStatus holds what the coordinator knows about a group.
+type GroupStatus struct {
+	Interval     time.Duration   // see QueryInterval
+	Primary      *catalog.Server // most likely primary; nil if none is known
+	Leaving      bool            // Primary is being taken out of service
+	ConfirmedAt  time.Duration   // latest leadership confirmation that any VM has
+	Failures     int             // queries that failed since then
+	Refusals     int             // of these, refused connections
+	WatchedSince time.Duration   // when the coordinator began to watch the group
+	Isolated     bool            // the coordinator has no contact with a majority of the VMs
 	// RegisteredAt is the time of the latest registration of a new server.
 	RegisteredAt time.Duration
 	Now          time.Duration
@@ -64,25 +65,25 @@
 
 // Actions.
 const (
-	Nothing  Action = iota
-	Ask             // query the primary for a leadership confirmation
-	HandOver        // replace a leaving primary without losing commits
-	Replace         // replace a lost primary
+	Nothing      Action = iota
+	QueryPrimary        // query the primary for a leadership confirmation
+	Switchover          // replace a leaving primary without losing commits
+	Replace             // replace a lost primary
 )
 
 // Decide returns the action that is due.
-func Decide(f Facts) Action {
-	age := f.Now - max(f.ProvenAt, f.Since)
-	missing := f.Primary == nil && (f.ProvenAt != 0 || f.Now-f.RegisteredAt > registrationGrace)
-	lost := age > lostTimeout && (f.Failures >= minFailures || missing)
-	refusing := age > refusedTimeout && f.Refusals >= minFailures
+func Decide(s GroupStatus) Action {
+	age := s.Now - max(s.ConfirmedAt, s.WatchedSince)
+	missing := s.Primary == nil && (s.ConfirmedAt != 0 || s.Now-s.RegisteredAt > registrationGrace)
+	lost := age > lostTimeout && (s.Failures >= minFailures || missing)
+	refusing := age > refusedTimeout && s.Refusals >= minFailures
 	switch {
-	case (lost || refusing) && !f.Isolated:
+	case (lost || refusing) && !s.Isolated:
 		return Replace
-	case f.Leaving && age <= lostTimeout:
-		return HandOver
-	case age > f.Interval && f.Primary != nil:
-		return Ask
+	case s.Leaving && age <= lostTimeout:
+		return Switchover
+	case age > s.Interval && s.Primary != nil:
+		return QueryPrimary
 	}
 	return Nothing
 }
@@ -94,9 +95,9 @@
 	Usable   bool        // accepts new work
 }
 
-// Best returns the usable candidate with the longest log. It reports false if
-// there is none.
-func Best(candidates []Candidate) (Candidate, bool) {
+// BestCandidate returns the usable candidate with the longest log. It reports
+// false if there is none.
+func BestCandidate(candidates []Candidate) (Candidate, bool) {
 	var best Candidate
 	found := false
 	for _, c := range candidates {
--- a/node.go
+++ b/node.go
@@ -93,7 +93,7 @@
 	admission  *admission.Gate
 	frontend   *sqlfront.Server
 	directory  *directory.Directory
-	promoter   *promotion.Steward
+	promoter   *promotion.Coordinator
 	started    time.Duration
 
 	warmedUp       atomic.Bool // warmUpTime has passed since the start
@@ -112,7 +112,7 @@
 	n.executor = sqlback.New(sqlback.Options{
 		Network: o.Network, Dialect: o.Servers, Pool: n.pool, Table: n.catalog, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
 		Chosen: func(customer string, s *catalog.Server) bool {
-			vm, ok := n.links.View().Executor(customer, s)
+			vm, ok := n.links.View().ConnectionOwner(customer, s)
 			return ok && vm == o.Name
 		},
 		Reached: func(unreachable []string) {
@@ -196,7 +196,7 @@
 // isIsolated reports whether other VMs are likely to reach more primaries.
 func (n *Node) isIsolated() bool {
 	view := n.links.View()
-	if view.CutOff() {
+	if view.DataCentreCutOff() {
 		unconfirmed, _ := n.countUnconfirmed(maxConfirmationAgeCutOff)
 		return unconfirmed > 0
 	}
--- a/standin/managed/faults_test.go
+++ b/standin/managed/faults_test.go
@@ -149,7 +149,7 @@
 
 // Guards against a primary that is not replaced because the VM that orders
 // promotions is killed, and against two VMs that use the same fencing token.
-func TestStewardKilled(t *testing.T) {
+func TestFailoverCoordinatorKilled(t *testing.T) {
 	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
--- a/standin/managed/managed_test.go
+++ b/standin/managed/managed_test.go
@@ -223,9 +223,10 @@
 		before := d.Store.Calls()
 		d.Store.SetOutage("", Unavailable)
 		time.Sleep(outage)
-		// One failed call for each VM and kind until no VM is left that could reach
-		// the store; then each second the watchers' calls and those of the steward
-		// and for the list of members; and a call of each VM every five seconds.
+		// One failed call for each VM and kind until no VM is left that could reach the
+		// store; then each second the watchers' calls and those of the failover
+		// coordinator and for the list of members; and a call of each VM every five
+		// seconds.
 		limit := len(d.VMs)*kinds + int(outage.Seconds())*(kinds*perWatch+6) + len(d.VMs)*int(outage/(5*time.Second))
 		if calls := d.Store.Calls() - before; calls > limit {
 			t.Errorf("%d calls by %d VMs in %v, want %d at most", calls, len(d.VMs), outage, limit)
--- a/state/failover.go
+++ b/state/failover.go
@@ -21,9 +21,9 @@
 const (
 	ConditionUncertain Condition = iota // not enough information to act
 	ConditionHealthy
-	ConditionFailed   // the primary does not answer
-	ConditionHeadless // a majority answers, but no server can get writes acknowledged
-	ConditionStray    // the primary works, but a server has promised to a later term and cannot follow it
+	ConditionFailed          // the primary does not answer
+	ConditionNoPrimary       // a majority answers, but no server can get writes acknowledged
+	ConditionDivergedReplica // the primary works, but a server has promised to a later term and cannot follow it
 )
 
 // FailoverState is this VM's failover state of one group.
@@ -42,7 +42,7 @@
 	Adopted     map[string]ServerStatus
 	Refused     map[string]bool // servers that refuse to adopt Term
 	Following   map[string]bool // servers that have not answered a follow order yet
-	Began       time.Time       // start of the attempt
+	StartedAt   time.Time       // start of the attempt
 	StepStarted time.Time
 	StepEnds    time.Time // deadline of the step
 	MajorityAt  time.Time // when a majority had adopted Term; zero until then
--- a/state/group.go
+++ b/state/group.go
@@ -105,38 +105,38 @@
 	}
 }
 
-// Observe records the answer to a status query sent at asked. An answer older
+// Observe records the answer to a status query sent at queriedAt. An answer older
 // than the recorded one is ignored.
-func (g *GroupState) Observe(st ServerStatus, asked time.Time) {
+func (g *GroupState) Observe(st ServerStatus, queriedAt time.Time) {
 	v := g.View(st.Server)
 	// The adopted term never decreases, so it orders answers to queries that
 	// overlapped.
 	switch later := st.AdoptedTerm > v.Status.AdoptedTerm; {
-	case asked.Before(v.AskedAt) && !later:
+	case queriedAt.Before(v.QueriedAt) && !later:
 		return
-	case asked.Equal(v.AskedAt) && st.AdoptedTerm < v.Status.AdoptedTerm:
+	case queriedAt.Equal(v.QueriedAt) && st.AdoptedTerm < v.Status.AdoptedTerm:
 		return
 	}
 	v.Status = st
 	v.Missed, v.Down = 0, false
 	v.SilentSince = time.Time{}
-	if asked.After(v.AskedAt) {
-		v.AskedAt = asked
+	if queriedAt.After(v.QueriedAt) {
+		v.QueriedAt = queriedAt
 	}
-	if !asked.Before(v.FailedAt) {
+	if !queriedAt.Before(v.FailedAt) {
 		v.FailedAt = time.Time{}
 	}
 	v.recordTruncations()
-	g.observePrimary(&st, asked)
+	g.observePrimary(&st, queriedAt)
 	g.confirmSamples()
 }
 
-func (g *GroupState) observePrimary(st *ServerStatus, asked time.Time) {
+func (g *GroupState) observePrimary(st *ServerStatus, queriedAt time.Time) {
 	if !st.Leads(st.LogTerm) || st.LogTerm < g.Term {
 		return
 	}
 	g.Learn(st.LogTerm, st.Server)
-	g.addSample(PositionSample{At: asked, Term: st.LogTerm, Position: st.Position, Unconfirmed: true})
+	g.addSample(PositionSample{At: queriedAt, Term: st.LogTerm, Position: st.Position, Unconfirmed: true})
 }
 
 func (g *GroupState) addSample(s PositionSample) {
@@ -178,7 +178,7 @@
 func (g *GroupState) countNotPromisedBeyond(term uint64, since time.Time) int {
 	n := 0
 	for _, v := range g.Servers {
-		if !v.AskedAt.IsZero() && !v.AskedAt.Before(since) && v.Status.AdoptedTerm <= term {
+		if !v.QueriedAt.IsZero() && !v.QueriedAt.Before(since) && v.Status.AdoptedTerm <= term {
 			n++
 		}
 	}
@@ -188,7 +188,7 @@
 // ObserveFailure records that contacting the server failed at the given time.
 func (g *GroupState) ObserveFailure(server string, at time.Time) {
 	v := g.View(server)
-	if at.Before(v.AskedAt) {
+	if at.Before(v.QueriedAt) {
 		return
 	}
 	v.FailedAt = at
@@ -215,7 +215,7 @@
 // reached. known is false if there is no such sample.
 func (g *GroupState) Age(server string, now time.Time) (age time.Duration, known bool) {
 	v := g.Servers[server]
-	if v == nil || v.AskedAt.IsZero() {
+	if v == nil || v.QueriedAt.IsZero() {
 		return 0, false
 	}
 	for i := len(g.Samples) - 1; i >= 0; i-- {
--- a/state/position.go
+++ b/state/position.go
@@ -28,7 +28,7 @@
 	Server   string        // WaitDurable: the primary that ran the write; WaitCover: the replica
 	Point    Point         // WaitCover
 	MaxAge   time.Duration // WaitCover; zero means no limit
-	Alone    bool          // WaitDurable: serve no other write with the same round; a baseline for measurements
+	OwnRound bool          // WaitDurable: serve no other write with the same round; a baseline for measurements
 
 	// The fields below are written by package replication.
 	FirstRound  uint64 // first round that started after the waiter joined
@@ -42,6 +42,6 @@
 	Started  time.Time
 	Pending  int           // outstanding answers
 	Answered int           // received answers
-	Settled  int           // waiters completed since the round started
+	Resolved int           // waiters completed since the round started
 	Spacing  time.Duration // minimum time from Started to the start of the next round
 }
--- a/state/server.go
+++ b/state/server.go
@@ -87,31 +87,31 @@
 // ServerView is this VM's view of a backend server.
 type ServerView struct {
 	Status    ServerStatus
-	AskedAt   time.Time // sending time of the query that Status answers; zero if none
-	FailedAt  time.Time // latest failure after AskedAt; zero if none
+	QueriedAt time.Time // sending time of the query that Status answers; zero if none
+	FailedAt  time.Time // latest failure after QueriedAt; zero if none
 	ReturnsAt time.Time // when the server returned to service; its weight ramps up from then on
 
-	Round         uint64    // latest round that the server answered
-	Outstanding   uint64    // round of the unanswered status query; zero if none
-	SilentSince   time.Time // sending time of the first query after the latest answer; zero if none
-	Missed        int       // failed status queries since the latest answer
-	Down          bool      // the latest of them was refused by the host: no process listens
-	IntactFrom    uint64    // lowest term that the server was seen to lead since its latest known truncation; zero if none
-	Truncations   uint64    // as reported by the server while it led IntactFrom
-	DetachedSince time.Time // when the server was first seen not to follow the primary; zero if it follows
-	FollowAt      time.Time // earliest time of the next follow order
+	Round                uint64    // latest round that the server answered
+	Outstanding          uint64    // round of the unanswered status query; zero if none
+	SilentSince          time.Time // sending time of the first query after the latest answer; zero if none
+	Missed               int       // failed status queries since the latest answer
+	Down                 bool      // the latest of them was refused by the host: no process listens
+	UntruncatedSinceTerm uint64    // lowest term that the server was seen to lead since its latest known truncation; zero if none
+	Truncations          uint64    // as reported by the server while it led UntruncatedSinceTerm
+	DetachedSince        time.Time // when the server was first seen not to follow the primary; zero if it follows
+	FollowAt             time.Time // earliest time of the next follow order
 }
 
 // Reachable reports whether the latest contact with the server succeeded.
-func (v *ServerView) Reachable() bool { return !v.AskedAt.IsZero() && v.FailedAt.IsZero() }
+func (v *ServerView) Reachable() bool { return !v.QueriedAt.IsZero() && v.FailedAt.IsZero() }
 
 // recordTruncations records the server's number of truncations while it leads.
 func (v *ServerView) recordTruncations() {
 	st := &v.Status
-	if !st.Leads(st.LogTerm) || v.IntactFrom != 0 && v.Truncations == st.Truncations {
+	if !st.Leads(st.LogTerm) || v.UntruncatedSinceTerm != 0 && v.Truncations == st.Truncations {
 		return
 	}
-	v.IntactFrom, v.Truncations = st.LogTerm, st.Truncations
+	v.UntruncatedSinceTerm, v.Truncations = st.LogTerm, st.Truncations
 }
 
 // LogEnd returns a point at or after every write that the server has executed
@@ -120,8 +120,8 @@
 // whichever primary it follows then, these writes remain in its log.
 func (v *ServerView) LogEnd(term uint64) (p Point, known bool) {
 	st := &v.Status
-	intact := v.IntactFrom != 0 && v.IntactFrom <= term && v.Truncations == st.Truncations
-	if !intact && !st.Leads(term) {
+	untruncated := v.UntruncatedSinceTerm != 0 && v.UntruncatedSinceTerm <= term && v.Truncations == st.Truncations
+	if !untruncated && !st.Leads(term) {
 		return Point{}, false
 	}
 	return Point{Term: st.LogTerm, Position: st.Position}, true
--- a/transport/admission/admission.go
+++ b/transport/admission/admission.go
@@ -152,7 +152,7 @@
 		switch vm := ledgers[i]; {
 		case g.slowUntil[vm] > now:
 			return 2
-		case view.Near(vm):
+		case view.InSameDataCentre(vm):
 			return 0
 		}
 		return 1
--- a/transport/directory/peers.go
+++ b/transport/directory/peers.go
@@ -109,7 +109,7 @@
 			if revision <= d.docs[Kind(kind)].Revision {
 				continue
 			}
-			if view.Near(peers[i].Name) {
+			if view.InSameDataCentre(peers[i].Name) {
 				near = peers[i].Name
 			} else {
 				far = peers[i].Name
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -184,7 +184,7 @@
 	d.Quota.Release(from, origin, counted, now)
 	p.Lease = quota.Lease(d.Links.PingInterval())
 	p.Lent = d.Quota.Lend(from, origin, intersect(d.halvesOf(from, view, config), counted), p.Lease, now)
-	if len(view.VMs) > maxVMsForRemoteConfirmations && !view.Near(from) {
+	if len(view.VMs) > maxVMsForRemoteConfirmations && !view.InSameDataCentre(from) {
 		return p
 	}
 	p.Confirmations = d.latestConfirmations(config, now)
--- a/transport/fleetlink/ping.go
+++ b/transport/fleetlink/ping.go
@@ -22,7 +22,7 @@
 	fastPingPeriod = 700 * time.Millisecond
 	// silenceTimeout spans several ping intervals, because a VM that is short
 	// of CPU time answers late and every VM that is declared dead causes
-	// executors of statements to move. In a large fleet silenceIntervals ping
+	// connection owners to change. In a large fleet silenceIntervals ping
 	// intervals apply if they are longer.
 	silenceTimeout   = 800 * time.Millisecond
 	silenceIntervals = 3
--- a/transport/groups/effects.go
+++ b/transport/groups/effects.go
@@ -65,7 +65,7 @@
 func (e *executor) execute(snap snapshot, effect any) {
 	d := e.driver
 	switch effect := effect.(type) {
-	case replication.AskStatus:
+	case replication.QueryStatus:
 		e.queryStatus(snap, effect)
 	case replication.Resolve:
 		d.metrics.result(effect.Result)
@@ -93,11 +93,11 @@
 }
 
 // queryStatus sends a status query. Its result is posted as exactly one event.
-func (e *executor) queryStatus(snap snapshot, query replication.AskStatus) {
+func (e *executor) queryStatus(snap snapshot, query replication.QueryStatus) {
 	spec := callSpec{command: "status", server: query.Server, timeout: statusTimeout, invoke: invokeStatus}
 	e.startCall(snap, spec, func(st state.ServerStatus, err error, g *state.GroupState, snap snapshot, out *effects) {
 		if err != nil {
-			out.addReplication(replication.Failure(g, snap.group, query, groupctl.Down(err), snap.now))
+			out.addReplication(replication.QueryFailed(g, snap.group, query, groupctl.Down(err), snap.now))
 			return
 		}
 		out.addReplication(replication.Answer(g, snap.group, query, st, snap.now))
@@ -109,6 +109,6 @@
 func (e *executor) sendCommand(snap snapshot, c failover.Call) {
 	spec := callSpec{command: string(c.Order), server: c.Server, term: c.Term, timeout: c.Timeout, invoke: invokeCommand(c)}
 	e.startCall(snap, spec, func(st state.ServerStatus, err error, g *state.GroupState, snap snapshot, out *effects) {
-		out.addFailover(failover.Answer(snap.input(g), c, commandOutcome(st, err)))
+		out.addFailover(failover.HandleOutcome(snap.input(g), c, commandOutcome(st, err)))
 	})
 }
--- a/transport/groups/executor.go
+++ b/transport/groups/executor.go
@@ -17,9 +17,9 @@
 	queue  *pool.Queue
 	timer  *time.Timer
 
-	wake          time.Time      // when the timer fires; zero if it is stopped
-	activeCalls   map[string]int // control calls in progress, by server
-	role          failover.Part  // cached for roleInterval
+	wake          time.Time       // when the timer fires; zero if it is stopped
+	activeCalls   map[string]int  // control calls in progress, by server
+	role          failover.VMRole // cached for roleInterval
 	roleReadAt    time.Time
 	lastPromotion promotion
 }
@@ -39,13 +39,13 @@
 // snapshot is the input of a decision apart from the group's state.
 type snapshot struct {
 	now   time.Time
-	cfg   *state.Config // nil if the VM has no configuration
-	group *state.Group  // nil if the group is not configured
-	role  failover.Part // this VM's role in the group
+	cfg   *state.Config   // nil if the VM has no configuration
+	group *state.Group    // nil if the group is not configured
+	role  failover.VMRole // this VM's role in the group
 }
 
 func (snap *snapshot) input(g *state.GroupState) failover.Input {
-	return failover.Input{State: g, Config: snap.cfg, Group: snap.group, Part: snap.role, Now: snap.now}
+	return failover.Input{State: g, Config: snap.cfg, Group: snap.group, Role: snap.role, Now: snap.now}
 }
 
 // decision makes a decision under the group table's lock and adds its effects to
@@ -106,8 +106,8 @@
 }
 
 // role determines this VM's role in the group.
-func (d *Driver) role(group string) failover.Part {
-	role := failover.Part{DataCentre: d.opts.Tables.Self.DataCentre}
+func (d *Driver) role(group string) failover.VMRole {
+	role := failover.VMRole{DataCentre: d.opts.Tables.Self.DataCentre}
 	role.Rank, role.Watcher = d.opts.Rank(group)
 	role.Index, role.HasIndex = d.opts.Index()
 	return role
--- a/transport/groups/groups.go
+++ b/transport/groups/groups.go
@@ -163,7 +163,7 @@
 // respond in time. The status of the group's servers is queried immediately.
 func (d *Driver) Suspect(group, server string) {
 	d.executor(group).post(func(g *state.GroupState, snap snapshot, out *effects) {
-		out.addFailover(failover.Suspect(snap.input(g), server))
+		out.addFailover(failover.HandleConnectionFailure(snap.input(g), server))
 	})
 }
 
@@ -171,7 +171,7 @@
 // no effect. A view is dropped if the group's queue is full.
 func (d *Driver) MergeView(v peerapi.GroupView) {
 	d.executor(v.Group).tryPost(func(g *state.GroupState, snap snapshot, out *effects) {
-		out.addFailover(failover.Merge(snap.input(g), v.Term, v.Primary, v.Suspect))
+		out.addFailover(failover.HandlePeerReport(snap.input(g), v.Term, v.Primary, v.Suspect))
 	})
 }
 
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -1,5 +1,5 @@
-// Package promotion performs failovers and handovers of primaries. One VM of
-// the fleet, the failover coordinator (the steward), monitors the groups and
+// Package promotion performs failovers and switchovers of primaries. One VM of
+// the fleet, the failover coordinator, monitors the groups and
 // orders the platform to promote servers.
 package promotion
 
@@ -41,7 +41,7 @@
 	// maxOrders limits how often an order is repeated before the group is
 	// evaluated again.
 	maxOrders = 5
-	// catchUpTimeout is how long a handover waits for a replica to receive the
+	// catchUpTimeout is how long a switchover waits for a replica to receive the
 	// remaining log. Most replicas need tens of milliseconds.
 	catchUpTimeout  = 1200 * time.Millisecond
 	catchUpInterval = 25 * time.Millisecond
@@ -84,7 +84,7 @@
 	Run(vm string, w *statement.RemoteStatement, done func(statement.Result))
 }
 
-// Options holds the dependencies of a Steward.
+// Options holds the dependencies of a Coordinator.
 type Options struct {
 	Name       string
 	Platform   Platform
@@ -98,9 +98,9 @@
 	Scope      tally.Scope
 }
 
-// Steward monitors the groups while its VM is the failover coordinator. It must
+// Coordinator monitors the groups while its VM is the failover coordinator. It must
 // be created with New.
-type Steward struct {
+type Coordinator struct {
 	Options
 	started       time.Duration
 	selectedSince time.Duration // zero while another VM is selected; used by Run only
@@ -137,7 +137,7 @@
 type groupState struct {
 	watchedSince time.Duration // start of monitoring, or end of the last promotion
 	failures     int
-	refusals     int // failures that were refused connections, see succession.Facts
+	refusals     int // failures that were refused connections, see succession.GroupStatus
 	queriedAt    time.Duration
 	queryPending bool
 	promoting    bool // a promotion, or an order to keep the primary, is in progress
@@ -146,16 +146,16 @@
 	orderUnconfirmed bool
 }
 
-// New returns a Steward that is not running yet.
-func New(o Options) *Steward {
-	return &Steward{
+// New returns a Coordinator that is not running yet.
+func New(o Options) *Coordinator {
+	return &Coordinator{
 		Options: o, started: clock.Now(), orderCount: o.Scope.Counter("promotions_ordered"), steps: newSteps(o.Scope),
 		mu: lockrank.New(lockrank.Session), groups: make(map[string]*groupState),
 	}
 }
 
 // Run monitors the groups until ctx is done.
-func (s *Steward) Run(ctx context.Context) error {
+func (c *Coordinator) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -165,8 +165,8 @@
 			return g.Wait()
 		case <-ticker.C:
 		}
-		if s.selected() && s.claimDuty(ctx) {
-			s.checkGroups(ctx, g)
+		if c.selected() && c.claimDuty(ctx) {
+			c.checkGroups(ctx, g)
 		}
 	}
 }
@@ -174,143 +174,143 @@
 // selected reports whether this VM has been selected as the coordinator for
 // claimDelay. While no VM can reach the store, no VM can claim the duty, and
 // its holder keeps it.
-func (s *Steward) selected() bool {
-	view := s.View()
+func (c *Coordinator) selected() bool {
+	view := c.View()
 	if !view.StoreReached() {
-		return s.holdsDuty()
+		return c.holdsDuty()
 	}
-	if view.Steward() != s.Name {
-		if s.selectedSince != 0 {
-			s.Logger.Info("promotion: another VM is the steward.")
+	if view.FailoverCoordinator() != c.Name {
+		if c.selectedSince != 0 {
+			c.Logger.Info("promotion: another VM is the failover coordinator.")
 		}
-		s.selectedSince = 0
-		s.mu.Lock()
-		s.groups = make(map[string]*groupState)
-		s.nextToken, s.endToken = 0, 0
-		s.mu.Unlock()
+		c.selectedSince = 0
+		c.mu.Lock()
+		c.groups = make(map[string]*groupState)
+		c.nextToken, c.endToken = 0, 0
+		c.mu.Unlock()
 		return false
 	}
 	now := clock.Now()
-	if s.selectedSince == 0 {
-		s.selectedSince = now
+	if c.selectedSince == 0 {
+		c.selectedSince = now
 	}
-	return now-s.selectedSince >= claimDelay
+	return now-c.selectedSince >= claimDelay
 }
 
 // holdsDuty reports whether this VM has reserved fencing tokens left.
-func (s *Steward) holdsDuty() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.nextToken < s.endToken
+func (c *Coordinator) holdsDuty() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.nextToken < c.endToken
 }
 
 // claimDuty claims the duty unless this VM already holds it, and reports
 // whether this VM holds it.
-func (s *Steward) claimDuty(ctx context.Context) bool {
-	if s.holdsDuty() {
+func (c *Coordinator) claimDuty(ctx context.Context) bool {
+	if c.holdsDuty() {
 		return true
 	}
-	if s.Table.Current().Config == nil {
+	if c.Table.Current().Config == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	duty, err := s.Duties.ReadDuty(ctx)
+	duty, err := c.Duties.ReadDuty(ctx)
 	if err == nil {
-		duty.Holder = s.Name
+		duty.Holder = c.Name
 		first := max(duty.NextFree, 1)
 		duty.NextFree = first + tokensPerClaim
-		if err = s.Duties.WriteDuty(ctx, duty); err == nil {
-			s.mu.Lock()
-			s.nextToken, s.endToken = first, duty.NextFree
-			s.mu.Unlock()
-			s.Logger.WithFields(log.Fields{"token": first}).Info("promotion: this VM is the steward.")
+		if err = c.Duties.WriteDuty(ctx, duty); err == nil {
+			c.mu.Lock()
+			c.nextToken, c.endToken = first, duty.NextFree
+			c.mu.Unlock()
+			c.Logger.WithFields(log.Fields{"token": first}).Info("promotion: this VM is the failover coordinator.")
 			return true
 		}
 	}
-	s.Logger.WithError(err).Warn("promotion: the duty cannot be claimed.")
+	c.Logger.WithError(err).Warn("promotion: the duty cannot be claimed.")
 	// The record may have been written although no answer arrived. The tokens
 	// that it reserved remain unused.
-	s.selectedSince = clock.Now()
+	c.selectedSince = clock.Now()
 	return false
 }
 
 // nextFencingToken returns a fencing token that has not been used before.
-func (s *Steward) nextFencingToken() (uint64, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.nextToken >= s.endToken {
+func (c *Coordinator) nextFencingToken() (uint64, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.nextToken >= c.endToken {
 		return 0, false
 	}
-	s.nextToken++
-	return s.nextToken - 1, true
+	c.nextToken++
+	return c.nextToken - 1, true
 }
 
 // checkGroups evaluates each group that is used by a route.
-func (s *Steward) checkGroups(ctx context.Context, g *errgroup.Group) {
-	d := s.Table.Current()
-	check := groupCheck{deployment: d, interval: succession.AskInterval(len(d.Config.Groups)), queriesLeft: maxQueriesPerTick}
+func (c *Coordinator) checkGroups(ctx context.Context, g *errgroup.Group) {
+	d := c.Table.Current()
+	check := groupCheck{deployment: d, interval: succession.QueryInterval(len(d.Config.Groups)), queriesLeft: maxQueriesPerTick}
 	seen := make(map[string]bool)
 	for _, route := range d.Config.Routes {
 		if seen[route.Group] || len(d.GroupServers(route.Group)) == 0 {
 			continue
 		}
 		seen[route.Group] = true
-		s.checkGroup(ctx, g, &check, route.Group)
+		c.checkGroup(ctx, g, &check, route.Group)
 	}
 }
 
 // groupCheck is one evaluation of all groups.
 type groupCheck struct {
 	deployment  *catalog.Deployment
-	interval    time.Duration // see succession.AskInterval
+	interval    time.Duration // see succession.QueryInterval
 	queriesLeft int           // queries that may still be sent
 }
 
-func (s *Steward) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
+func (c *Coordinator) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
 	now, d := clock.Now(), r.deployment
-	facts := succession.Facts{Now: now, Isolated: s.View().Isolated(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
-	s.Leadership.With(group, func(l *leadership.Group) {
-		facts.Primary = l.Primary(d.GroupServers(group), now)
-		facts.ProvenAt = l.ConfirmedAt()
+	status := succession.GroupStatus{Now: now, Isolated: c.View().Isolated(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
+	c.Leadership.With(group, func(l *leadership.Group) {
+		status.Primary = l.Primary(d.GroupServers(group), now)
+		status.ConfirmedAt = l.ConfirmedAt()
 	})
-	facts.Leaving = facts.Primary != nil && !d.Usable(facts.Primary)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	gs := s.groups[group]
+	status.Leaving = status.Primary != nil && !d.Usable(status.Primary)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	gs := c.groups[group]
 	if gs == nil {
 		// watchedSince is the start of this VM rather than of its duty, because
 		// leadership confirmations reach all VMs.
-		gs = &groupState{watchedSince: s.started}
-		s.groups[group] = gs
+		gs = &groupState{watchedSince: c.started}
+		c.groups[group] = gs
 	}
 	if gs.promoting {
 		return
 	}
-	if facts.ProvenAt >= gs.queriedAt {
+	if status.ConfirmedAt >= gs.queriedAt {
 		gs.failures, gs.refusals = 0, 0
 	}
-	facts.Failures, facts.Refusals, facts.Since = gs.failures, gs.refusals, gs.watchedSince
-	switch succession.Decide(facts) {
-	case succession.Ask:
+	status.Failures, status.Refusals, status.WatchedSince = gs.failures, gs.refusals, gs.watchedSince
+	switch succession.Decide(status) {
+	case succession.QueryPrimary:
 		if !gs.queryPending && r.queriesLeft > 0 {
 			r.queriesLeft--
 			gs.queryPending, gs.queriedAt = true, now
-			s.queryPrimary(group, facts.Primary, gs)
+			c.queryPrimary(group, status.Primary, gs)
 		}
-	case succession.HandOver:
+	case succession.Switchover:
 		gs.promoting = true
-		g.Go(func() error { s.handOver(ctx, group, facts.Primary, gs); return nil })
+		g.Go(func() error { c.switchOver(ctx, group, status.Primary, gs); return nil })
 	case succession.Replace:
 		gs.promoting = true
-		s.steps[stepDetect].RecordDuration(now - facts.ProvenAt)
-		s.Logger.WithFields(log.Fields{"group": group, "proof_age_ms": (now - facts.ProvenAt).Milliseconds(), "failures": gs.failures, "refusals": gs.refusals}).
+		c.steps[stepDetect].RecordDuration(now - status.ConfirmedAt)
+		c.Logger.WithFields(log.Fields{"group": group, "proof_age_ms": (now - status.ConfirmedAt).Milliseconds(), "failures": gs.failures, "refusals": gs.refusals}).
 			Warn("promotion: the primary is lost.")
-		g.Go(func() error { s.replacePrimary(ctx, group, facts.Primary, gs); return nil })
+		g.Go(func() error { c.replacePrimary(ctx, group, status.Primary, gs); return nil })
 	default:
-		if gs.orderUnconfirmed && facts.Primary != nil && facts.ProvenAt >= gs.queriedAt {
+		if gs.orderUnconfirmed && status.Primary != nil && status.ConfirmedAt >= gs.queriedAt {
 			gs.promoting = true
-			g.Go(func() error { s.supersedeOrder(ctx, group, facts.Primary, gs); return nil })
+			g.Go(func() error { c.supersedeOrder(ctx, group, status.Primary, gs); return nil })
 		}
 	}
 }
--- a/transport/sqlfront/hop.go
+++ b/transport/sqlfront/hop.go
@@ -81,7 +81,7 @@
 	switch {
 	case vm == view.Self:
 		kind = hopOwn
-	case view.Near(vm):
+	case view.InSameDataCentre(vm):
 		kind = hopNear
 	}
 	return hop{startedAt: clock.Now(), latency: s.hopLatency[kind], span: span}
