--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -90,48 +90,51 @@
 	return remote, remote != ""
 }
 
-// Ledgers returns the VMs that account for the halves of a customer's limit. They
-// are in different data centres if VMs of two are alive, so that the loss of a data
-// centre affects at most one half. The ledger of the other half then stays where
-// it is.
-func (v *View) Ledgers(customer string) [catalog.Halves]string {
+// QuotaCoordinators returns the VMs that account for the partitions of a
+// customer's limit. They are in different data centres if VMs of two are alive,
+// so that the loss of a data centre affects at most one partition. The quota
+// coordinator of the other partition then stays where it is.
+func (v *View) QuotaCoordinators(customer string) [catalog.LimitPartitions]string {
 	dataCentres := v.rankDataCentres(customer)
-	var ledgers [catalog.Halves]string
-	for half := range ledgers {
-		ledgers[half] = v.ledger(customer, half, dataCentres)
+	var coordinators [catalog.LimitPartitions]string
+	for partition := range coordinators {
+		coordinators[partition] = v.quotaCoordinator(customer, partition, dataCentres)
 	}
-	return ledgers
+	return coordinators
 }
 
-// ledger returns the VM that accounts for one half of the customer's limit, given
-// the customer's ranking of the data centres.
-func (v *View) ledger(customer string, half int, dataCentres []string) string {
-	key := "ledger|" + strconv.Itoa(half) + "|" + customer
+// quotaCoordinator returns the VM that accounts for one partition of the
+// customer's limit, given the customer's ranking of the data centres.
+func (v *View) quotaCoordinator(customer string, partition int, dataCentres []string) string {
+	key := "ledger|" + strconv.Itoa(partition) + "|" + customer
 	inDataCentre := func(i int) string {
 		if i >= len(dataCentres) {
 			return ""
 		}
 		return v.bestVM(key, func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == dataCentres[i] })
 	}
-	// The preferred data centre of this half comes first, then those that neither
-	// half prefers, then that of the other half.
-	if vm := inDataCentre(half); vm != "" {
+	// The preferred data centre of this partition comes first, then those that neither
+	// partition prefers, then that of the other partition.
+	if vm := inDataCentre(partition); vm != "" {
 		return vm
 	}
-	for i := catalog.Halves; i < len(dataCentres); i++ {
+	for i := catalog.LimitPartitions; i < len(dataCentres); i++ {
 		if vm := inDataCentre(i); vm != "" {
 			return vm
 		}
 	}
-	if vm := inDataCentre(catalog.Halves - 1 - half); vm != "" {
+	if vm := inDataCentre(catalog.LimitPartitions - 1 - partition); vm != "" {
 		return vm
 	}
 	return v.Self
 }
 
-// Half returns the half whose ledger this VM asks first if neither is closer. The
-// choice spreads the VMs of a data centre over both halves.
-func (v *View) Half() uint8 { return uint8(lease.Score("half", v.Self) % catalog.Halves) }
+// PreferredPartition returns the partition whose quota coordinator this VM asks
+// first if neither is closer. The choice spreads the VMs of a data centre over
+// both partitions.
+func (v *View) PreferredPartition() uint8 {
+	return uint8(lease.Score("half", v.Self) % catalog.LimitPartitions)
+}
 
 // rankDataCentres returns the data centres in descending order of their
 // rendezvous score for the key.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -55,45 +55,45 @@
 	before := make(map[string]string)
 	for i := range 700 {
 		key := fmt.Sprint("customer-", i)
-		before[key] = v.Ledgers(key)[0]
+		before[key] = v.QuotaCoordinators(key)[0]
 		count[before[key]]++
 	}
 	if n := count["vm-0-0"]; n < 230 || n > 370 {
 		t.Errorf("a VM of weight 3 of 7 has %d of 700 keys", n)
 	}
 	v.VMs[4].Alive = false
-	for key, ledger := range before {
-		if now := v.Ledgers(key)[0]; now != ledger && ledger != "vm-0-4" {
-			t.Errorf("%s moved from %s to %s", key, ledger, now)
+	for key, coordinator := range before {
+		if now := v.QuotaCoordinators(key)[0]; now != coordinator && coordinator != "vm-0-4" {
+			t.Errorf("%s moved from %s to %s", key, coordinator, now)
 		}
 	}
 }
 
-// Guards against losing both halves of a limit with one data centre, and against
-// moving the other half when one is lost.
-func TestLedgersAreInTwoDataCentres(t *testing.T) {
+// Guards against losing both partitions of a limit with one data centre, and
+// against moving the other partition when one is lost.
+func TestQuotaCoordinatorsAreInTwoDataCentres(t *testing.T) {
 	v := newView(3, 2)
 	dc := func(name string) string { return v.vm(name).DataCentre }
 	for i := range 50 {
 		key := fmt.Sprint("customer-", i)
-		before := v.Ledgers(key)
+		before := v.QuotaCoordinators(key)
 		if dc(before[0]) == dc(before[1]) {
-			t.Fatalf("%s: both ledgers are in %s", key, dc(before[0]))
+			t.Fatalf("%s: both quota coordinators are in %s", key, dc(before[0]))
 		}
 		for lost := range before {
 			for j := range v.VMs {
 				v.VMs[j].Alive = v.VMs[j].DataCentre != dc(before[lost])
 			}
-			after := v.Ledgers(key)
+			after := v.QuotaCoordinators(key)
 			if after[1-lost] != before[1-lost] || dc(after[0]) == dc(after[1]) || dc(after[lost]) == dc(before[lost]) {
-				t.Errorf("%s: ledgers %v after %s was lost, before %v", key, after, dc(before[lost]), before)
+				t.Errorf("%s: quota coordinators %v after %s was lost, before %v", key, after, dc(before[lost]), before)
 			}
 		}
 		for j := range v.VMs {
 			v.VMs[j].Alive = v.VMs[j].DataCentre == dc(before[0])
 		}
-		if after := v.Ledgers(key); dc(after[0]) != dc(before[0]) || dc(after[1]) != dc(before[0]) {
-			t.Errorf("%s: ledgers %v although only %s is alive", key, after, dc(before[0]))
+		if after := v.QuotaCoordinators(key); dc(after[0]) != dc(before[0]) || dc(after[1]) != dc(before[0]) {
+			t.Errorf("%s: quota coordinators %v although only %s is alive", key, after, dc(before[0]))
 		}
 		for j := range v.VMs {
 			v.VMs[j].Alive = true
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,15 +1,16 @@
 // Package quota enforces customers' rate limits across all VMs.
 //
-// A customer's limit consists of two halves, which are counted independently so
-// that the loss of one VM leaves the other half available. For each half one
-// VM, the ledger, grants tokens to the VMs that accept the customer's clients.
-// Each VM owns an equal share of every half's rate and burst and lends it for a
-// limited time to the VM that it considers the ledger. A ledger spends its own
-// share and the shares lent to it, so two VMs that both act as the ledger never
-// spend the same share. A VM that is partitioned from all others is its own
-// ledger, with its own share. A loan ends when its time has passed, when the
-// link on which the ledger requested it is closed, or when the ledger reports
-// that it no longer counts the half.
+// A customer's limit consists of two partitions, which are counted independently
+// so that the loss of one VM leaves the other partition available. For each
+// partition one VM, the quota coordinator, grants tokens to the VMs that accept
+// the customer's clients. Each VM owns an equal share of every partition's rate
+// and burst and lends it for a limited time to the VM that it considers the quota
+// coordinator. A quota coordinator spends its own share and the shares lent to
+// it, so two VMs that both act as the quota coordinator never spend the same
+// share. A VM that is cut off from all others is its own quota coordinator, with
+// its own share. A loan ends when its time has passed, when the link on which the
+// quota coordinator requested it is closed, or when the quota coordinator reports
+// that it no longer counts the partition.
 //
 // Times are readings of one clock of this VM that keeps running while
 // the VM is suspended.
@@ -25,25 +26,25 @@
 )
 
 const (
-	// minLease is the duration of a loan in a small fleet. The ledger counts it
-	// from sending the request, the lender from answering, so the loan ends
-	// first at the ledger. It bounds how long nothing is granted after a ledger
-	// is lost.
-	minLease = time.Second
-	// leasePingIntervals is the duration of a loan in intervals between the
-	// requests of a ledger.
-	leasePingIntervals = 2.5
+	// minLoanDuration is the duration of a loan in a small fleet. The quota
+	// coordinator counts it from sending the request, the lender from answering, so
+	// the loan ends first at the quota coordinator. It bounds how long nothing is
+	// granted after a quota coordinator is lost.
+	minLoanDuration = time.Second
+	// loanPingIntervals is the duration of a loan in intervals between the
+	// requests of a quota coordinator.
+	loanPingIntervals = 2.5
 	// maxCacheAge is how long granted tokens may be cached. Tokens spent later
-	// than they were granted count in a rate window that the ledger does not
+	// than they were granted count in a rate window that the quota coordinator does not
 	// see.
 	maxCacheAge = 500 * time.Millisecond
 	// prefetchPeriod is the period whose expected demand is requested in
 	// advance.
 	prefetchPeriod = 200 * time.Millisecond
-	// initialTokens plus initialBurstFraction of the burst is what new ledgers
-	// of both halves may grant beyond what their shares earn, once they have
-	// all shares. The requirements allow 10 % above the limit in a 5 s window,
-	// which covers three new pairs of ledgers in a window.
+	// initialTokens plus initialBurstFraction of the burst is what new quota
+	// coordinators of both partitions may grant beyond what their shares earn, once
+	// they have all shares. The requirements allow 10 % above the limit in a 5 s
+	// window, which covers three new pairs of quota coordinators in a window.
 	initialTokens        = 5.0
 	initialBurstFraction = 0.2
 	// demandWeight is the weight of the latest interval in the moving average
@@ -53,7 +54,7 @@
 	demandInterval = 100 * time.Millisecond
 )
 
-// account is the token bucket of a half whose ledger is this VM.
+// account is the token bucket of a partition whose quota coordinator is this VM.
 type account struct {
 	tokens   float64
 	filledAt time.Duration            // when tokens was last refilled
@@ -66,11 +67,11 @@
 // borrowedShare is the period for which another VM lends its share to this one.
 type borrowedShare struct{ since, until time.Duration }
 
-// loan is a loan of this VM's own share of a half.
+// loan is a loan of this VM's own share of a partition.
 type loan struct {
-	ledger string
-	link   string // on which the ledger requested it
-	until  time.Duration
+	coordinator string
+	link        string // on which the quota coordinator requested it
+	until       time.Duration
 }
 
 // tokenCache holds the tokens that were granted to this VM and are not spent
@@ -89,101 +90,102 @@
 type Table struct {
 	mu           lockrank.Mutex // guards the fields below
 	ownShareFrom time.Duration  // when this VM may first spend shares of its own
-	accounts     map[catalog.Half]*account
-	loans        map[catalog.Half]loan
+	accounts     map[catalog.LimitPartition]*account
+	loans        map[catalog.LimitPartition]loan
 	caches       map[string]*tokenCache // by customer
 }
 
 // NewTable returns the table of a VM that started at now. The shares of its
-// previous run may still be lent, so it spends its own only after minLease, or
-// once it is in contact with all VMs. Lending them again to the same ledger is
-// safe at once.
+// previous run may still be lent, so it spends its own only after
+// minLoanDuration, or once it is in contact with all VMs. Lending them again to
+// the same quota coordinator is safe at once.
 func NewTable(now time.Duration) *Table {
 	return &Table{
-		mu: lockrank.New(lockrank.Shares), ownShareFrom: now + minLease,
-		accounts: make(map[catalog.Half]*account), loans: make(map[catalog.Half]loan), caches: make(map[string]*tokenCache),
+		mu: lockrank.New(lockrank.Shares), ownShareFrom: now + minLoanDuration,
+		accounts: make(map[catalog.LimitPartition]*account), loans: make(map[catalog.LimitPartition]loan), caches: make(map[string]*tokenCache),
 	}
 }
 
-// Joined records that this VM is in contact with all VMs. None of them still
-// counts loans of the previous run, because the links of that run are closed.
-func (t *Table) Joined(now time.Duration) {
+// AllVMsReachable records that this VM is in contact with all VMs. None of them
+// still counts loans of the previous run, because the links of that run are
+// closed.
+func (t *Table) AllVMsReachable(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ownShareFrom = min(t.ownShareFrom, now)
 }
 
-// Lease returns the duration of loans to ledgers that send a request every
-// interval.
-func Lease(interval time.Duration) time.Duration {
-	return max(minLease, time.Duration(leasePingIntervals*float64(interval)))
+// LoanDuration returns the duration of loans to quota coordinators that send a
+// request every interval.
+func LoanDuration(interval time.Duration) time.Duration {
+	return max(minLoanDuration, time.Duration(loanPingIntervals*float64(interval)))
 }
 
-// Lend lends this VM's shares to the requesting ledger for the given lease and
-// returns the halves whose share was lent. candidates are the halves of which
-// this VM considers the requester to be the ledger. A share that is lent to
-// another VM stays there until its loan ends. link identifies the link of the
-// request.
-func (t *Table) Lend(ledger, link string, candidates []catalog.Half, lease, now time.Duration) []catalog.Half {
+// Lend lends this VM's shares to the requesting quota coordinator for the given
+// duration and returns the partitions whose share was lent. candidates are the
+// partitions of which this VM considers the requester to be the quota
+// coordinator. A share that is lent to another VM stays there until its loan
+// ends. link identifies the link of the request.
+func (t *Table) Lend(coordinator, link string, candidates []catalog.LimitPartition, duration, now time.Duration) []catalog.LimitPartition {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var lent []catalog.Half
-	for _, h := range candidates {
-		l := t.loans[h]
-		if l.ledger != ledger && l.until > now {
+	var lent []catalog.LimitPartition
+	for _, p := range candidates {
+		l := t.loans[p]
+		if l.coordinator != coordinator && l.until > now {
 			continue
 		}
-		t.loans[h] = loan{ledger: ledger, link: link, until: now + lease}
-		lent = append(lent, h)
+		t.loans[p] = loan{coordinator: coordinator, link: link, until: now + duration}
+		lent = append(lent, p)
 	}
 	return lent
 }
 
-// Release ends the loans granted to the ledger on the link, except those of the
-// halves in kept, which the ledger still counts. The ledger has already stopped
-// spending the others.
-func (t *Table) Release(ledger, link string, kept []catalog.Half, now time.Duration) {
-	t.endLoans(now, func(h catalog.Half, l loan) bool {
-		return l.ledger == ledger && l.link == link && !slices.Contains(kept, h)
+// Release ends the loans granted to the quota coordinator on the link, except
+// those of the partitions in kept, which the quota coordinator still counts. The
+// quota coordinator has already stopped spending the others.
+func (t *Table) Release(coordinator, link string, kept []catalog.LimitPartition, now time.Duration) {
+	t.endLoans(now, func(p catalog.LimitPartition, l loan) bool {
+		return l.coordinator == coordinator && l.link == link && !slices.Contains(kept, p)
 	})
 }
 
-// Keep drops the shares borrowed from other VMs, except those of the halves in
-// kept. It must be called before the lenders are told, so that a share is not
-// spent twice.
-func (t *Table) Keep(kept []catalog.Half) {
+// RetainBorrowed drops the shares borrowed from other VMs, except those of the
+// partitions in kept. It must be called before the lenders are told, so that a
+// share is not spent twice.
+func (t *Table) RetainBorrowed(kept []catalog.LimitPartition) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for h, a := range t.accounts {
-		if len(a.borrowed) > 0 && !slices.Contains(kept, h) {
+	for p, a := range t.accounts {
+		if len(a.borrowed) > 0 && !slices.Contains(kept, p) {
 			clear(a.borrowed)
 		}
 	}
 }
 
-// LinkClosed ends the loans granted on the link. The ledger closed the link, or
-// notices with its next request that it is closed, and then stops counting
-// these loans. Otherwise its customers would be granted nothing until the loans
-// expire.
+// LinkClosed ends the loans granted on the link. The quota coordinator closed the
+// link, or notices with its next request that it is closed, and then stops
+// counting these loans. Otherwise its customers would be granted nothing until
+// the loans expire.
 func (t *Table) LinkClosed(link string, now time.Duration) {
-	t.endLoans(now, func(_ catalog.Half, l loan) bool { return l.link == link })
+	t.endLoans(now, func(_ catalog.LimitPartition, l loan) bool { return l.link == link })
 }
 
 // endLoans ends the loans for which match returns true. It records the time of
 // the end, since the share earns tokens at this VM from then on.
-func (t *Table) endLoans(now time.Duration, match func(h catalog.Half, l loan) bool) {
+func (t *Table) endLoans(now time.Duration, match func(p catalog.LimitPartition, l loan) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for h, l := range t.loans {
-		if l.until > now && match(h, l) {
+	for p, l := range t.loans {
+		if l.until > now && match(p, l) {
 			l.until = now
-			t.loans[h] = l
+			t.loans[p] = l
 		}
 	}
 }
 
-// LenderLost drops the shares borrowed from a lender whose link is closed.
-func (t *Table) LenderLost(lender string) {
+// DropLender drops the shares borrowed from a lender whose link is closed.
+func (t *Table) DropLender(lender string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range t.accounts {
@@ -191,37 +193,37 @@
 	}
 }
 
-// Receive records the shares that a lender lent for the lease in answer to a
+// Receive records the shares that a lender lent for the duration in answer to a
 // request sent at requestedAt.
-func (t *Table) Receive(lender string, halves []catalog.Half, lease, requestedAt time.Duration) {
+func (t *Table) Receive(lender string, partitions []catalog.LimitPartition, duration, requestedAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, h := range halves {
-		loans := t.account(h).borrowed
+	for _, p := range partitions {
+		loans := t.account(p).borrowed
 		l, known := loans[lender]
 		if !known || l.until < requestedAt {
 			l.since = requestedAt
 		}
-		l.until = max(l.until, requestedAt+lease)
+		l.until = max(l.until, requestedAt+duration)
 		loans[lender] = l
 	}
 }
 
-// Take grants up to wanted tokens of a half of a customer's limit, as the
-// ledger of the half. The half is divided into one equal share for each of
-// members VMs.
-func (t *Table) Take(c *catalog.Customer, half uint8, members, wanted int, now time.Duration) int {
+// GrantTokens grants up to wanted tokens of a partition of a customer's limit, as
+// the quota coordinator of the partition. The partition is divided into one equal
+// share for each of members VMs.
+func (t *Table) GrantTokens(c *catalog.Customer, index uint8, members, wanted int, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := catalog.Half{Customer: c.Name, Index: half}
-	a := t.account(h)
-	rate, burst := c.Rate/catalog.Halves, c.Burst/catalog.Halves
-	s := t.spendableShares(h, a, now)
+	p := catalog.LimitPartition{Customer: c.Name, Index: index}
+	a := t.account(p)
+	rate, burst := c.Rate/catalog.LimitPartitions, c.Burst/catalog.LimitPartitions
+	s := t.spendableShares(p, a, now)
 	if a.filledAt == 0 {
 		s.earned = 0
 	}
-	share := 1 / float64(max(members, 1)) // of the half
-	initial := initialTokens/catalog.Halves + initialBurstFraction*burst
+	share := 1 / float64(max(members, 1)) // of the partition
+	initial := initialTokens/catalog.LimitPartitions + initialBurstFraction*burst
 	a.tokens += rate*min(s.earned.Seconds()*share, (now-a.filledAt).Seconds()) + initial*float64(s.credits)*share
 	a.tokens = min(a.tokens, max(burst*min(1, float64(s.count)*share), 1))
 	a.filledAt = now
@@ -230,28 +232,28 @@
 	return granted
 }
 
-func (t *Table) account(h catalog.Half) *account {
-	a := t.accounts[h]
+func (t *Table) account(p catalog.LimitPartition) *account {
+	a := t.accounts[p]
 	if a == nil {
 		a = &account{borrowed: make(map[string]borrowedShare), credited: make(map[string]bool)}
-		t.accounts[h] = a
+		t.accounts[p] = a
 	}
 	return a
 }
 
-// spendableShares describes the shares that a ledger may spend.
+// spendableShares describes the shares that a quota coordinator may spend.
 type spendableShares struct {
 	count   int
 	credits int // shares that the account has for the first time
 	// earned is the sum, over the shares, of the time since the last refill
-	// during which the ledger had the share.
+	// during which the quota coordinator had the share.
 	earned time.Duration
 }
 
-// spendableShares returns the shares that the ledger may spend now. The time
-// for which a share was lent elsewhere does not count, because its tokens were
-// spent there.
-func (t *Table) spendableShares(h catalog.Half, a *account, now time.Duration) spendableShares {
+// spendableShares returns the shares that the quota coordinator may spend now.
+// The time for which a share was lent elsewhere does not count, because its
+// tokens were spent there.
+func (t *Table) spendableShares(p catalog.LimitPartition, a *account, now time.Duration) spendableShares {
 	var s spendableShares
 	include := func(lender string) {
 		s.count++
@@ -268,7 +270,7 @@
 			delete(a.borrowed, lender)
 		}
 	}
-	own := max(t.ownShareFrom, t.loans[h].until) // end of the latest loan of this VM's own share
+	own := max(t.ownShareFrom, t.loans[p].until) // end of the latest loan of this VM's own share
 	if own <= now {
 		include("")
 		s.earned += now - max(own, a.filledAt)
@@ -276,8 +278,8 @@
 	return s
 }
 
-// Wait returns how long a customer at its limit waits for one token.
-func Wait(c *catalog.Customer) time.Duration {
+// TokenInterval returns how long a customer at its limit waits for one token.
+func TokenInterval(c *catalog.Customer) time.Duration {
 	if c.Rate <= 0 {
 		return time.Second
 	}
@@ -287,11 +289,11 @@
 // Admission is the result of Admit.
 type Admission struct {
 	Admitted bool
-	Ask      int // tokens to request from the ledgers; zero if a request is outstanding
+	Request  int // tokens to request from the quota coordinators; zero if a request is outstanding
 }
 
 // Admit spends a cached token for one operation. An operation that is not
-// admitted waits for the answer to the request; see Granted.
+// admitted waits for the answer to the request; see AddGranted.
 func (t *Table) Admit(customer string, now time.Duration) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -310,14 +312,14 @@
 	prefetch := int(s.demand * prefetchPeriod.Seconds())
 	if s.requested == 0 && (s.waiting > 0 || s.tokens < prefetch/2) {
 		s.requested = s.waiting + prefetch
-		a.Ask = s.requested
+		a.Request = s.requested
 	}
 	return a
 }
 
-// Granted records the ledgers' answer and returns how many of the waiting
-// operations are admitted, oldest first.
-func (t *Table) Granted(customer string, granted int, now time.Duration) int {
+// AddGranted records the quota coordinators' answer and returns how many of the
+// waiting operations are admitted, oldest first.
+func (t *Table) AddGranted(customer string, granted int, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.cache(customer)
@@ -329,9 +331,9 @@
 	return admitted
 }
 
-// GrantedLate records tokens from a ledger that answered after the request had
-// been completed without it.
-func (t *Table) GrantedLate(customer string, granted int, now time.Duration) {
+// AddLateGranted records tokens from a quota coordinator that answered after the
+// request had been completed without it.
+func (t *Table) AddLateGranted(customer string, granted int, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cache(customer).add(granted, now)
@@ -354,9 +356,9 @@
 	t.cache(customer).waiting -= n
 }
 
-// AskAgain returns how many tokens to request for operations that wait while no
+// RetryRequest returns how many tokens to request for operations that wait while no
 // request is outstanding.
-func (t *Table) AskAgain(customer string) int {
+func (t *Table) RetryRequest(customer string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.cache(customer)
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -7,13 +7,13 @@
 	"github.com/chestnutdyke/chestnutdyke/state/catalog"
 )
 
-// customer has two halves of 100 operations per second with a burst of 50.
+// customer has two partitions of 100 operations per second with a burst of 50.
 var customer = &catalog.Customer{Name: "c", Rate: 200, Burst: 100}
 
-func halves(customers ...string) []catalog.Half {
-	var all []catalog.Half
+func partitions(customers ...string) []catalog.LimitPartition {
+	var all []catalog.LimitPartition
 	for _, c := range customers {
-		all = append(all, catalog.Half{Customer: c})
+		all = append(all, catalog.LimitPartition{Customer: c})
 	}
 	return all
 }
@@ -21,44 +21,44 @@
 // afterStart is a time at which a new VM may spend its own shares.
 const afterStart = time.Minute
 
-// Guards against a share that two ledgers spend at once: when a lender
-// considers another VM the ledger, it must not lend to it before the old loan
-// has ended.
+// Guards against a share that two quota coordinators spend at once: when a lender
+// considers another VM the quota coordinator, it must not lend to it before the
+// old loan has ended.
 func TestShareIsLentOnce(t *testing.T) {
 	lender := NewTable(0)
-	if got := lender.Lend("l1", "1", halves("c"), minLease, afterStart); len(got) != 1 {
+	if got := lender.Lend("l1", "1", partitions("c"), minLoanDuration, afterStart); len(got) != 1 {
 		t.Fatalf("lent %v", got)
 	}
-	if got := lender.Lend("l2", "2", halves("c"), minLease, afterStart+minLease/2); len(got) != 0 {
-		t.Errorf("lent to two ledgers: %v", got)
+	if got := lender.Lend("l2", "2", partitions("c"), minLoanDuration, afterStart+minLoanDuration/2); len(got) != 0 {
+		t.Errorf("lent to two quota coordinators: %v", got)
 	}
-	if got := lender.Lend("l1", "1", halves("c"), minLease, afterStart+minLease/2); len(got) != 1 {
-		t.Errorf("the ledger did not get an extension: %v", got)
+	if got := lender.Lend("l1", "1", partitions("c"), minLoanDuration, afterStart+minLoanDuration/2); len(got) != 1 {
+		t.Errorf("the quota coordinator did not get an extension: %v", got)
 	}
-	if got := lender.Lend("l2", "2", halves("c"), minLease, afterStart+minLease/2+minLease); len(got) != 1 {
+	if got := lender.Lend("l2", "2", partitions("c"), minLoanDuration, afterStart+minLoanDuration/2+minLoanDuration); len(got) != 1 {
 		t.Errorf("not lent after the loan expired: %v", got)
 	}
-	// The lender is its own ledger while its share is lent.
-	if got := lender.Take(customer, 0, 1, 100, afterStart+2*minLease); got > initialTokens {
+	// The lender is its own quota coordinator while its share is lent.
+	if got := lender.GrantTokens(customer, 0, 1, 100, afterStart+2*minLoanDuration); got > initialTokens {
 		t.Errorf("%d tokens granted of a lent share", got)
 	}
 }
 
-// Guards against a ledger that spends expired loans, and against a loan that is
-// counted from the arrival of the answer.
+// Guards against a quota coordinator that spends expired loans, and against a
+// loan that is counted from the arrival of the answer.
 func TestLoansEnd(t *testing.T) {
-	ledger := NewTable(0)
-	take := func(now time.Duration) int { return ledger.Take(customer, 0, 4, 1000, now) }
+	coordinator := NewTable(0)
+	take := func(now time.Duration) int { return coordinator.GrantTokens(customer, 0, 4, 1000, now) }
 	take(afterStart) // creates the account
-	ledger.Receive("a", halves("c"), minLease, afterStart)
-	ledger.Receive("b", halves("c"), minLease, afterStart)
+	coordinator.Receive("a", partitions("c"), minLoanDuration, afterStart)
+	coordinator.Receive("b", partitions("c"), minLoanDuration, afterStart)
 	// Three of four shares of 100 per second for half a second.
-	if got := take(afterStart + minLease/2); got < 35 || got > 38 {
+	if got := take(afterStart + minLoanDuration/2); got < 35 || got > 38 {
 		t.Errorf("%d tokens with three shares", got)
 	}
-	take(afterStart + minLease)
+	take(afterStart + minLoanDuration)
 	// Only its own share.
-	if got := take(afterStart + 2*minLease); got > 13 {
+	if got := take(afterStart + 2*minLoanDuration); got > 13 {
 		t.Errorf("%d tokens after the loans expired", got)
 	}
 }
@@ -66,42 +66,44 @@
 // Guards against a restarted VM that spends a share lent by its previous run.
 func TestNewVMSpendsNothingOfItsOwn(t *testing.T) {
 	table := NewTable(afterStart)
-	table.Take(customer, 0, 1, 1000, afterStart)
-	if got := table.Take(customer, 0, 1, 1000, afterStart+minLease*9/10); got > 0 {
+	table.GrantTokens(customer, 0, 1, 1000, afterStart)
+	if got := table.GrantTokens(customer, 0, 1, 1000, afterStart+minLoanDuration*9/10); got > 0 {
 		t.Errorf("%d tokens during loans of the previous run", got)
 	}
-	if got := table.Take(customer, 0, 1, 1000, afterStart+3*minLease); got == 0 {
+	if got := table.GrantTokens(customer, 0, 1, 1000, afterStart+3*minLoanDuration); got == 0 {
 		t.Error("no tokens after loans of the previous run expired")
 	}
 }
 
-// Guards against a VM that spends nothing of its own for a second although it
-// is in contact with all others, so that no ledger counts loans of its previous
-// run. After a restart of the fleet all operations were refused for that time.
+// Guards against a VM that spends nothing of its own for a second although it is
+// in contact with all others, so that no quota coordinator counts loans of its
+// previous run. After a restart of the fleet all operations were refused for that
+// time.
 func TestJoinedVMSpendsItsShare(t *testing.T) {
 	table := NewTable(afterStart)
-	table.Joined(afterStart + 100*time.Millisecond)
-	if got := table.Take(customer, 0, 1, 1000, afterStart+100*time.Millisecond); got == 0 {
-		t.Error("a new ledger with all shares grants nothing")
+	table.AllVMsReachable(afterStart + 100*time.Millisecond)
+	if got := table.GrantTokens(customer, 0, 1, 1000, afterStart+100*time.Millisecond); got == 0 {
+		t.Error("a new quota coordinator with all shares grants nothing")
 	}
 	// 100 per second for 100 ms.
-	if got := table.Take(customer, 0, 1, 1000, afterStart+200*time.Millisecond); got < 9 || got > 10 {
+	if got := table.GrantTokens(customer, 0, 1, 1000, afterStart+200*time.Millisecond); got < 9 || got > 10 {
 		t.Errorf("%d tokens earned in 100 ms", got)
 	}
 }
 
-// Guards against a new ledger that grants initial tokens for a share each time
-// it is lent again, and against shares that arrive one by one and add none.
-func TestNewLedgerGrantsOncePerShare(t *testing.T) {
+// Guards against a new quota coordinator that grants initial tokens for a share
+// each time it is lent again, and against shares that arrive one by one and add
+// none.
+func TestNewQuotaCoordinatorGrantsOncePerShare(t *testing.T) {
 	const members = 4
-	initial := (initialTokens + initialBurstFraction*customer.Burst) / catalog.Halves
-	ledger := NewTable(afterStart)
+	initial := (initialTokens + initialBurstFraction*customer.Burst) / catalog.LimitPartitions
+	coordinator := NewTable(afterStart)
 	granted, now := 0, afterStart
 	for range 3 {
 		for _, lender := range []string{"a", "b", "c"} {
-			ledger.Receive(lender, halves("c"), minLease, now)
-			granted += ledger.Take(customer, 0, members, 1000, now)
-			ledger.LenderLost(lender)
+			coordinator.Receive(lender, partitions("c"), minLoanDuration, now)
+			granted += coordinator.GrantTokens(customer, 0, members, 1000, now)
+			coordinator.DropLender(lender)
 		}
 	}
 	if limit := int(initial * 3 / members); granted > limit || granted < limit-1 {
@@ -109,16 +111,16 @@
 	}
 }
 
-// Guards against halves that share their tokens or loans.
-func TestHalvesAreApart(t *testing.T) {
+// Guards against partitions that share their tokens or loans.
+func TestPartitionsAreApart(t *testing.T) {
 	table := NewTable(0)
-	take := func(half uint8, now time.Duration) int { return table.Take(customer, half, 1, 1000, now) }
+	take := func(index uint8, now time.Duration) int { return table.GrantTokens(customer, index, 1, 1000, now) }
 	take(0, afterStart)
 	take(1, afterStart)
-	table.Lend("l", "1", halves("c"), time.Minute, afterStart) // half 0
+	table.Lend("l", "1", partitions("c"), time.Minute, afterStart) // partition 0
 	now := afterStart + 400*time.Millisecond
 	if lent, kept := take(0, now), take(1, now); lent > 0 || kept < 39 || kept > 40 {
-		t.Errorf("%d tokens of the half that is lent, %d of the other one, which earns 100 per second", lent, kept)
+		t.Errorf("%d tokens of the partition that is lent, %d of the other one, which earns 100 per second", lent, kept)
 	}
 }
 
@@ -126,8 +128,8 @@
 func TestLateGrant(t *testing.T) {
 	table := NewTable(0)
 	table.Admit("c", afterStart)
-	table.GrantedLate("c", 2, afterStart)
-	if got := table.Granted("c", 0, afterStart); got != 1 {
+	table.AddLateGranted("c", 2, afterStart)
+	if got := table.AddGranted("c", 0, afterStart); got != 1 {
 		t.Errorf("%d operations admitted by tokens of a late answer", got)
 	}
 	if a := table.Admit("c", afterStart+maxCacheAge); a.Admitted {
@@ -138,10 +140,10 @@
 // Guards against a bucket that holds more tokens than a lowered burst.
 func TestLoweredLimit(t *testing.T) {
 	table := NewTable(0)
-	table.Take(customer, 0, 1, 0, afterStart)
-	table.Take(customer, 0, 1, 0, afterStart+time.Minute) // fills the bucket
+	table.GrantTokens(customer, 0, 1, 0, afterStart)
+	table.GrantTokens(customer, 0, 1, 0, afterStart+time.Minute) // fills the bucket
 	lowered := &catalog.Customer{Name: "c", Rate: 20, Burst: 10}
-	if got := table.Take(lowered, 0, 1, 1000, afterStart+time.Minute+time.Millisecond); got > 5 {
+	if got := table.GrantTokens(lowered, 0, 1, 1000, afterStart+time.Minute+time.Millisecond); got > 5 {
 		t.Errorf("%d tokens at a burst of 5", got)
 	}
 }
@@ -150,57 +152,58 @@
 func TestAdmission(t *testing.T) {
 	table := NewTable(0)
 	a := table.Admit("c", afterStart)
-	if a.Admitted || a.Ask != 1 {
+	if a.Admitted || a.Request != 1 {
 		t.Fatalf("first operation: %+v", a)
 	}
-	if b := table.Admit("c", afterStart); b.Admitted || b.Ask != 0 {
+	if b := table.Admit("c", afterStart); b.Admitted || b.Request != 0 {
 		t.Errorf("second operation while a request is outstanding: %+v", b)
 	}
-	if got := table.Granted("c", 1, afterStart); got != 1 {
+	if got := table.AddGranted("c", 1, afterStart); got != 1 {
 		t.Errorf("%d operations admitted by one token", got)
 	}
-	if got := table.AskAgain("c"); got != 1 {
+	if got := table.RetryRequest("c"); got != 1 {
 		t.Errorf("%d tokens requested for one waiting operation", got)
 	}
-	if got := table.AskAgain("c"); got != 0 {
+	if got := table.RetryRequest("c"); got != 0 {
 		t.Errorf("%d tokens requested while a request is outstanding", got)
 	}
-	table.Granted("c", 0, afterStart)
+	table.AddGranted("c", 0, afterStart)
 	table.Refuse("c", 1)
-	if got := table.AskAgain("c"); got != 0 {
+	if got := table.RetryRequest("c"); got != 0 {
 		t.Errorf("%d tokens requested for no operation", got)
 	}
 	// Tokens granted in advance expire.
 	table.Admit("c", afterStart)
-	table.Granted("c", 3, afterStart)
+	table.AddGranted("c", 3, afterStart)
 	if got := table.Admit("c", afterStart+maxCacheAge); got.Admitted {
 		t.Error("a token was cached for longer than maxCacheAge")
 	}
 }
 
-// Guards against a share that stays lent to a ledger whose link closed, against
-// one that is reclaimed although the ledger has requested it again on a new
-// link, and against a ledger that goes on spending the share of a lost lender.
+// Guards against a share that stays lent to a quota coordinator whose link
+// closed, against one that is reclaimed although the quota coordinator has
+// requested it again on a new link, and against a quota coordinator that goes on
+// spending the share of a lost lender.
 func TestLoanEndsWithItsLink(t *testing.T) {
 	lender := NewTable(0)
-	lender.Lend("l", "1", halves("c"), minLease, afterStart)
+	lender.Lend("l", "1", partitions("c"), minLoanDuration, afterStart)
 	lender.LinkClosed("1", afterStart)
-	if got := lender.Lend("m", "3", halves("c"), minLease, afterStart); len(got) != 1 {
-		t.Error("a share stays lent to a ledger whose link closed")
+	if got := lender.Lend("m", "3", partitions("c"), minLoanDuration, afterStart); len(got) != 1 {
+		t.Error("a share stays lent to a quota coordinator whose link closed")
 	}
 	lender = NewTable(0)
-	lender.Lend("l", "1", halves("c"), minLease, afterStart)
-	lender.Lend("l", "2", halves("c"), minLease, afterStart)
+	lender.Lend("l", "1", partitions("c"), minLoanDuration, afterStart)
+	lender.Lend("l", "2", partitions("c"), minLoanDuration, afterStart)
 	lender.LinkClosed("1", afterStart)
-	if got := lender.Lend("m", "3", halves("c"), minLease, afterStart); len(got) != 0 {
-		t.Error("a share is lent twice after the ledger reconnected")
+	if got := lender.Lend("m", "3", partitions("c"), minLoanDuration, afterStart); len(got) != 0 {
+		t.Error("a share is lent twice after the quota coordinator reconnected")
 	}
-	ledger := NewTable(0)
-	ledger.Take(customer, 0, 2, 1000, afterStart) // creates the account and empties it
-	ledger.Receive("a", halves("c"), minLease, afterStart)
-	ledger.LenderLost("a")
+	coordinator := NewTable(0)
+	coordinator.GrantTokens(customer, 0, 2, 1000, afterStart) // creates the account and empties it
+	coordinator.Receive("a", partitions("c"), minLoanDuration, afterStart)
+	coordinator.DropLender("a")
 	// Its own share, half of 100 per second, for half a second.
-	if got := ledger.Take(customer, 0, 2, 1000, afterStart+minLease/2); got > 26 {
+	if got := coordinator.GrantTokens(customer, 0, 2, 1000, afterStart+minLoanDuration/2); got > 26 {
 		t.Errorf("%d tokens with the share of a lost lender", got)
 	}
 }
@@ -209,45 +212,45 @@
 // elsewhere.
 func TestShareEarnsWhereItIs(t *testing.T) {
 	table := NewTable(0)
-	take := func(now time.Duration) int { return table.Take(customer, 0, 1, 1000, now) }
+	take := func(now time.Duration) int { return table.GrantTokens(customer, 0, 1, 1000, now) }
 	take(afterStart)
 	take(afterStart) // empties the bucket
-	table.Lend("l", "1", halves("c"), time.Minute, afterStart)
+	table.Lend("l", "1", partitions("c"), time.Minute, afterStart)
 	table.LinkClosed("1", afterStart+10*time.Second)
 	if got := take(afterStart + 10*time.Second + 100*time.Millisecond); got > 10 {
 		t.Errorf("%d tokens for 100 ms at 100 per second", got)
 	}
-	table.Receive("b", halves("c"), minLease, afterStart+20*time.Second)
-	table.Take(customer, 0, 2, 1000, afterStart+20*time.Second+minLease)
-	table.Receive("b", halves("c"), minLease, afterStart+30*time.Second)
+	table.Receive("b", partitions("c"), minLoanDuration, afterStart+20*time.Second)
+	table.GrantTokens(customer, 0, 2, 1000, afterStart+20*time.Second+minLoanDuration)
+	table.Receive("b", partitions("c"), minLoanDuration, afterStart+30*time.Second)
 	// Its own share all the time, so a full bucket of it; the other one for 100
 	// ms.
-	if got := table.Take(customer, 0, 2, 1000, afterStart+30*time.Second+100*time.Millisecond); got > 50 {
+	if got := table.GrantTokens(customer, 0, 2, 1000, afterStart+30*time.Second+100*time.Millisecond); got > 50 {
 		t.Errorf("%d tokens", got)
 	}
 }
 
-// Guards against a share that stays lent to a ledger which no longer counts the
-// customer, and against one that is reclaimed from a ledger that still counts
-// it.
-func TestLedgerGivesUp(t *testing.T) {
+// Guards against a share that stays lent to a quota coordinator which no longer
+// counts the customer, and against one that is reclaimed from a quota coordinator
+// that still counts it.
+func TestQuotaCoordinatorGivesUp(t *testing.T) {
 	lender := NewTable(0)
-	lender.Lend("l", "1", halves("c", "d"), minLease, afterStart)
+	lender.Lend("l", "1", partitions("c", "d"), minLoanDuration, afterStart)
 	lender.Release("l", "2", nil, afterStart) // sent on another link
 	lender.Release("m", "1", nil, afterStart)
-	if got := lender.Lend("m", "3", halves("c", "d"), minLease, afterStart); len(got) != 0 {
+	if got := lender.Lend("m", "3", partitions("c", "d"), minLoanDuration, afterStart); len(got) != 0 {
 		t.Errorf("%v are lent twice", got)
 	}
-	lender.Release("l", "1", halves("d"), afterStart)
-	if got := lender.Lend("m", "3", halves("c", "d"), minLease, afterStart); len(got) != 1 || got[0].Customer != "c" {
-		t.Errorf("%v can be lent after the ledger released c", got)
+	lender.Release("l", "1", partitions("d"), afterStart)
+	if got := lender.Lend("m", "3", partitions("c", "d"), minLoanDuration, afterStart); len(got) != 1 || got[0].Customer != "c" {
+		t.Errorf("%v can be lent after the quota coordinator released c", got)
 	}
-	ledger := NewTable(0)
-	ledger.Take(customer, 0, 2, 1000, afterStart) // creates the account and empties it
-	ledger.Receive("a", halves("c"), minLease, afterStart)
-	ledger.Keep(halves("d"))
+	coordinator := NewTable(0)
+	coordinator.GrantTokens(customer, 0, 2, 1000, afterStart) // creates the account and empties it
+	coordinator.Receive("a", partitions("c"), minLoanDuration, afterStart)
+	coordinator.RetainBorrowed(partitions("d"))
 	// Its own share, half of 100 per second, for half a second.
-	if got := ledger.Take(customer, 0, 2, 1000, afterStart+minLease/2); got > 26 {
+	if got := coordinator.GrantTokens(customer, 0, 2, 1000, afterStart+minLoanDuration/2); got > 26 {
 		t.Errorf("%d tokens with a released share", got)
 	}
 }
--- a/coordination/sqlsession/session.go
+++ b/coordination/sqlsession/session.go
@@ -71,7 +71,7 @@
 	if route == nil {
 		return nil, "", statement.UnknownDatabase
 	}
-	if c := config.Holder(s.key); c != nil {
+	if c := config.CustomerByKey(s.key); c != nil {
 		return route, c.Name, statement.OK
 	}
 	if route.Public {
--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -26,16 +26,16 @@
 
 // Kinds of frames. A reply has the ID of the call that it answers.
 const (
-	KindStatus    Kind = iota + 1 // a Status in JSON: the state of the sender
-	KindPing                      // heartbeat with the halves of customers' limits for which the sender is the ledger
-	KindPong                      // a Pong, the reply to KindPing
-	KindStatement                 // a statement.RemoteStatement to run
-	KindResult                    // a statement.Result, the reply to KindStatement
-	KindAbort                     // rolls back the transaction with the given number; no reply
-	KindTokens                    // asks a customer's ledger for tokens
-	KindGrant                     // number of tokens granted, the reply to KindTokens
-	KindSnapshot                  // asks for the store's objects that the receiver knows
-	KindDocument                  // those objects in JSON, the reply to KindSnapshot
+	KindStatus        Kind = iota + 1 // a Status in JSON: the state of the sender
+	KindPing                          // heartbeat with the partitions of customers' limits for which the sender is the quota coordinator
+	KindPong                          // a Pong, the reply to KindPing
+	KindStatement                     // a statement.RemoteStatement to run
+	KindResult                        // a statement.Result, the reply to KindStatement
+	KindAbort                         // rolls back the transaction with the given number; no reply
+	KindTokenRequest                  // asks a customer's quota coordinator for tokens
+	KindTokenGrant                    // number of tokens granted, the reply to KindTokenRequest
+	KindSnapshot                      // asks for the store's objects that the receiver knows
+	KindSnapshotReply                 // those objects in JSON, the reply to KindSnapshot
 )
 
 // Frame is one message. ID matches a reply to its call; it is zero in messages
@@ -198,14 +198,14 @@
 
 // Pong is the reply to a ping.
 type Pong struct {
-	Lent          []catalog.Half           // halves of limits of which the sender lends its share to the receiver
+	Lent          []catalog.LimitPartition // partitions of limits of which the sender lends its share to the receiver
 	Lease         time.Duration            // duration of the loans; whole milliseconds
 	Confirmations []LeadershipConfirmation // latest confirmations known to the sender
 }
 
 // Append appends the encoded pong to dst.
 func (p *Pong) Append(dst []byte) []byte {
-	dst = AppendHalves(dst, p.Lent)
+	dst = AppendPartitions(dst, p.Lent)
 	dst = binary.AppendUvarint(dst, uint64(p.Lease.Milliseconds()))
 	dst = binary.AppendUvarint(dst, uint64(len(p.Confirmations)))
 	for _, c := range p.Confirmations {
@@ -222,7 +222,7 @@
 func DecodePong(b []byte) (Pong, error) {
 	d := decoder{b: b}
 	var p Pong
-	p.Lent = d.halves()
+	p.Lent = d.partitions()
 	p.Lease = time.Duration(d.uvarint()) * time.Millisecond
 	for n := d.length(); n > 0; n-- {
 		c := LeadershipConfirmation{Group: d.string(), Server: d.string()}
@@ -241,42 +241,42 @@
 	return dst
 }
 
-// AppendHalves appends an encoded list of halves of customers' limits to dst. It is
-// the body of pings.
-func AppendHalves(dst []byte, halves []catalog.Half) []byte {
-	dst = binary.AppendUvarint(dst, uint64(len(halves)))
-	for _, h := range halves {
-		dst = appendHalf(dst, h)
+// AppendPartitions appends an encoded list of partitions of customers' limits to
+// dst. It is the body of pings.
+func AppendPartitions(dst []byte, partitions []catalog.LimitPartition) []byte {
+	dst = binary.AppendUvarint(dst, uint64(len(partitions)))
+	for _, p := range partitions {
+		dst = appendPartition(dst, p)
 	}
 	return dst
 }
 
-// DecodeHalves decodes the output of AppendHalves.
-func DecodeHalves(b []byte) ([]catalog.Half, error) {
+// DecodePartitions decodes the output of AppendPartitions.
+func DecodePartitions(b []byte) ([]catalog.LimitPartition, error) {
 	d := decoder{b: b}
-	list := d.halves()
-	return list, d.finish("list of limit halves")
+	list := d.partitions()
+	return list, d.finish("list of limit partitions")
 }
 
-// AppendTokens appends an encoded request for n tokens from one half of a customer's
-// limit to dst.
-func AppendTokens(dst []byte, h catalog.Half, n int) []byte {
-	return binary.AppendUvarint(appendHalf(dst, h), uint64(n))
+// AppendTokenRequest appends an encoded request for n tokens from one partition
+// of a customer's limit to dst.
+func AppendTokenRequest(dst []byte, p catalog.LimitPartition, n int) []byte {
+	return binary.AppendUvarint(appendPartition(dst, p), uint64(n))
 }
 
-// DecodeTokens decodes the output of AppendTokens.
-func DecodeTokens(b []byte) (h catalog.Half, n int, err error) {
+// DecodeTokenRequest decodes the output of AppendTokenRequest.
+func DecodeTokenRequest(b []byte) (p catalog.LimitPartition, n int, err error) {
 	d := decoder{b: b}
-	h, n = d.half(), int(d.uvarint())
-	return h, n, d.finish("tokens")
+	p, n = d.partition(), int(d.uvarint())
+	return p, n, d.finish("tokens")
 }
 
-func appendHalf(dst []byte, h catalog.Half) []byte {
-	return append(appendString(dst, h.Customer), h.Index)
+func appendPartition(dst []byte, p catalog.LimitPartition) []byte {
+	return append(appendString(dst, p.Customer), p.Index)
 }
 
-// AppendNumber appends an encoded number, the body of KindGrant and KindAbort, to
-// dst.
+// AppendNumber appends an encoded number, the body of KindTokenGrant and
+// KindAbort, to dst.
 func AppendNumber(dst []byte, n uint64) []byte { return binary.AppendUvarint(dst, n) }
 
 // DecodeNumber decodes the output of AppendNumber.
@@ -335,17 +335,17 @@
 	return s
 }
 
-func (d *decoder) half() catalog.Half {
-	h := catalog.Half{Customer: d.string(), Index: d.byte()}
-	d.failed = d.failed || h.Index >= catalog.Halves
-	return h
+func (d *decoder) partition() catalog.LimitPartition {
+	p := catalog.LimitPartition{Customer: d.string(), Index: d.byte()}
+	d.failed = d.failed || p.Index >= catalog.LimitPartitions
+	return p
 }
 
-// halves reads the output of AppendHalves.
-func (d *decoder) halves() []catalog.Half {
-	var list []catalog.Half
+// partitions reads the output of AppendPartitions.
+func (d *decoder) partitions() []catalog.LimitPartition {
+	var list []catalog.LimitPartition
 	for n := d.length(); n > 0; n-- {
-		list = append(list, d.half())
+		list = append(list, d.partition())
 	}
 	return list
 }
--- a/protocol/fleetwire/fleetwire_test.go
+++ b/protocol/fleetwire/fleetwire_test.go
@@ -33,7 +33,7 @@
 	if err != nil || !cmp.Equal(result, gotResult) {
 		t.Errorf("result: %v\n%s", err, cmp.Diff(result, gotResult))
 	}
-	pong := Pong{Lent: []catalog.Half{{Customer: "c", Index: 1}, {Customer: "d"}}, Lease: time.Second, Confirmations: []LeadershipConfirmation{{Group: "g", Server: "s", Point: state.Point{Term: 1, Position: 2}, Age: 3 * time.Millisecond}}}
+	pong := Pong{Lent: []catalog.LimitPartition{{Customer: "c", Index: 1}, {Customer: "d"}}, Lease: time.Second, Confirmations: []LeadershipConfirmation{{Group: "g", Server: "s", Point: state.Point{Term: 1, Position: 2}, Age: 3 * time.Millisecond}}}
 	gotPong, err := DecodePong(pong.Append(nil))
 	if err != nil || !cmp.Equal(pong, gotPong) {
 		t.Errorf("pong: %v\n%s", err, cmp.Diff(pong, gotPong))
@@ -68,17 +68,17 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(AppendStatement(nil, &statement.RemoteStatement{Customer: "c", Values: []statement.Value{{Name: "n"}}}))
 	f.Add(AppendResult(nil, &statement.Result{Answer: statement.Answer{Rows: []string{"a"}}}))
-	f.Add((&Pong{Lent: []catalog.Half{{Customer: "c"}}}).Append(nil))
+	f.Add((&Pong{Lent: []catalog.LimitPartition{{Customer: "c"}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if w, err := DecodeStatement(b); err == nil && w == nil {
 			t.Error("DecodeStatement returned neither a statement nor an error")
 		}
 		DecodeResult(b)
 		DecodePong(b)
-		if h, _, err := DecodeTokens(b); err == nil && h.Index >= catalog.Halves {
-			t.Errorf("decoded the half %d, which does not exist", h.Index)
+		if p, _, err := DecodeTokenRequest(b); err == nil && p.Index >= catalog.LimitPartitions {
+			t.Errorf("decoded the partition %d, which does not exist", p.Index)
 		}
-		DecodeHalves(b)
+		DecodePartitions(b)
 		DecodeStatus(b)
 		ReadFrame(bufio.NewReader(bytes.NewReader(b)))
 	})
--- a/standin/managed/limits_test.go
+++ b/standin/managed/limits_test.go
@@ -120,49 +120,50 @@
 }
 
 // Guards against refusals of requests within the limit that last until the loans of
-// shares to a killed ledger expire.
-func TestLedgerKilled(t *testing.T) {
+// shares to a killed quota coordinator expire.
+func TestQuotaCoordinatorKilled(t *testing.T) {
 	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
-		ledger := d.VM("vm-0-0").Node.View().Ledgers(CustomerName(0))[0]
-		d.VM(ledger).Kill()
+		coordinator := d.VM("vm-0-0").Node.View().QuotaCoordinators(CustomerName(0))[0]
+		d.VM(coordinator).Kill()
 		time.Sleep(2 * time.Second)
-		d.StartVM(ledger, d.VM(ledger).Zone)
+		d.StartVM(coordinator, d.VM(coordinator).Zone)
 		time.Sleep(time.Second)
 		l.finish()
 		l.checkRefusals()
 	})
 }
 
-// Guards against refusals of requests within the limit when a ledger is drained and
-// stopped, while its links are still open, and when it returns.
-func TestLedgerStopsAndReturns(t *testing.T) {
+// Guards against refusals of requests within the limit when a quota coordinator
+// is drained and stopped, while its links are still open, and when it returns.
+func TestQuotaCoordinatorStopsAndReturns(t *testing.T) {
 	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
 		l := startLoad(t, d)
 		time.Sleep(2 * time.Second)
-		ledger := d.VM("vm-0-0").Node.View().Ledgers(CustomerName(0))[0]
-		d.VM(ledger).Terminate()
+		coordinator := d.VM("vm-0-0").Node.View().QuotaCoordinators(CustomerName(0))[0]
+		d.VM(coordinator).Terminate()
 		time.Sleep(time.Second)
-		d.StartVM(ledger, d.VM(ledger).Zone)
+		d.StartVM(coordinator, d.VM(coordinator).Zone)
 		time.Sleep(4 * time.Second)
 		l.finish()
 		l.checkRefusals()
 	})
 }
 
-// Guards against refusals of requests within the limit while the other VMs have not
-// yet noticed that a ledger's data centre is cut off without connection resets.
-func TestLedgerCutOff(t *testing.T) {
+// Guards against refusals of requests within the limit while the other VMs have
+// not yet noticed that a quota coordinator's data centre is cut off without
+// connection resets.
+func TestQuotaCoordinatorCutOff(t *testing.T) {
 	o := smallDeployment
 	o.Rate = tightRate
 	inDeployment(t, o, func(d *Deployment) {
-		for _, ledger := range []int{0, 1} {
-			isolated := d.VM(d.VM("vm-0-0").Node.View().Ledgers(CustomerName(0))[ledger]).Zone
+		for _, index := range []int{0, 1} {
+			isolated := d.VM(d.VM("vm-0-0").Node.View().QuotaCoordinators(CustomerName(0))[index]).Zone
 			var others []string
 			for z := range o.Zones {
 				if zoneName(z) != isolated {
@@ -175,7 +176,7 @@
 				if vm.Zone == isolated {
 					continue
 				}
-				c := connect(t, vm, fmt.Sprint(name, ledger), Database(Bounded, 0), 0)
+				c := connect(t, vm, fmt.Sprint(name, index), Database(Bounded, 0), 0)
 				for start := time.Now(); time.Since(start) < 300*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 					if _, a := c.Do(statement.Read, "x"); strings.Contains(a.Text, "limit") {
 						t.Errorf("%s refused: %s", name, a.Text)
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -99,8 +99,8 @@
 // Route returns the route with the given database name, or nil.
 func (c *Config) Route(database string) *Route { return c.byDatabase[database] }
 
-// Holder returns the customer to which the key belongs, or nil.
-func (c *Config) Holder(key state.KeyHash) *Customer { return c.byKey[key] }
+// CustomerByKey returns the customer to which the key belongs, or nil.
+func (c *Config) CustomerByKey(key state.KeyHash) *Customer { return c.byKey[key] }
 
 // Customer returns the named customer, or nil.
 func (c *Config) Customer(name string) *Customer { return c.byName[name] }
@@ -144,10 +144,10 @@
 	Config  *Config            // nil until a configuration is known
 	Servers map[string]*Server // by id
 	Out     map[string]bool    // data centres whose servers take no work
-	// UnfitSince has the servers that take no new work, because they are
+	// UnusableSince has the servers that take no new work, because they are
 	// draining or their data centre is out of service, with the time at which
 	// this VM learned it.
-	UnfitSince map[string]time.Duration
+	UnusableSince map[string]time.Duration
 	// RegisteredAt is when this VM last learned of a new server.
 	RegisteredAt time.Duration
 }
@@ -179,7 +179,7 @@
 	if d.Usable(s) {
 		return true
 	}
-	since, known := d.UnfitSince[s.ID]
+	since, known := d.UnusableSince[s.ID]
 	return known && now-since < primaryHandoverPeriod
 }
 
@@ -208,13 +208,13 @@
 	t.current.Store(&next)
 }
 
-// Halves is the number of halves of a customer's limit, which are counted by
-// different VMs.
-const Halves = 2
+// LimitPartitions is the number of partitions of a customer's limit, which are
+// counted by different VMs.
+const LimitPartitions = 2
 
-// Half identifies a half of a customer's limit, with an equal share of its rate
-// and burst.
-type Half struct {
+// LimitPartition identifies a partition of a customer's limit, with an equal
+// share of its rate and burst.
+type LimitPartition struct {
 	Customer string
-	Index    uint8 // less than Halves
+	Index    uint8 // less than LimitPartitions
 }
--- a/transport/admission/admission.go
+++ b/transport/admission/admission.go
@@ -1,6 +1,6 @@
 // Package admission enforces customers' rate limits with tokens that the
-// customer's ledgers grant. A ledger is the VM that accounts for a half of a
-// customer's limit.
+// customer's quota coordinators grant. A quota coordinator is the VM that
+// accounts for a partition of a customer's limit.
 package admission
 
 import (
@@ -32,16 +32,16 @@
 	// retryDelay is the pause after a grant that did not cover all waiting
 	// operations.
 	retryDelay = 10 * time.Millisecond
-	// answerTimeout is how long a ledger may take to answer before the other
+	// answerTimeout is how long a quota coordinator may take to answer before the other
 	// one is asked. A VM that has used up its CPU quota may be throttled for up
 	// to 100 ms; most answers arrive within a round trip.
 	answerTimeout = 40 * time.Millisecond
-	// maxWaitAfterLoss is how long an operation waits if the link to a ledger
-	// is lost before the answer arrives. The successor is known once the link
-	// is closed.
+	// maxWaitAfterLoss is how long an operation waits if the link to a quota
+	// coordinator is lost before the answer arrives. The successor is known once the
+	// link is closed.
 	maxWaitAfterLoss = 300 * time.Millisecond
-	// slowPeriod is how long a ledger that did not answer in time is asked only
-	// after the other one.
+	// slowPeriod is how long a quota coordinator that did not answer in time is asked
+	// only after the other one.
 	slowPeriod = time.Second
 )
 
@@ -55,8 +55,8 @@
 // retryAfter is the time after which a retry can succeed.
 type Done func(admitted bool, retryAfter time.Duration)
 
-// Gate admits operations of this VM's clients and, as a ledger, grants tokens
-// to other VMs.
+// Gate admits operations of this VM's clients and, as a quota coordinator, grants
+// tokens to other VMs.
 type Gate struct {
 	table  *catalog.Table
 	quota  *quota.Table
@@ -65,11 +65,11 @@
 
 	admitted, refused tally.Counter
 
-	mu          lockrank.Mutex           // guards the fields below
-	waiting     map[string][]waiter      // by customer, oldest first
-	slowUntil   map[string]time.Duration // VM to the end of the period in which it is asked last
-	ledgersView *placement.View          // for which ledgers was computed
-	ledgers     map[string][catalog.Halves]string
+	mu               lockrank.Mutex           // guards the fields below
+	waiting          map[string][]waiter      // by customer, oldest first
+	slowUntil        map[string]time.Duration // VM to the end of the period in which it is asked last
+	coordinatorsView *placement.View          // for which coordinators was computed
+	coordinators     map[string][catalog.LimitPartitions]string
 }
 
 // New returns a gate.
@@ -100,56 +100,57 @@
 		g.admitted.Inc(1)
 		done(true, 0)
 	}
-	if a.Ask > 0 {
-		g.requestTokens(customer, a.Ask)
+	if a.Request > 0 {
+		g.requestTokens(customer, a.Request)
 	}
 }
 
-// tokenRequest is a request for tokens to a customer's ledgers, one after the
-// other.
+// tokenRequest is a request for tokens to a customer's quota coordinators, one
+// after the other.
 type tokenRequest struct {
-	customer   string
-	want       int
-	granted    int
-	remaining  []catalog.Half // halves whose ledgers have not been asked yet
-	ledgers    [catalog.Halves]string
-	ledgerLost bool // the link to a ledger was lost before it answered
+	customer        string
+	want            int
+	granted         int
+	remaining       []catalog.LimitPartition // partitions whose quota coordinators have not been asked yet
+	coordinators    [catalog.LimitPartitions]string
+	coordinatorLost bool // the link to a quota coordinator was lost before it answered
 }
 
-// requestTokens requests n tokens from the customer's ledgers.
+// requestTokens requests n tokens from the customer's quota coordinators.
 func (g *Gate) requestTokens(customer string, n int) {
 	view := g.caller.View()
-	r := &tokenRequest{customer: customer, want: n, ledgers: g.cachedLedgers(customer, view)}
-	for _, i := range g.ledgerOrder(view, r.ledgers) {
-		r.remaining = append(r.remaining, catalog.Half{Customer: customer, Index: i})
+	r := &tokenRequest{customer: customer, want: n, coordinators: g.cachedCoordinators(customer, view)}
+	for _, i := range g.coordinatorOrder(view, r.coordinators) {
+		r.remaining = append(r.remaining, catalog.LimitPartition{Customer: customer, Index: i})
 	}
 	g.requestNext(r)
 }
 
-// cachedLedgers returns the customer's ledgers. They are cached until the view
-// changes, because their computation inspects all VMs.
-func (g *Gate) cachedLedgers(customer string, view *placement.View) [catalog.Halves]string {
+// cachedCoordinators returns the customer's quota coordinators. They are cached
+// until the view changes, because their computation inspects all VMs.
+func (g *Gate) cachedCoordinators(customer string, view *placement.View) [catalog.LimitPartitions]string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ledgersView != view {
-		g.ledgersView, g.ledgers = view, make(map[string][catalog.Halves]string)
+	if g.coordinatorsView != view {
+		g.coordinatorsView, g.coordinators = view, make(map[string][catalog.LimitPartitions]string)
 	}
-	ledgers, known := g.ledgers[customer]
+	coordinators, known := g.coordinators[customer]
 	if !known {
-		ledgers = view.Ledgers(customer)
-		g.ledgers[customer] = ledgers
+		coordinators = view.QuotaCoordinators(customer)
+		g.coordinators[customer] = coordinators
 	}
-	return ledgers
+	return coordinators
 }
 
-// ledgerOrder returns the halves in the order in which their ledgers are asked:
-// slow ledgers last, otherwise ledgers of this data centre first.
-func (g *Gate) ledgerOrder(view *placement.View, ledgers [catalog.Halves]string) []uint8 {
+// coordinatorOrder returns the partitions in the order in which their quota
+// coordinators are asked: slow quota coordinators last, otherwise quota
+// coordinators of this data centre first.
+func (g *Gate) coordinatorOrder(view *placement.View, coordinators [catalog.LimitPartitions]string) []uint8 {
 	now := clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cost := func(i uint8) int {
-		switch vm := ledgers[i]; {
+		switch vm := coordinators[i]; {
 		case g.slowUntil[vm] > now:
 			return 2
 		case view.InSameDataCentre(vm):
@@ -157,52 +158,53 @@
 		}
 		return 1
 	}
-	first := view.Half()
-	second := catalog.Halves - 1 - first
+	first := view.PreferredPartition()
+	second := catalog.LimitPartitions - 1 - first
 	if cost(second) < cost(first) {
 		first, second = second, first
 	}
 	return []uint8{first, second}
 }
 
-// requestNext requests the missing tokens from the next ledger. If there are
-// enough tokens or no ledgers left, it distributes the tokens.
+// requestNext requests the missing tokens from the next quota coordinator. If
+// there are enough tokens or no quota coordinators left, it distributes the
+// tokens.
 func (g *Gate) requestNext(r *tokenRequest) {
 	for r.granted < r.want && len(r.remaining) > 0 {
-		h := r.remaining[0]
+		p := r.remaining[0]
 		r.remaining = r.remaining[1:]
-		ledger := r.ledgers[h.Index]
-		if ledger != g.caller.View().Self {
-			if g.requestFrom(r, ledger, h) {
+		coordinator := r.coordinators[p.Index]
+		if coordinator != g.caller.View().Self {
+			if g.requestFrom(r, coordinator, p) {
 				return
 			}
-			r.ledgerLost = true
+			r.coordinatorLost = true
 			continue
 		}
-		r.granted += g.Grant(h, r.want-r.granted)
+		r.granted += g.Grant(p, r.want-r.granted)
 	}
 	g.distribute(r)
 }
 
 // requestFrom requests tokens from another VM and continues the token request
 // when it answers or times out. It returns false if there is no link to the VM.
-func (g *Gate) requestFrom(r *tokenRequest, ledger string, h catalog.Half) bool {
+func (g *Gate) requestFrom(r *tokenRequest, coordinator string, p catalog.LimitPartition) bool {
 	var resumed atomic.Bool // the token request has continued
 	timeout := time.AfterFunc(answerTimeout, func() {
 		if resumed.CompareAndSwap(false, true) {
-			g.markSlow(ledger, h.Customer)
+			g.markSlow(coordinator, p.Customer)
 			g.requestNext(r)
 		}
 	})
-	sent := g.caller.Call(ledger, fleetwire.KindTokens, fleetwire.AppendTokens(nil, h, r.want-r.granted), func(f fleetwire.Frame, ok bool) {
+	sent := g.caller.Call(coordinator, fleetwire.KindTokenRequest, fleetwire.AppendTokenRequest(nil, p, r.want-r.granted), func(f fleetwire.Frame, ok bool) {
 		timeout.Stop()
 		tokens := g.decodeGrant(f, ok)
 		if !resumed.CompareAndSwap(false, true) {
-			g.quota.GrantedLate(h.Customer, tokens, clock.Now())
+			g.quota.AddLateGranted(p.Customer, tokens, clock.Now())
 			return
 		}
 		r.granted += tokens
-		r.ledgerLost = r.ledgerLost || !ok
+		r.coordinatorLost = r.coordinatorLost || !ok
 		g.requestNext(r)
 	})
 	if !sent {
@@ -211,20 +213,20 @@
 	return sent || !resumed.CompareAndSwap(false, true)
 }
 
-// markSlow makes the ledger be asked after the other one for slowPeriod.
-func (g *Gate) markSlow(ledger, customer string) {
+// markSlow makes the quota coordinator be asked after the other one for slowPeriod.
+func (g *Gate) markSlow(coordinator, customer string) {
 	now := clock.Now()
 	g.mu.Lock()
-	known := g.slowUntil[ledger] > now
-	g.slowUntil[ledger] = now + slowPeriod
+	known := g.slowUntil[coordinator] > now
+	g.slowUntil[coordinator] = now + slowPeriod
 	g.mu.Unlock()
 	if !known {
-		g.logger.WithFields(log.Fields{"vm": ledger, "customer": customer}).Warn("limits: a ledger does not answer in time.")
+		g.logger.WithFields(log.Fields{"vm": coordinator, "customer": customer}).Warn("limits: a quota coordinator does not answer in time.")
 	}
 }
 
-// decodeGrant returns the tokens that a ledger granted, or 0 if the link was
-// lost.
+// decodeGrant returns the tokens that a quota coordinator granted, or 0 if the
+// link was lost.
 func (g *Gate) decodeGrant(f fleetwire.Frame, ok bool) int {
 	if !ok {
 		return 0
@@ -245,16 +247,16 @@
 	config := g.table.Current().Config
 	retryAfter := time.Second
 	if c := config.Customer(customer); c != nil {
-		retryAfter = quota.Wait(c)
+		retryAfter = quota.TokenInterval(c)
 	}
 	now := clock.Now()
 	g.mu.Lock()
-	admitted := g.quota.Granted(customer, r.granted, now)
+	admitted := g.quota.AddGranted(customer, r.granted, now)
 	waiting := g.waiting[customer]
 	served, rest := waiting[:admitted], waiting[admitted:]
 	limit := maxWait
-	if r.ledgerLost {
-		// The loss of a ledger does not mean that the limit is reached; its
+	if r.coordinatorLost {
+		// The loss of a quota coordinator does not mean that the limit is reached; its
 		// successor is asked.
 		limit = maxWaitAfterLoss
 	}
@@ -278,25 +280,26 @@
 		return
 	}
 	time.AfterFunc(retryDelay, func() {
-		if ask := g.quota.AskAgain(customer); ask > 0 {
+		if ask := g.quota.RetryRequest(customer); ask > 0 {
 			g.requestTokens(customer, ask)
 		}
 	})
 }
 
-// Grant grants up to n tokens of a half of a customer's limit, as its ledger.
-func (g *Gate) Grant(h catalog.Half, n int) int {
+// Grant grants up to n tokens of a partition of a customer's limit, as its quota
+// coordinator.
+func (g *Gate) Grant(p catalog.LimitPartition, n int) int {
 	config := g.table.Current().Config
 	if config == nil {
 		return 0
 	}
-	c := config.Customer(h.Customer)
+	c := config.Customer(p.Customer)
 	if c == nil {
 		return 0
 	}
 	view, now := g.caller.View(), clock.Now()
 	if view.Complete() {
-		g.quota.Joined(now)
+		g.quota.AllVMsReachable(now)
 	}
-	return g.quota.Take(c, h.Index, view.Members, n, now)
+	return g.quota.GrantTokens(c, p.Index, view.Members, n, now)
 }
--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -91,7 +91,7 @@
 	mu              lockrank.Mutex // guards the fields below
 	docs            map[Kind]document
 	lapsedSince     map[string]time.Duration // server to the time at which its registration disappeared
-	unfitSince      map[string]time.Duration // as in catalog.Deployment
+	unusableSince   map[string]time.Duration // as in catalog.Deployment
 	missingSince    map[string]time.Duration // address to the time at which the member was first found missing
 	requestDeadline time.Duration            // deadline of the last request to another VM; zero once it is answered
 	behindSince     time.Duration            // when VMs of other data centres were first found to be ahead; zero if none is
@@ -107,7 +107,7 @@
 		source: source, fleet: fleet, table: table, leaders: leaders, logger: logger, self: self,
 		metrics: newMetrics(scope),
 		mu:      lockrank.New(lockrank.Sessions), docs: make(map[Kind]document), lapsedSince: make(map[string]time.Duration),
-		unfitSince: make(map[string]time.Duration), missingSince: make(map[string]time.Duration), membersAttempted: make(chan struct{}),
+		unusableSince: make(map[string]time.Duration), missingSince: make(map[string]time.Duration), membersAttempted: make(chan struct{}),
 	}
 }
 
@@ -318,20 +318,20 @@
 				d.logger.WithFields(log.Fields{"version": e.Config.Version, "revision": e.Revision}).Info("directory: configuration in force.")
 			}
 		}
-		next.UnfitSince = make(map[string]time.Duration)
+		next.UnusableSince = make(map[string]time.Duration)
 		for id, s := range next.Servers {
 			if next.Usable(s) {
 				continue
 			}
-			if _, known := d.unfitSince[id]; !known {
-				d.unfitSince[id] = now
+			if _, known := d.unusableSince[id]; !known {
+				d.unusableSince[id] = now
 				d.logger.WithField("server", id).Info("directory: server takes no new work.")
 			}
-			next.UnfitSince[id] = d.unfitSince[id]
+			next.UnusableSince[id] = d.unusableSince[id]
 		}
-		for id := range d.unfitSince {
-			if _, unfit := next.UnfitSince[id]; !unfit {
-				delete(d.unfitSince, id)
+		for id := range d.unusableSince {
+			if _, unusable := next.UnusableSince[id]; !unusable {
+				delete(d.unusableSince, id)
 			}
 		}
 		return next
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -56,16 +56,16 @@
 	directory          Directory
 	confirmationCursor atomic.Uint64 // position of the rotation of latestConfirmations among the groups
 
-	mu      sync.Mutex // guards ledgers; no other lock is taken under it
-	ledgers ledgerHalves
+	mu           sync.Mutex // guards coordinators; no other lock is taken under it
+	coordinators coordinatorPartitions
 }
 
-// ledgerHalves maps the VMs to the halves whose ledger they are, for a view and
-// a configuration.
-type ledgerHalves struct {
-	view   *placement.View
-	config *catalog.Config
-	halves map[string][]catalog.Half
+// coordinatorPartitions maps the VMs to the partitions whose quota coordinator
+// they are, for a view and a configuration.
+type coordinatorPartitions struct {
+	view       *placement.View
+	config     *catalog.Config
+	partitions map[string][]catalog.LimitPartition
 }
 
 // New returns a dispatcher and sets it as the handler of the links.
@@ -136,10 +136,10 @@
 }
 
 // VMLost implements fleetlink.Handler.
-func (d *Dispatcher) VMLost(vm string) { d.Quota.LenderLost(vm) }
+func (d *Dispatcher) VMLost(vm string) { d.Quota.DropLender(vm) }
 
 // GrantTokens implements fleetlink.Handler.
-func (d *Dispatcher) GrantTokens(h catalog.Half, n int) int { return d.Gate.Grant(h, n) }
+func (d *Dispatcher) GrantTokens(p catalog.LimitPartition, n int) int { return d.Gate.Grant(p, n) }
 
 // UpdatesSince implements fleetlink.Handler.
 func (d *Dispatcher) UpdatesSince(known []byte) []byte { return d.directory.EncodeUpdates(known) }
@@ -147,27 +147,28 @@
 // HandleStatus implements fleetlink.Handler.
 func (d *Dispatcher) HandleStatus(s *fleetwire.Status) { d.directory.HandleRevisions(s.Revisions) }
 
-// PingBody implements fleetlink.Handler. It returns the halves whose ledger
-// this VM is. Shares of all other halves that were lent to this VM are discarded
-// first, because the ping tells the lenders that they are free again.
+// PingBody implements fleetlink.Handler. It returns the partitions whose quota
+// coordinator this VM is. Shares of all other partitions that were lent to this
+// VM are discarded first, because the ping tells the lenders that they are free
+// again.
 func (d *Dispatcher) PingBody() []byte {
-	own := d.ownHalves()
-	d.Quota.Keep(own)
-	return fleetwire.AppendHalves(nil, own)
+	own := d.ownPartitions()
+	d.Quota.RetainBorrowed(own)
+	return fleetwire.AppendPartitions(nil, own)
 }
 
-// ownHalves returns the halves whose ledger this VM is.
-func (d *Dispatcher) ownHalves() []catalog.Half {
+// ownPartitions returns the partitions whose quota coordinator this VM is.
+func (d *Dispatcher) ownPartitions() []catalog.LimitPartition {
 	config := d.Table.Current().Config
 	if config == nil {
 		return nil
 	}
-	return d.halvesOf(d.Self, d.Links.View(), config)
+	return d.partitionsOf(d.Self, d.Links.View(), config)
 }
 
 // HandlePing implements fleetlink.Handler. It lends this VM's shares to the
-// sender for the halves whose ledger the sender is, and returns the known
-// leadership confirmations.
+// sender for the partitions whose quota coordinator the sender is, and returns
+// the known leadership confirmations.
 func (d *Dispatcher) HandlePing(from, origin string, body []byte) fleetwire.Pong {
 	var p fleetwire.Pong
 	config := d.Table.Current().Config
@@ -176,14 +177,14 @@
 	}
 	now := clock.Now()
 	view := d.Links.View()
-	counted, err := fleetwire.DecodeHalves(body)
+	counted, err := fleetwire.DecodePartitions(body)
 	if err != nil {
 		d.Logger.WithError(err).WithField("vm", from).Error("fleet: a ping cannot be decoded.")
 		return p
 	}
 	d.Quota.Release(from, origin, counted, now)
-	p.Lease = quota.Lease(d.Links.PingInterval())
-	p.Lent = d.Quota.Lend(from, origin, intersect(d.halvesOf(from, view, config), counted), p.Lease, now)
+	p.Lease = quota.LoanDuration(d.Links.PingInterval())
+	p.Lent = d.Quota.Lend(from, origin, intersect(d.partitionsOf(from, view, config), counted), p.Lease, now)
 	if len(view.VMs) > maxVMsForRemoteConfirmations && !view.InSameDataCentre(from) {
 		return p
 	}
@@ -191,12 +192,12 @@
 	return p
 }
 
-// intersect returns the halves that are in both lists.
-func intersect(a, b []catalog.Half) []catalog.Half {
-	var both []catalog.Half
-	for _, h := range a {
-		if slices.Contains(b, h) {
-			both = append(both, h)
+// intersect returns the partitions that are in both lists.
+func intersect(a, b []catalog.LimitPartition) []catalog.LimitPartition {
+	var both []catalog.LimitPartition
+	for _, p := range a {
+		if slices.Contains(b, p) {
+			both = append(both, p)
 		}
 	}
 	return both
@@ -220,25 +221,25 @@
 	return confirmations
 }
 
-// halvesOf returns the halves whose ledger is the given VM.
-func (d *Dispatcher) halvesOf(vm string, view *placement.View, config *catalog.Config) []catalog.Half {
+// partitionsOf returns the partitions whose quota coordinator is the given VM.
+func (d *Dispatcher) partitionsOf(vm string, view *placement.View, config *catalog.Config) []catalog.LimitPartition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ledgers.view != view || d.ledgers.config != config {
-		d.ledgers = ledgerHalves{view: view, config: config, halves: make(map[string][]catalog.Half)}
+	if d.coordinators.view != view || d.coordinators.config != config {
+		d.coordinators = coordinatorPartitions{view: view, config: config, partitions: make(map[string][]catalog.LimitPartition)}
 		for i := range config.Customers {
 			name := config.Customers[i].Name
-			for index, ledger := range view.Ledgers(name) {
-				d.ledgers.halves[ledger] = append(d.ledgers.halves[ledger], catalog.Half{Customer: name, Index: uint8(index)})
+			for index, coordinator := range view.QuotaCoordinators(name) {
+				d.coordinators.partitions[coordinator] = append(d.coordinators.partitions[coordinator], catalog.LimitPartition{Customer: name, Index: uint8(index)})
 			}
 		}
 	}
-	return d.ledgers.halves[vm]
+	return d.coordinators.partitions[vm]
 }
 
 // HandlePong implements fleetlink.Handler.
 func (d *Dispatcher) HandlePong(from string, p fleetwire.Pong, sentAt time.Duration) {
-	d.Quota.Receive(from, intersect(p.Lent, d.ownHalves()), p.Lease, sentAt)
+	d.Quota.Receive(from, intersect(p.Lent, d.ownPartitions()), p.Lease, sentAt)
 	for _, c := range p.Confirmations {
 		d.Leadership.With(c.Group, func(g *leadership.Group) { g.RecordConfirmation(c.Server, c.Point, sentAt-c.Age) })
 	}
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -158,14 +158,14 @@
 		if tx, err = fleetwire.DecodeNumber(f.Body); err == nil {
 			l.handler.AbortTx(origin, tx)
 		}
-	case fleetwire.KindTokens:
-		var h catalog.Half
+	case fleetwire.KindTokenRequest:
+		var h catalog.LimitPartition
 		var n int
-		if h, n, err = fleetwire.DecodeTokens(f.Body); err == nil {
-			reply(fleetwire.KindGrant, fleetwire.AppendNumber(nil, uint64(l.handler.GrantTokens(h, n))))
+		if h, n, err = fleetwire.DecodeTokenRequest(f.Body); err == nil {
+			reply(fleetwire.KindTokenGrant, fleetwire.AppendNumber(nil, uint64(l.handler.GrantTokens(h, n))))
 		}
 	case fleetwire.KindSnapshot:
-		reply(fleetwire.KindDocument, l.handler.UpdatesSince(f.Body))
+		reply(fleetwire.KindSnapshotReply, l.handler.UpdatesSince(f.Body))
 	}
 	if err != nil {
 		l.logger.WithError(err).WithField("vm", from).Error("fleet: a call cannot be decoded.")
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -50,8 +50,8 @@
 	LinkClosed(origin string)
 	// VMLost reports that this VM's link to another VM was lost.
 	VMLost(vm string)
-	// GrantTokens grants up to n tokens of a half of a customer's limit.
-	GrantTokens(h catalog.Half, n int) int
+	// GrantTokens grants up to n tokens of a partition of a customer's limit.
+	GrantTokens(h catalog.LimitPartition, n int) int
 	// PingBody returns the current body of pings. Pings are more frequent for a
 	// while after it has changed.
 	PingBody() []byte
