--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// Term is how long a confirmation is valid, counted from sending the query.
-	Term = 3 * time.Second
+	// Duration is how long a confirmation is valid, counted from sending the query.
+	Duration = 3 * time.Second
 	// QueryInterval is the interval between queries to each voter.
 	QueryInterval = 500 * time.Millisecond
 )
@@ -19,20 +19,20 @@
 // 100 ms between reading the clock and using the result.
 func Margin(d time.Duration) time.Duration { return d/50 + 100*time.Millisecond }
 
-// Exclusive is how long a voter that confirmed one incarnation confirms no
+// ExclusivePeriod is how long a voter that confirmed one incarnation confirms no
 // other one. It also applies after a restart, when the previous process may
 // have confirmed one.
-const Exclusive = Term + Term/50 + 100*time.Millisecond
+const ExclusivePeriod = Duration + Duration/50 + 100*time.Millisecond
 
-// Outgoing is a query to be sent to Voter, which is Store for the platform's
+// OutgoingQuery is a query to be sent to Voter, which is Store for the platform's
 // store.
-type Outgoing struct {
+type OutgoingQuery struct {
 	Voter string
 	Query Query
 }
 
 // Start records the start time of this process, which confirms nothing until
-// Exclusive has passed since then.
+// ExclusivePeriod has passed since then.
 func Start(t *state.LeaseTable, now time.Time) {
 	t.With(func(l *state.Lease) { l.Started = now })
 }
@@ -44,14 +44,14 @@
 // Queries returns the queries to send to the voters now. now must not be later
 // than the time of sending, because the validity of confirmations is counted
 // from it.
-func Queries(tables *state.Tables, now time.Time) []Outgoing {
+func Queries(tables *state.Tables, now time.Time) []OutgoingQuery {
 	config := tables.Config.Current()
 	if config == nil {
 		return nil
 	}
 	digest := VotersOf(config, tables.Self.Name).digest()
 	names := unionOfNames(voterSets(tables))
-	var out []Outgoing
+	var out []OutgoingQuery
 	tables.Lease.With(func(l *state.Lease) {
 		dropExpiredQueries(l, now)
 		if l.Superseded {
@@ -60,7 +60,7 @@
 		for _, voter := range names {
 			l.NextQuery++
 			l.Queries[l.NextQuery] = state.LeaseQuery{Voter: voter, SentAt: now}
-			out = append(out, Outgoing{Voter: voter, Query: Query{
+			out = append(out, OutgoingQuery{Voter: voter, Query: Query{
 				Number:      l.NextQuery,
 				Incarnation: tables.Self.Incarnation,
 				Ticket:      config.Ticket.Number,
@@ -74,7 +74,7 @@
 // dropExpiredQueries drops queries whose answers can no longer be used.
 func dropExpiredQueries(l *state.Lease, now time.Time) {
 	for number, q := range l.Queries {
-		if now.Sub(q.SentAt) >= Term {
+		if now.Sub(q.SentAt) >= Duration {
 			delete(l.Queries, number)
 		}
 	}
@@ -110,7 +110,7 @@
 	if l.StoreSince.IsZero() {
 		l.StoreSince = now
 	}
-	return now.Sub(l.StoreSince) >= Exclusive
+	return now.Sub(l.StoreSince) >= ExclusivePeriod
 }
 
 // extendHold computes the hold from the confirmations.
@@ -122,10 +122,10 @@
 	var until time.Time
 	for i, voters := range sets {
 		sent := confirmedSendTimes(l, voters)
-		if !held && !sent[voters.acquireQuorum()-1].Add(Term).After(now) {
+		if !held && !sent[voters.acquireQuorum()-1].Add(Duration).After(now) {
 			return
 		}
-		if end := sent[voters.renewQuorum()-1].Add(Term); i == 0 || end.Before(until) {
+		if end := sent[voters.renewQuorum()-1].Add(Duration); i == 0 || end.Before(until) {
 			until = end
 		}
 	}
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -88,7 +88,7 @@
 // Guards against a voter that confirms a second process of one name, in each
 // way in which this can come about.
 func TestConfirm(t *testing.T) {
-	config, ready := configOf(2, 3), epoch.Add(Exclusive)
+	config, ready := configOf(2, 3), epoch.Add(ExclusivePeriod)
 	digest := VotersOf(config, "vm1").digest()
 	query := func(incarnation uint64) Query { return Query{Incarnation: incarnation, Ticket: 2, Voters: digest} }
 	for _, c := range []struct {
@@ -100,10 +100,10 @@
 	}{
 		{"first query", func(*state.Tables) {}, query(1), ready, true},
 		{"voter started recently", func(*state.Tables) {}, query(1), ready.Add(-1), false},
-		{"higher incarnation known", func(t *state.Tables) { Learn(t, "vm1", 2) }, query(1), ready, false},
-		{"lower incarnation confirmed", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(Exclusive - 1), false},
-		{"confirmation of lower incarnation expired", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(Exclusive), true},
-		{"voter is superseded", func(t *state.Tables) { Learn(t, "vm2", 9) }, query(1), ready, false},
+		{"higher incarnation known", func(t *state.Tables) { ObserveIncarnation(t, "vm1", 2) }, query(1), ready, false},
+		{"lower incarnation confirmed", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(ExclusivePeriod - 1), false},
+		{"confirmation of lower incarnation expired", func(t *state.Tables) { Confirm(t, "vm1", query(1), ready) }, query(2), ready.Add(ExclusivePeriod), true},
+		{"voter is superseded", func(t *state.Tables) { ObserveIncarnation(t, "vm2", 9) }, query(1), ready, false},
 		{"old list of voters", func(*state.Tables) {}, Query{Incarnation: 1, Ticket: 1, Voters: 1}, ready, false},
 		{"newer list of voters", func(*state.Tables) {}, Query{Incarnation: 1, Ticket: 3, Voters: 1}, ready, true},
 		{"lacks a ticket applied by all VMs", func(t *state.Tables) { t.Shares.With(func(s *state.Shares) { s.Agreed = 2 }) },
@@ -135,10 +135,10 @@
 	}
 	answers[1](sent.Add(time.Second))
 	answers[1](sent.Add(2 * time.Second))
-	if !Valid(tables.Lease, sent.Add(Term-1)) || Valid(tables.Lease, sent.Add(Term)) {
-		t.Errorf("hold %+v, want it to end %v after %v", tables.Lease.Hold(), Term, sent)
+	if !Valid(tables.Lease, sent.Add(Duration-1)) || Valid(tables.Lease, sent.Add(Duration)) {
+		t.Errorf("hold %+v, want it to end %v after %v", tables.Lease.Hold(), Duration, sent)
 	}
-	Learn(tables, "vm1", 2)
+	ObserveIncarnation(tables, "vm1", 2)
 	if len(Queries(tables, sent)) != 0 {
 		t.Error("a superseded process asks for confirmation")
 	}
@@ -160,12 +160,12 @@
 		t.Error("the store keeps an older incarnation")
 	}
 	ask(epoch)
-	ask(epoch.Add(Exclusive - 1))
-	if Valid(tables.Lease, epoch.Add(Exclusive-1)) {
+	ask(epoch.Add(ExclusivePeriod - 1))
+	if Valid(tables.Lease, epoch.Add(ExclusivePeriod-1)) {
 		t.Error("the store's confirmation is counted before the wait ended")
 	}
-	ask(epoch.Add(Exclusive))
-	if !Valid(tables.Lease, epoch.Add(Exclusive)) {
+	ask(epoch.Add(ExclusivePeriod))
+	if !Valid(tables.Lease, epoch.Add(ExclusivePeriod)) {
 		t.Error("the store's confirmation is not counted after the wait")
 	}
 }
--- a/coordination/lease/rendezvous.go
+++ b/coordination/lease/rendezvous.go
@@ -16,7 +16,7 @@
 	}
 	all := make([]scored, len(names))
 	for i, name := range names {
-		all[i] = scored{name, Score(key, name)}
+		all[i] = scored{name, RendezvousHash(key, name)}
 	}
 	slices.SortFunc(all, func(a, b scored) int {
 		switch {
@@ -34,9 +34,9 @@
 	return ordered
 }
 
-// Score returns the rendezvous hash of a key and a name, which is the same on
-// every VM.
-func Score(key, name string) uint64 {
+// RendezvousHash returns the rendezvous hash of a key and a name, which is the
+// same on every VM.
+func RendezvousHash(key, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	h.Write([]byte{0})
--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -17,12 +17,12 @@
 		record.Highest = max(record.Highest, q.Incarnation)
 		answer.Highest = record.Highest
 		switch {
-		case l.Started.IsZero() || now.Sub(l.Started) < Exclusive:
+		case l.Started.IsZero() || now.Sub(l.Started) < ExclusivePeriod:
 			// The previous process of this VM may have confirmed any incarnation.
 		case l.Superseded:
 			// Another process votes under this VM's name.
 		case q.Incarnation < record.Highest:
-		case record.Confirmed != 0 && record.Confirmed != q.Incarnation && now.Sub(record.ConfirmedAt) < Exclusive:
+		case record.Confirmed != 0 && record.Confirmed != q.Incarnation && now.Sub(record.ConfirmedAt) < ExclusivePeriod:
 		case senderOutdated(config, agreed, from, q):
 		default:
 			record.Confirmed, record.ConfirmedAt = q.Incarnation, now
@@ -43,9 +43,9 @@
 	return config != nil && q.Ticket < config.Ticket.Number && q.Voters != VotersOf(config, from).digest()
 }
 
-// Learn records an incarnation that was learned through the exchange between
-// VMs.
-func Learn(tables *state.Tables, name string, incarnation uint64) {
+// ObserveIncarnation records an incarnation that was learned through the exchange
+// between VMs.
+func ObserveIncarnation(tables *state.Tables, name string, incarnation uint64) {
 	tables.Lease.With(func(l *state.Lease) {
 		if name == tables.Self.Name {
 			l.Superseded = l.Superseded || incarnation > tables.Self.Incarnation
--- a/coordination/lease/voters.go
+++ b/coordination/lease/voters.go
@@ -51,7 +51,7 @@
 // use. A hold needs a quorum of each set, because another process of this VM's
 // name may use an older ticket.
 func voterSets(tables *state.Tables) []Voters {
-	configs := tables.Shares.Relevant()
+	configs := tables.Shares.EffectiveConfigs()
 	if current := tables.Config.Current(); current != nil {
 		configs = append(configs, current)
 	}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -133,7 +133,7 @@
 // first if neither is closer. The choice spreads the VMs of a data centre over
 // both partitions.
 func (v *View) PreferredPartition() uint8 {
-	return uint8(lease.Score("half", v.Self) % catalog.LimitPartitions)
+	return uint8(lease.RendezvousHash("half", v.Self) % catalog.LimitPartitions)
 }
 
 // rankDataCentres returns the data centres in descending order of their
@@ -146,7 +146,7 @@
 		}
 	}
 	slices.SortFunc(dataCentres, func(a, b string) int {
-		return cmp.Or(cmp.Compare(lease.Score(key, b), lease.Score(key, a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(lease.RendezvousHash(key, b), lease.RendezvousHash(key, a)), cmp.Compare(a, b))
 	})
 	return dataCentres
 }
@@ -247,6 +247,6 @@
 // weightedScore maps the hash to a uniform number u in (0, 1) and returns
 // -weight/ln(u), which assigns keys to VMs in proportion to their weights.
 func weightedScore(key string, vm *VM) float64 {
-	u := (float64(lease.Score(key, vm.Name)>>11) + 0.5) / (1 << 53)
+	u := (float64(lease.RendezvousHash(key, vm.Name)>>11) + 0.5) / (1 << 53)
 	return -vm.Weight / math.Log(u)
 }
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -137,7 +137,7 @@
 // is now.
 func (d *Decider) admit(s *state.Session, now time.Time) []Effect {
 	if s.InTransaction {
-		a := share.Take(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
+		a := share.Acquire(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
 		return d.startAdmission(s, a, now)
 	}
 	a := share.Admit(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
@@ -164,7 +164,7 @@
 func (d *Decider) Admitted(s *state.Session, request uint64, a share.Admission, now time.Time) []Effect {
 	waits := s.Phase == state.PhaseAdmission && s.Request.Number == request
 	if a.Verdict == share.Granted && !(waits && s.InTransaction) {
-		share.GiveBack(d.Tables, s.Customer, requestCost)
+		share.RefundToken(d.Tables, s.Customer, requestCost)
 	}
 	if !waits {
 		return nil
@@ -326,7 +326,7 @@
 	if s.TargetsPrimary && !d.isPrimary(s) {
 		return append([]Effect{Release{Server: server, Conn: conn}}, d.route(s, now)...)
 	}
-	a := share.Spend(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
+	a := share.AcquireAdmitted(d.Tables, waiterID(s), s.Customer, requestCost, now, s.Request.Deadline)
 	if a.Verdict != share.Granted {
 		release := Release{Server: server, Conn: conn}
 		return append([]Effect{release}, d.startAdmission(s, a, now)...)
--- a/coordination/share/take.go
+++ b/coordination/share/acquire.go
@@ -45,16 +45,17 @@
 	waitingPlanInterval = 5 * time.Millisecond
 )
 
-// Take decides on a request of a customer, and spends its tokens if it is granted. id
-// identifies the request in the decisions of Advance if it has to wait. now must be
-// read right before the call, because the lease hold is checked against it.
-func Take(tables *state.Tables, id state.WaiterID, customer string, cost float64, now, deadline time.Time) Admission {
-	return take(tables, customer, state.ShareWaiter{ID: id, Cost: cost, Joined: now, Deadline: deadline}, now, true)
+// Acquire decides on a request of a customer, and spends its tokens if it is
+// granted. id identifies the request in the decisions of Advance if it has to
+// wait. now must be read right before the call, because the lease hold is checked
+// against it.
+func Acquire(tables *state.Tables, id state.WaiterID, customer string, cost float64, now, deadline time.Time) Admission {
+	return acquire(tables, customer, state.ShareWaiter{ID: id, Cost: cost, Joined: now, Deadline: deadline}, now, true)
 }
 
-// take spends the tokens of a request or queues it. If arrival is set, the request has
-// just arrived: it counts as demand, and comes after those that wait.
-func take(tables *state.Tables, customer string, w state.ShareWaiter, now time.Time, arrival bool) Admission {
+// acquire spends the tokens of a request or queues it. If arrival is set, the
+// request has just arrived: it counts as demand, and comes after those that wait.
+func acquire(tables *state.Tables, customer string, w state.ShareWaiter, now time.Time, arrival bool) Admission {
 	hold := tables.Lease.Hold()
 	admission := Admission{Verdict: Refused, RetryAt: now.Add(defaultRetryDelay)}
 	tables.Shares.With(func(s *state.Shares) {
@@ -87,7 +88,7 @@
 }
 
 // spendTokens spends tokens if there are enough and the lease hold is valid.
-func spendTokens(c *state.CustomerShare, hold state.Hold, cost float64, now time.Time) bool {
+func spendTokens(c *state.CustomerShare, hold state.LeaseHold, cost float64, now time.Time) bool {
 	if !hold.Valid(now) || c.Level < cost {
 		return false
 	}
@@ -96,7 +97,7 @@
 }
 
 // enqueue queues the request if it can be served in time, and refuses it otherwise.
-func enqueue(s *state.Shares, c *state.CustomerShare, hold state.Hold, w state.ShareWaiter, now time.Time) Admission {
+func enqueue(s *state.Shares, c *state.CustomerShare, hold state.LeaseHold, w state.ShareWaiter, now time.Time) Admission {
 	total := waitingCost(c) + w.Cost
 	until, ok := estimateWait(s, c, hold, now).recheckAt(w, total)
 	if !ok || len(c.Waiters) >= queueLimit(c) {
@@ -129,7 +130,7 @@
 	agreementPending  bool      // the base share may grow when all VMs have applied the newest ticket
 }
 
-func estimateWait(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) waitEstimate {
+func estimateWait(s *state.Shares, c *state.CustomerShare, hold state.LeaseHold, now time.Time) waitEstimate {
 	p := waitEstimate{bucket: snapshotBucket(c), now: now, leaseValid: hold.Valid(now)}
 	p.loanAvailableFrom, p.loanPossible = loanAvailableFrom(s, c, now)
 	p.agreementPending = len(s.Tickets) > 1 && !s.Static
@@ -156,21 +157,21 @@
 	if s.Static || s.Leaving || c.Limit.Rate <= 0 {
 		return time.Time{}, false
 	}
-	asked := slices.ContainsFunc(c.Loans.Borrowed, func(b state.Borrowed) bool { return b.Phase == state.LoanAsked })
-	if asked || c.Loans.Holders == nil {
+	requested := slices.ContainsFunc(c.Loans.Borrowed, func(b state.BorrowedLoan) bool { return b.Phase == state.LoanRequested })
+	if requested || c.Loans.LenderCandidates == nil {
 		return now, true
 	}
 	var from time.Time
-	for i, h := range c.Loans.Holders {
+	for i, lender := range c.Loans.LenderCandidates {
 		at := now
-		if note := c.Loans.Notes[h.VM]; note != nil {
-			at = note.Until
+		if stats := c.Loans.LenderStats[lender.VM]; stats != nil {
+			at = stats.RetryAfter
 		}
 		if i == 0 || at.Before(from) {
 			from = at
 		}
 	}
-	return from, len(c.Loans.Holders) > 0
+	return from, len(c.Loans.LenderCandidates) > 0
 }
 
 // retryAt estimates when a request refused now could be granted.
@@ -190,7 +191,7 @@
 
 // decideWaiting grants the waiting requests that can be paid for, in order, and
 // refuses those that can no longer be served in time.
-func decideWaiting(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) []Decision {
+func decideWaiting(s *state.Shares, c *state.CustomerShare, hold state.LeaseHold, now time.Time) []Decision {
 	if len(c.Waiters) == 0 {
 		return nil
 	}
--- a/coordination/share/base.go
+++ b/coordination/share/base.go
@@ -110,15 +110,15 @@
 }
 
 // requestLenders returns the other VMs that have a base share of the customer's limit.
-func (t topology) requestLenders(c *state.Customer, self, dataCentre string) []state.Holder {
-	var holders []state.Holder
+func (t topology) requestLenders(c *state.Customer, self, dataCentre string) []state.LenderCandidate {
+	var candidates []state.LenderCandidate
 	for _, p := range t.all {
 		share := t.requestShare(c, p.vm, p.dataCentre)
 		if p.vm != self && share.Rate > 0 {
-			holders = append(holders, state.Holder{VM: p.vm, Remote: p.dataCentre != dataCentre, Share: share})
+			candidates = append(candidates, state.LenderCandidate{VM: p.vm, Remote: p.dataCentre != dataCentre, Share: share})
 		}
 	}
-	return sortLenders(holders, self)
+	return sortLenders(candidates, self)
 }
 
 // connectionShare returns a VM's base share of a backend server's connections: an
@@ -138,10 +138,10 @@
 
 // rank returns the VM's position among all VMs by rendezvous hashing of the key.
 func (t topology) rank(key, vm string) int {
-	own := lease.Score(key, vm)
+	own := lease.RendezvousHash(key, vm)
 	rank := 0
 	for _, p := range t.all {
-		score := lease.Score(key, p.vm)
+		score := lease.RendezvousHash(key, p.vm)
 		if score > own || score == own && p.vm < vm {
 			rank++
 		}
@@ -151,22 +151,22 @@
 
 // connectionLenders returns the other VMs that have a base share of the server's
 // connections.
-func (t topology) connectionLenders(server string, limit int, self, dataCentre string) []state.Holder {
+func (t topology) connectionLenders(server string, limit int, self, dataCentre string) []state.LenderCandidate {
 	if len(t.all) == 0 {
 		return nil
 	}
 	extra := t.vmsWithExtraConnection(server, limit%len(t.all))
-	var holders []state.Holder
+	var candidates []state.LenderCandidate
 	for _, p := range t.all {
 		units := limit / len(t.all)
 		if extra[p.vm] {
 			units++
 		}
 		if p.vm != self && units > 0 {
-			holders = append(holders, state.Holder{VM: p.vm, Remote: p.dataCentre != dataCentre, Units: units})
+			candidates = append(candidates, state.LenderCandidate{VM: p.vm, Remote: p.dataCentre != dataCentre, Units: units})
 		}
 	}
-	return sortLenders(holders, self)
+	return sortLenders(candidates, self)
 }
 
 // vmsWithExtraConnection returns the n VMs that rank first by rendezvous hashing of
@@ -185,15 +185,15 @@
 
 // sortLenders puts the VMs of the local data centre first. Within a data centre each
 // VM has a different order, so that not all ask the same lender first.
-func sortLenders(holders []state.Holder, self string) []state.Holder {
-	slices.SortFunc(holders, func(a, b state.Holder) int {
+func sortLenders(candidates []state.LenderCandidate, self string) []state.LenderCandidate {
+	slices.SortFunc(candidates, func(a, b state.LenderCandidate) int {
 		if a.Remote != b.Remote {
 			if a.Remote {
 				return 1
 			}
 			return -1
 		}
-		x, y := lease.Score(self, a.VM), lease.Score(self, b.VM)
+		x, y := lease.RendezvousHash(self, a.VM), lease.RendezvousHash(self, b.VM)
 		switch {
 		case x > y:
 			return -1
@@ -202,7 +202,7 @@
 		}
 		return 0
 	})
-	return holders
+	return candidates
 }
 
 func divide(s state.RateShare, n int) state.RateShare {
--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -93,7 +93,7 @@
 // planned again. Answers to loans that have ended are ignored, because their tokens
 // may have been spent.
 func applyAnswer(s *state.Shares, b *state.LoanBook, a LoanAnswer, from Peer, sentAt, now time.Time, tokens func(float64)) bool {
-	i := slices.IndexFunc(b.Borrowed, func(r state.Borrowed) bool {
+	i := slices.IndexFunc(b.Borrowed, func(r state.BorrowedLoan) bool {
 		return r.Number == a.Number && r.Lender == from.Name
 	})
 	if i < 0 {
@@ -101,8 +101,8 @@
 	}
 	r := &b.Borrowed[i]
 	end := sentAt.Add(r.Period)
-	lenderNote(b, r.Lender).RoundTrip = now.Sub(sentAt)
-	if r.Phase != state.LoanAsked {
+	lenderStats(b, r.Lender).RoundTrip = now.Sub(sentAt)
+	if r.Phase != state.LoanRequested {
 		return applyRenewal(b, r, a, from, end)
 	}
 	if a.refused() || !end.After(now) {
@@ -119,12 +119,12 @@
 
 // applyRenewal applies an answer to a renewal. An answer from another process with
 // the lender's name is ignored: that process does not know the loan.
-func applyRenewal(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, from Peer, end time.Time) bool {
+func applyRenewal(b *state.LoanBook, r *state.BorrowedLoan, a LoanAnswer, from Peer, end time.Time) bool {
 	if from.Incarnation != r.Incarnation {
 		return false
 	}
 	if a.refused() {
-		r.Final = true
+		r.NotRenewable = true
 		return false
 	}
 	if end.After(r.EndsAt) {
@@ -139,15 +139,15 @@
 	b.Borrowed = slices.Delete(b.Borrowed, i, i+1)
 }
 
-// lenderNote returns this VM's record of a lender, creating it if needed.
-func lenderNote(b *state.LoanBook, vm string) *state.LenderNote {
-	if b.Notes == nil {
-		b.Notes = make(map[string]*state.LenderNote)
+// lenderStats returns this VM's record of a lender, creating it if needed.
+func lenderStats(b *state.LoanBook, vm string) *state.LenderStats {
+	if b.LenderStats == nil {
+		b.LenderStats = make(map[string]*state.LenderStats)
 	}
-	n := b.Notes[vm]
+	n := b.LenderStats[vm]
 	if n == nil {
-		n = &state.LenderNote{}
-		b.Notes[vm] = n
+		n = &state.LenderStats{}
+		b.LenderStats[vm] = n
 	}
 	return n
 }
@@ -155,33 +155,33 @@
 // recordRefusal records that a VM lent nothing, and backs off from it. hint is the
 // delay that the lender proposed, or zero.
 func recordRefusal(b *state.LoanBook, vm string, hint time.Duration, now time.Time) {
-	n := lenderNote(b, vm)
-	if now.Sub(n.Until) > maxBackoff {
-		n.Misses = 0
+	n := lenderStats(b, vm)
+	if now.Sub(n.RetryAfter) > maxBackoff {
+		n.Refusals = 0
 	}
-	backoff := min(minBackoff<<min(n.Misses, 10), earlyMaxBackoff)
-	if n.Misses > earlyMisses {
-		backoff = min(earlyMaxBackoff<<min(n.Misses-earlyMisses, 10), maxBackoff)
+	backoff := min(minBackoff<<min(n.Refusals, 10), earlyMaxBackoff)
+	if n.Refusals > earlyMisses {
+		backoff = min(earlyMaxBackoff<<min(n.Refusals-earlyMisses, 10), maxBackoff)
 	}
 	if hint > 0 {
 		backoff = min(max(hint, localTokenWait), earlyMaxBackoff)
 	}
-	n.Misses++
+	n.Refusals++
 	n.Spare = 0
-	n.Until = now.Add(backoff)
+	n.RetryAfter = now.Add(backoff)
 }
 
 // recordGrant records what a lender can still lend, and backs off from it if it lent
 // less than requested.
-func recordGrant(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, now time.Time) {
-	n := lenderNote(b, r.Lender)
-	n.Misses = 0
+func recordGrant(b *state.LoanBook, r *state.BorrowedLoan, a LoanAnswer, now time.Time) {
+	n := lenderStats(b, r.Lender)
+	n.Refusals = 0
 	n.Spare = a.Spare
-	n.Until = now
+	n.RetryAfter = now
 	if a.Rate < r.Rate/2 || a.Tokens < r.Tokens || a.Units < r.Units {
-		n.Until = now.Add(minBackoff)
+		n.RetryAfter = now.Add(minBackoff)
 		if a.RetryAfter > 0 {
-			n.Until = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
+			n.RetryAfter = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
 		}
 	}
 }
@@ -234,7 +234,7 @@
 	if c.Limit.Rate >= 2*minBorrowDemand {
 		return false
 	}
-	if slices.ContainsFunc(c.Loans.Borrowed, func(r state.Borrowed) bool { return r.Rate > 0 }) {
+	if slices.ContainsFunc(c.Loans.Borrowed, func(r state.BorrowedLoan) bool { return r.Rate > 0 }) {
 		return demand > dominanceEnd*c.Limit.Rate
 	}
 	return demand > dominanceStart*c.Limit.Rate
@@ -268,8 +268,8 @@
 }
 
 // answerExpected reports whether a loan was requested and an answer is expected soon.
-func answerExpected(r *state.Borrowed, now time.Time) bool {
-	return r.Phase == state.LoanAsked && now.Sub(r.AskedAt) < expectedAnswerTime
+func answerExpected(r *state.BorrowedLoan, now time.Time) bool {
+	return r.Phase == state.LoanRequested && now.Sub(r.AskedAt) < expectedAnswerTime
 }
 
 // borrowRateAndTokens requests loans of rate and burst, or of tokens alone.
@@ -280,8 +280,8 @@
 		return
 	}
 	b := &c.Loans
-	if b.Holders == nil {
-		b.Holders = p.lendersFor(c.Name)
+	if b.LenderCandidates == nil {
+		b.LenderCandidates = p.lendersFor(c.Name)
 	}
 	for _, h := range p.candidates(b) {
 		switch {
@@ -294,14 +294,14 @@
 			shortTokens -= tokens
 		case shortTokens > 0:
 			tokens := min(shortTokens, h.Share.Burst)
-			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.Notes[h.VM])})
+			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.LenderStats[h.VM])})
 			shortTokens -= tokens
 		}
 	}
 }
 
 // tokenLoanPeriod returns the period to request for a loan of tokens.
-func tokenLoanPeriod(n *state.LenderNote) time.Duration {
+func tokenLoanPeriod(n *state.LenderStats) time.Duration {
 	if n == nil || n.RoundTrip == 0 {
 		return defaultTokenLoan
 	}
@@ -309,10 +309,10 @@
 }
 
 // lendersFor returns the possible lenders of a customer's limit.
-func (p *planner) lendersFor(customer string) []state.Holder {
+func (p *planner) lendersFor(customer string) []state.LenderCandidate {
 	c := p.config().Customers[customer]
 	if c == nil {
-		return []state.Holder{}
+		return []state.LenderCandidate{}
 	}
 	return p.topology().requestLenders(c, p.tables.Self.Name, p.tables.Self.DataCentre)
 }
--- a/coordination/share/broken_test.go
+++ b/coordination/share/broken_test.go
@@ -143,7 +143,7 @@
 }
 
 // lentRecord returns the lender's record of a loan, or nil.
-func lentRecord(s *state.Shares, from Peer, req LoanRequest) *state.Lent {
+func lentRecord(s *state.Shares, from Peer, req LoanRequest) *state.GrantedLoan {
 	var book *state.LoanBook
 	switch {
 	case req.Resource == Connections && s.Servers[req.Name] != nil:
@@ -185,9 +185,9 @@
 			sent = append(sent, l.Confirmed[name])
 		}
 		slices.SortFunc(sent, func(a, b time.Time) int { return b.Compare(a) })
-		until := sent[(len(names)+1)/2-1].Add(lease.Term)
+		until := sent[(len(names)+1)/2-1].Add(lease.Duration)
 		if !l.Superseded && !l.Hold.Valid(now) && until.After(now) {
-			l.Hold = state.Hold{Since: now, Until: until}
+			l.Hold = state.LeaseHold{Since: now, Until: until}
 		}
 	})
 }
@@ -212,7 +212,7 @@
 					b := s.Customers[ref.Name].Loans.Borrowed
 					for i := range b {
 						if b[i].Number == a.Number {
-							b[i].Phase = state.LoanAsked
+							b[i].Phase = state.LoanRequested
 						}
 					}
 				}
@@ -289,7 +289,7 @@
 			return p.tables.Config.Current().Ticket.Number
 		}}},
 		{name: "new process uses all its connections", script: restartLender, broken: hooks{recomputed: func(p *process) {
-			p.tables.Shares.With(func(s *state.Shares) { s.EarlierLoansTill = time.Time{} })
+			p.tables.Shares.With(func(s *state.Shares) { s.PredecessorLoansEnd = time.Time{} })
 		}}},
 	}
 }
--- a/coordination/share/bucket.go
+++ b/coordination/share/bucket.go
@@ -46,7 +46,7 @@
 }
 
 // advanceAll updates all buckets to the given time and ends expired loans.
-func advanceAll(s *state.Shares, hold state.Hold, now time.Time) {
+func advanceAll(s *state.Shares, hold state.LeaseHold, now time.Time) {
 	for _, c := range s.Customers {
 		advance(s, c, hold, now)
 	}
@@ -58,7 +58,7 @@
 
 // advance updates a customer's bucket to the given time. Loans that expire before
 // then are ended in order of expiry, since each end changes rate and capacity.
-func advance(s *state.Shares, c *state.CustomerShare, hold state.Hold, now time.Time) {
+func advance(s *state.Shares, c *state.CustomerShare, hold state.LeaseHold, now time.Time) {
 	for {
 		end, ok := nextLoanEnd(&c.Loans)
 		if !ok || end.After(now) {
@@ -74,7 +74,7 @@
 // accrue adds the tokens for the time since the last update that the lease hold
 // covers. For the rest of the time, another process with this VM's name may have
 // accrued them.
-func accrue(c *state.CustomerShare, hold state.Hold, to time.Time) {
+func accrue(c *state.CustomerShare, hold state.LeaseHold, to time.Time) {
 	from, until := c.Updated, to
 	if hold.Since.After(from) {
 		from = hold.Since
--- a/coordination/share/connections.go
+++ b/coordination/share/connections.go
@@ -60,7 +60,7 @@
 // most that they can have lent counts as lent.
 func ownConnections(s *state.Shares, c *state.ConnectionShare, base int, now time.Time) int {
 	lent := lentConnections(&c.Loans)
-	if now.Before(s.EarlierLoansTill) {
+	if now.Before(s.PredecessorLoansEnd) {
 		lent = max(lent, c.MaxLendable)
 	}
 	return max(0, base-lent)
@@ -85,7 +85,7 @@
 }
 
 // loanUsable reports whether the connections of a loan still count.
-func loanUsable(b *state.Borrowed, now time.Time) bool {
+func loanUsable(b *state.BorrowedLoan, now time.Time) bool {
 	return now.Before(b.EndsAt.Add(-connectionCloseMargin))
 }
 
@@ -111,7 +111,7 @@
 
 // spareConnections returns the number of connections that this VM can lend.
 func spareConnections(s *state.Shares, c *state.ConnectionShare, now time.Time) int {
-	if now.Before(s.EarlierLoansTill) {
+	if now.Before(s.PredecessorLoansEnd) {
 		return 0
 	}
 	unused := ownConnections(s, c, c.Base, now) - c.Wanted
@@ -131,7 +131,7 @@
 	case h.mayGrant(ConnectionLoanPeriod):
 		answer.Units = min(h.req.Units, spareConnections(h.s, c, h.now))
 		if answer.Units > 0 {
-			h.book.Lent = append(h.book.Lent, state.Lent{
+			h.book.Lent = append(h.book.Lent, state.GrantedLoan{
 				Borrower: h.from.Name, Incarnation: h.from.Incarnation, Number: h.req.Number,
 				Units: answer.Units, EndsAt: h.endsAt(),
 			})
@@ -142,7 +142,7 @@
 
 // mayRenewConnections reports whether a loan may be renewed. The lender's own
 // demand has priority. It records the result in record.Refused.
-func (h *grantHandler) mayRenewConnections(c *state.ConnectionShare, record *state.Lent) bool {
+func (h *grantHandler) mayRenewConnections(c *state.ConnectionShare, record *state.GrantedLoan) bool {
 	returning := 0
 	for i := range h.book.Lent {
 		if h.book.Lent[i].Refused && &h.book.Lent[i] != record {
@@ -157,7 +157,7 @@
 // planConnections returns and renews loans of connections and requests new ones.
 func (p *planner) planConnections(c *state.ConnectionShare) {
 	b := &c.Loans
-	b.PlanAt, b.PlannedAt = time.Time{}, p.now
+	b.NextPlanAt, b.LastPlanAt = time.Time{}, p.now
 	if p.s.Static {
 		return
 	}
@@ -173,7 +173,7 @@
 		if r.Phase == state.LoanActive && p.renewalDue(r) {
 			p.sendRequest(b, r, LoanRequest{Resource: Connections, Name: c.Server, Units: r.Units, Renewal: true})
 		}
-		if r.Phase == state.LoanAsked {
+		if r.Phase == state.LoanRequested {
 			short -= r.Units
 		}
 	}
@@ -213,8 +213,8 @@
 // borrowConnections requests loans of connections, at most one from each lender.
 func (p *planner) borrowConnections(c *state.ConnectionShare, short int) {
 	b := &c.Loans
-	if b.Holders == nil {
-		b.Holders = p.topology().connectionLenders(c.Server, c.Limit, p.tables.Self.Name, p.tables.Self.DataCentre)
+	if b.LenderCandidates == nil {
+		b.LenderCandidates = p.topology().connectionLenders(c.Server, c.Limit, p.tables.Self.Name, p.tables.Self.DataCentre)
 	}
 	for _, h := range p.candidates(b) {
 		if short <= 0 {
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -261,7 +261,7 @@
 	for _, name := range slices.Sorted(maps.Keys(f.current)) {
 		if name != p.name {
 			f.send(p, name, func(q *process) {
-				lease.Learn(q.tables, p.name, p.incarnation)
+				lease.ObserveIncarnation(q.tables, p.name, p.incarnation)
 				q.reports[p.name] = max(q.reports[p.name], applied)
 				q.agreed = max(q.agreed, agreed)
 				q.recompute()
@@ -276,7 +276,7 @@
 	hold := p.tables.Lease.Hold()
 	names := slices.Sorted(maps.Keys(p.f.current))
 	p.f.send(p, names[p.f.rng.IntN(len(names))], func(q *process) {
-		configs, agreed := q.tables.Shares.Relevant(), q.tables.Shares.Agreed()
+		configs, agreed := q.tables.Shares.EffectiveConfigs(), q.tables.Shares.Agreed()
 		current := q.tables.Config.Current()
 		p.f.reply(q, p, func() {
 			p.apply(current)
@@ -319,7 +319,7 @@
 	p.nextID++
 	id := state.WaiterID{Session: p.incarnation, Request: p.nextID}
 	now := p.local()
-	p.handleAdmission(customer, id, Take(p.tables, id, customer, 1, now, now.Add(deadline)))
+	p.handleAdmission(customer, id, Acquire(p.tables, id, customer, 1, now, now.Add(deadline)))
 	return id
 }
 
--- a/coordination/share/lend.go
+++ b/coordination/share/lend.go
@@ -70,7 +70,7 @@
 type grantHandler struct {
 	s    *state.Shares
 	book *state.LoanBook
-	hold state.Hold
+	hold state.LeaseHold
 	now  time.Time
 	from Peer
 	req  LoanRequest
@@ -98,7 +98,7 @@
 }
 
 // lentRecord returns this VM's record of the loan, or nil.
-func (h *grantHandler) lentRecord() *state.Lent {
+func (h *grantHandler) lentRecord() *state.GrantedLoan {
 	for i := range h.book.Lent {
 		r := &h.book.Lent[i]
 		if r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number {
@@ -111,7 +111,7 @@
 // removeReturnedLoan removes a loan that its borrower returned. The number is
 // recorded, so that a delayed copy of the request does not start the loan again.
 func (h *grantHandler) removeReturnedLoan() {
-	h.book.Lent = slices.DeleteFunc(h.book.Lent, func(r state.Lent) bool {
+	h.book.Lent = slices.DeleteFunc(h.book.Lent, func(r state.GrantedLoan) bool {
 		return r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number
 	})
 	returned := h.s.Returned[h.from.Name]
@@ -142,7 +142,7 @@
 }
 
 // renew moves the end of a loan. It never moves the end to an earlier time.
-func (h *grantHandler) renew(record *state.Lent, longest time.Duration) bool {
+func (h *grantHandler) renew(record *state.GrantedLoan, longest time.Duration) bool {
 	if h.req.Period <= 0 || h.req.Period > longest || !h.coveredByHold() {
 		return false
 	}
@@ -155,7 +155,7 @@
 // mayRenewRequests reports whether a loan may be renewed, which requires that the
 // lender's own demand is met by its remaining share and by the loans that it has
 // already refused to renew. It records the result in record.Refused.
-func (h *grantHandler) mayRenewRequests(c *state.CustomerShare, record *state.Lent) bool {
+func (h *grantHandler) mayRenewRequests(c *state.CustomerShare, record *state.GrantedLoan) bool {
 	returning := 0.0
 	for i := range h.book.Lent {
 		if h.book.Lent[i].Refused && &h.book.Lent[i] != record {
@@ -204,7 +204,7 @@
 	if answer.refused() {
 		return
 	}
-	h.book.Lent = append(h.book.Lent, state.Lent{
+	h.book.Lent = append(h.book.Lent, state.GrantedLoan{
 		Borrower: h.from.Name, Incarnation: h.from.Incarnation, Number: h.req.Number,
 		Rate: answer.Rate, Burst: answer.Burst, Tokens: answer.Tokens, EndsAt: h.endsAt(),
 	})
@@ -264,12 +264,12 @@
 // there were any.
 func expireLoans(s *state.Shares, b *state.LoanBook, at time.Time) bool {
 	before := len(b.Lent) + len(b.Borrowed)
-	b.Lent = slices.DeleteFunc(b.Lent, func(r state.Lent) bool { return !r.EndsAt.After(at) })
-	b.Borrowed = slices.DeleteFunc(b.Borrowed, func(r state.Borrowed) bool {
+	b.Lent = slices.DeleteFunc(b.Lent, func(r state.GrantedLoan) bool { return !r.EndsAt.After(at) })
+	b.Borrowed = slices.DeleteFunc(b.Borrowed, func(r state.BorrowedLoan) bool {
 		ended := !r.EndsAt.After(at)
 		if ended {
 			delete(s.Borrowed, r.Number)
-			if r.Phase == state.LoanAsked {
+			if r.Phase == state.LoanRequested {
 				recordRefusal(b, r.Lender, 0, at)
 			}
 		}
--- a/coordination/share/plan.go
+++ b/coordination/share/plan.go
@@ -35,22 +35,23 @@
 			if planDue(&c.Loans, now) {
 				p.planCustomer(c)
 			}
-			p.updateNext(&c.Loans, c.Loans.PlanAt)
+			p.updateNext(&c.Loans, c.Loans.NextPlanAt)
 		}
 		for _, c := range s.Servers {
 			if planDue(&c.Loans, now) {
 				p.planConnections(c)
 			}
-			p.updateNext(&c.Loans, c.Loans.PlanAt)
+			p.updateNext(&c.Loans, c.Loans.NextPlanAt)
 		}
 		effects = p.effects
 	})
 	return effects
 }
 
-// Leave makes this VM lend everything that it does not use itself, and return what it
-// borrowed. The caller has to go on calling Advance and Grant for one LoanPeriod.
-func Leave(t *state.ShareTable, now time.Time) {
+// Drain makes this VM lend everything that it does not use itself, and return
+// what it borrowed. The caller has to go on calling Advance and Grant for one
+// LoanPeriod.
+func Drain(t *state.ShareTable, now time.Time) {
 	t.With(func(s *state.Shares) {
 		s.Leaving = true
 		for _, c := range s.Customers {
@@ -66,7 +67,7 @@
 type planner struct {
 	tables         *state.Tables
 	s              *state.Shares
-	hold           state.Hold
+	hold           state.LeaseHold
 	now            time.Time
 	effects        Effects
 	requestCount   map[string]int // loan requests in the message to each VM
@@ -85,13 +86,13 @@
 
 // planDue reports whether the loans have to be planned now.
 func planDue(b *state.LoanBook, now time.Time) bool {
-	return !b.PlanAt.IsZero() && !b.PlanAt.After(now)
+	return !b.NextPlanAt.IsZero() && !b.NextPlanAt.After(now)
 }
 
 // schedulePlan makes Advance plan the loans at the given time at the latest.
 func schedulePlan(b *state.LoanBook, at time.Time) {
-	if b.PlanAt.IsZero() || at.Before(b.PlanAt) {
-		b.PlanAt = at
+	if b.NextPlanAt.IsZero() || at.Before(b.NextPlanAt) {
+		b.NextPlanAt = at
 	}
 }
 
@@ -102,17 +103,17 @@
 	at := now
 	switch len(c.Waiters) {
 	case 0:
-		recent := now.Sub(c.Loans.PlannedAt) < planInterval
+		recent := now.Sub(c.Loans.LastPlanAt) < planInterval
 		if s.Static || recent || c.Level >= capacity(c)/2 || currentDemand(&c.Demand, now) < minBorrowDemand {
 			return time.Time{}
 		}
 	case 1:
 	default:
-		if next := c.Loans.PlannedAt.Add(waitingPlanInterval); next.After(now) {
+		if next := c.Loans.LastPlanAt.Add(waitingPlanInterval); next.After(now) {
 			at = next
 		}
 	}
-	if due := c.Loans.PlanAt; !due.IsZero() && !due.After(at) {
+	if due := c.Loans.NextPlanAt; !due.IsZero() && !due.After(at) {
 		return time.Time{} // already scheduled
 	}
 	schedulePlan(&c.Loans, at)
@@ -122,7 +123,7 @@
 // planCustomer decides on waiting requests of a customer and plans its loans.
 func (p *planner) planCustomer(c *state.CustomerShare) {
 	b := &c.Loans
-	b.PlanAt, b.PlannedAt = time.Time{}, p.now
+	b.NextPlanAt, b.LastPlanAt = time.Time{}, p.now
 	advance(p.s, c, p.hold, p.now)
 	p.effects.Decisions = append(p.effects.Decisions, decideWaiting(p.s, c, p.hold, p.now)...)
 	if !p.s.Static {
@@ -150,9 +151,9 @@
 	for i := range c.Waiters {
 		at = earlier(at, c.Waiters[i].Deadline)
 	}
-	for _, n := range c.Loans.Notes {
-		if n.Until.After(p.now) {
-			at = earlier(at, n.Until)
+	for _, n := range c.Loans.LenderStats {
+		if n.RetryAfter.After(p.now) {
+			at = earlier(at, n.RetryAfter)
 		}
 	}
 	if at.Before(earliest) {
@@ -182,24 +183,24 @@
 // out VMs in back-off and those that still have a request to answer. VMs of other data
 // centres are included if no local one is left to ask, or if demand has been unmet
 // for remoteBorrowDelay.
-func (p *planner) candidates(b *state.LoanBook) []state.Holder {
-	asked := make(map[string]bool)
+func (p *planner) candidates(b *state.LoanBook) []state.LenderCandidate {
+	requested := make(map[string]bool)
 	awaitingLocal := false
 	for i := range b.Borrowed {
-		if r := &b.Borrowed[i]; r.Phase == state.LoanAsked {
-			asked[r.Lender] = true
+		if r := &b.Borrowed[i]; r.Phase == state.LoanRequested {
+			requested[r.Lender] = true
 			awaitingLocal = awaitingLocal || !r.Remote && answerExpected(r, p.now)
 		}
 	}
-	var local, remote []state.Holder
-	for _, h := range b.Holders {
-		n := b.Notes[h.VM]
+	var local, remote []state.LenderCandidate
+	for _, c := range b.LenderCandidates {
+		stats := b.LenderStats[c.VM]
 		switch {
-		case asked[h.VM] || n != nil && n.Until.After(p.now):
-		case h.Remote:
-			remote = append(remote, h)
+		case requested[c.VM] || stats != nil && stats.RetryAfter.After(p.now):
+		case c.Remote:
+			remote = append(remote, c)
 		default:
-			local = append(local, h)
+			local = append(local, c)
 		}
 	}
 	sortBySpare(b, local)
@@ -211,14 +212,14 @@
 }
 
 // sortBySpare sorts lenders by what they could last lend, the most first.
-func sortBySpare(b *state.LoanBook, holders []state.Holder) {
-	spare := func(h state.Holder) float64 {
-		if n := b.Notes[h.VM]; n != nil {
-			return n.Spare
+func sortBySpare(b *state.LoanBook, candidates []state.LenderCandidate) {
+	spare := func(c state.LenderCandidate) float64 {
+		if stats := b.LenderStats[c.VM]; stats != nil {
+			return stats.Spare
 		}
 		return 0
 	}
-	slices.SortStableFunc(holders, func(x, y state.Holder) int {
+	slices.SortStableFunc(candidates, func(x, y state.LenderCandidate) int {
 		switch {
 		case spare(x) > spare(y):
 			return -1
@@ -230,14 +231,14 @@
 }
 
 // requestLoan sends a new loan request if the message to that VM has room for it.
-func (p *planner) requestLoan(b *state.LoanBook, h state.Holder, req LoanRequest) {
-	if p.requestCount[h.VM] >= MaxLoansPerMessage {
+func (p *planner) requestLoan(b *state.LoanBook, lender state.LenderCandidate, req LoanRequest) {
+	if p.requestCount[lender.VM] >= MaxLoansPerMessage {
 		schedulePlan(b, p.now.Add(minPlanInterval))
 		return
 	}
 	p.s.NextLoan++
-	b.Borrowed = append(b.Borrowed, state.Borrowed{
-		Lender: h.VM, Number: p.s.NextLoan, Remote: h.Remote,
+	b.Borrowed = append(b.Borrowed, state.BorrowedLoan{
+		Lender: lender.VM, Number: p.s.NextLoan, Remote: lender.Remote,
 		Rate: req.Rate, Burst: req.Burst, Tokens: req.Tokens, Units: req.Units, Period: req.Period,
 		EndsAt: p.now.Add(loanRequestTimeout),
 	})
@@ -248,7 +249,7 @@
 
 // sendRequest adds a request for a loan to the message to its lender. If the message
 // is full, the request is left for the next one.
-func (p *planner) sendRequest(b *state.LoanBook, r *state.Borrowed, req LoanRequest) {
+func (p *planner) sendRequest(b *state.LoanBook, r *state.BorrowedLoan, req LoanRequest) {
 	if p.requestCount[r.Lender] >= MaxLoansPerMessage {
 		schedulePlan(b, p.now.Add(minPlanInterval))
 		return
@@ -275,15 +276,15 @@
 func (p *planner) resend(b *state.LoanBook, resource Resource, name string) {
 	for i := range b.Borrowed {
 		r := &b.Borrowed[i]
-		if r.Phase == state.LoanAsked && p.now.Sub(r.AskedAt) >= resendTimeout && r.Attempts < 2 {
+		if r.Phase == state.LoanRequested && p.now.Sub(r.AskedAt) >= resendTimeout && r.Attempts < 2 {
 			p.sendRequest(b, r, LoanRequest{Resource: resource, Name: name, Rate: r.Rate, Burst: r.Burst, Units: r.Units})
 		}
 	}
 }
 
 // renewalDue reports whether a loan has to be renewed now.
-func (p *planner) renewalDue(r *state.Borrowed) bool {
-	if r.Final || r.EndsAt.Sub(p.now) > r.Period/2 {
+func (p *planner) renewalDue(r *state.BorrowedLoan) bool {
+	if r.NotRenewable || r.EndsAt.Sub(p.now) > r.Period/2 {
 		return false
 	}
 	return p.now.Sub(r.AskedAt) >= resendTimeout
--- a/coordination/share/policy_test.go
+++ b/coordination/share/policy_test.go
@@ -190,9 +190,9 @@
 // its old and its new share, and gets the tokens for the rest once the ticket is
 // agreed.
 func TestRequestWaitsForAgreement(t *testing.T) {
-	hold := state.Hold{Since: epoch, Until: epoch.Add(time.Minute)}
+	hold := state.LeaseHold{Since: epoch, Until: epoch.Add(time.Minute)}
 	customer := &state.CustomerShare{Name: "c", Limit: state.RateShare{Rate: 100, Burst: 10}}
-	customer.Loans.Holders = []state.Holder{}
+	customer.Loans.LenderCandidates = []state.LenderCandidate{}
 	w := state.ShareWaiter{Cost: 1, Joined: epoch, Deadline: epoch.Add(5 * time.Second)}
 	ticket := func(n uint64) state.TicketShares { return state.TicketShares{Config: fleetConfig(n, 1)} }
 	for _, tt := range []struct {
--- a/coordination/share/tickets.go
+++ b/coordination/share/tickets.go
@@ -87,8 +87,9 @@
 
 // Recompute updates the base shares after a new ticket or a change of agreed (see
 // Agreed). agreed may also come from another VM. A new process may also pass the
-// configurations that another VM still respects (state.ShareTable.Relevant), if it
-// fetched them after its lease hold began.
+// configurations that another VM still respects
+// (state.ShareTable.EffectiveConfigs), if it fetched them after its lease hold
+// began.
 func Recompute(tables *state.Tables, config *state.Config, agreed uint64, now time.Time) {
 	hold := tables.Lease.Hold()
 	known := false
@@ -194,7 +195,7 @@
 }
 
 func updateCustomerBase(s *state.Shares, c *state.CustomerShare, customer *state.Customer) {
-	c.Loans.Holders = nil
+	c.Loans.LenderCandidates = nil
 	c.Limit, c.Base = state.RateShare{}, state.RateShare{}
 	if customer != nil {
 		c.Limit = state.RateShare{Rate: customer.Rate, Burst: customer.Burst}
@@ -210,7 +211,7 @@
 }
 
 func updateServerBase(s *state.Shares, c *state.ConnectionShare) {
-	c.Loans.Holders = nil
+	c.Loans.LenderCandidates = nil
 	c.Base, c.ReportedBase, c.Lendable = 0, 0, 0
 	if !hasAgreedTicket(s) {
 		return
@@ -241,12 +242,12 @@
 
 // resetOnNewHold empties the buckets when a new lease hold has begun. Another process
 // with this VM's name may have spent from the same shares until then.
-func resetOnNewHold(s *state.Shares, hold state.Hold) {
+func resetOnNewHold(s *state.Shares, hold state.LeaseHold) {
 	if hold.Since.Equal(s.HeldSince) {
 		return
 	}
 	if !(s.HeldSince.IsZero() && s.FirstProcess) {
-		s.EarlierLoansTill = hold.Since.Add(ConnectionLoanPeriod + lease.Margin(ConnectionLoanPeriod))
+		s.PredecessorLoansEnd = hold.Since.Add(ConnectionLoanPeriod + lease.Margin(ConnectionLoanPeriod))
 	}
 	s.HeldSince = hold.Since
 	for _, c := range s.Customers {
@@ -282,7 +283,7 @@
 	tables.Shares.With(func(s *state.Shares) {
 		resetOnNewHold(s, hold)
 		advanceAll(s, hold, now)
-		if n := len(s.Tickets); n > 0 && hold.Valid(now) && now.Sub(started) >= lease.Exclusive {
+		if n := len(s.Tickets); n > 0 && hold.Valid(now) && now.Sub(started) >= lease.ExclusivePeriod {
 			newest := &s.Tickets[n-1]
 			number := newest.Config.Ticket.Number
 			if s.Reported != number && voterChangeSettled(s, tables.Self.DataCentre, now) && usageFitsTicket(tables, s, newest, now) {
@@ -296,10 +297,10 @@
 }
 
 // voterChangeSettled reports whether the newest ticket leaves the VMs of this data
-// centre unchanged, or was applied at least lease.Exclusive ago.
+// centre unchanged, or was applied at least lease.ExclusivePeriod ago.
 func voterChangeSettled(s *state.Shares, dataCentre string, now time.Time) bool {
 	newest := s.Tickets[len(s.Tickets)-1]
-	if now.Sub(newest.Since) >= lease.Exclusive {
+	if now.Sub(newest.Since) >= lease.ExclusivePeriod {
 		return true
 	}
 	for _, t := range s.Tickets {
@@ -321,7 +322,7 @@
 			return false
 		}
 	}
-	earlierLoans := now.Before(s.EarlierLoansTill) && s.Agreed != t.Config.Ticket.Number
+	earlierLoans := now.Before(s.PredecessorLoansEnd) && s.Agreed != t.Config.Ticket.Number
 	if earlierLoans && !hasAgreedTicket(s) && !s.Static {
 		return false
 	}
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -40,10 +40,10 @@
 	// (docs/design.md).
 	maxRecoveryTime = 7 * time.Second
 	// maxStartTime is the time after which a process that replaces another must be
-	// ready. It waits 3 s plus 2 % plus 100 ms (lease.Exclusive) before it confirms
-	// any lease, its own included, again before it uses its share of the limits,
-	// and a third time if a ticket came while its predecessor failed; and then for
-	// one exchange interval.
+	// ready. It waits 3 s plus 2 % plus 100 ms (lease.ExclusivePeriod) before it
+	// confirms any lease, its own included, again before it uses its share of the
+	// limits, and a third time if a ticket came while its predecessor failed; and
+	// then for one exchange interval.
 	maxStartTime     = 10 * time.Second
 	pollInterval     = 10 * time.Millisecond
 	postRecoveryTime = 200 * time.Millisecond // workload after each VM acknowledged a write
--- a/rank.go
+++ b/rank.go
@@ -48,7 +48,7 @@
 	}
 	self := v.tables.Self
 	live := v.liveVMs.byDataCentre(v.tables, time.Now())
-	ownScore := lease.Score(group, self.Name)
+	ownScore := lease.RendezvousHash(group, self.Name)
 	seen := make(map[string]bool)
 	for _, s := range cfg.Groups[group].Servers {
 		if seen[s.DataCentre] {
@@ -57,7 +57,7 @@
 		seen[s.DataCentre] = true
 		higher := 0
 		for _, name := range live[s.DataCentre] {
-			if lease.Score(group, name) > ownScore {
+			if lease.RendezvousHash(group, name) > ownScore {
 				higher++
 			}
 		}
--- a/state/lease.go
+++ b/state/lease.go
@@ -6,14 +6,14 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Hold is a period during which this process may spend the VM's shares.
-type Hold struct {
+// LeaseHold is a period during which this process may spend the VM's shares.
+type LeaseHold struct {
 	Since time.Time // when a majority of the voters first confirmed this process
 	Until time.Time // when the confirmations received so far expire
 }
 
 // Valid reports whether the hold covers the given time.
-func (h Hold) Valid(now time.Time) bool { return !h.Since.IsZero() && now.Before(h.Until) }
+func (h LeaseHold) Valid(now time.Time) bool { return !h.Since.IsZero() && now.Before(h.Until) }
 
 // LeaseQuery is an unanswered query to a voter.
 type LeaseQuery struct {
@@ -38,7 +38,7 @@
 	NextQuery  uint64
 	Confirmed  map[string]time.Time // by voter, the sending time of the latest query that it confirmed
 	StoreSince time.Time            // when the store's object was first seen to name this incarnation
-	Hold       Hold
+	Hold       LeaseHold
 	Known      map[string]*VoterRecord // by VM name
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Hold returns the latest hold, which may have expired.
-func (t *LeaseTable) Hold() Hold {
+func (t *LeaseTable) Hold() LeaseHold {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lease.Hold
--- a/state/share.go
+++ b/state/share.go
@@ -22,9 +22,9 @@
 	Applied  map[string]bool      // VMs known to have applied this ticket
 }
 
-// Lent is a loan granted by this VM. What it lends is not available to this VM
-// until EndsAt.
-type Lent struct {
+// GrantedLoan is a loan granted by this VM. What it lends is not available to
+// this VM until EndsAt.
+type GrantedLoan struct {
 	Borrower    string
 	Incarnation uint64 // of the borrower
 	Number      uint64 // unique within the borrower's incarnation
@@ -41,55 +41,55 @@
 
 // Phases of a loan.
 const (
-	LoanAsked   LoanPhase = iota // not answered yet
-	LoanActive                   // in use until EndsAt
-	LoanClosing                  // connections above the remaining limit are being closed
+	LoanRequested LoanPhase = iota // not answered yet
+	LoanActive                     // in use until EndsAt
+	LoanClosing                    // connections above the remaining limit are being closed
 )
 
-// Borrowed is a loan that this VM has requested or uses.
-type Borrowed struct {
-	Lender      string
-	Incarnation uint64 // of the lender; zero until the loan is granted
-	Number      uint64
-	Phase       LoanPhase
-	Remote      bool // the lender is in another data centre
-	Rate        float64
-	Burst       float64
-	Tokens      float64 // requested; set while the phase is LoanAsked
-	Units       int
-	Period      time.Duration // how long the loan may be used, counted from sending a request
-	EndsAt      time.Time     // end of use; the deadline of an unanswered request
-	AskedAt     time.Time     // when the latest request or renewal was sent
-	Attempts    int           // requests sent since the last answer
-	Final       bool          // the lender does not extend it
-}
-
-// Holder is a VM with a base share.
-type Holder struct {
+// BorrowedLoan is a loan that this VM has requested or uses.
+type BorrowedLoan struct {
+	Lender       string
+	Incarnation  uint64 // of the lender; zero until the loan is granted
+	Number       uint64
+	Phase        LoanPhase
+	Remote       bool // the lender is in another data centre
+	Rate         float64
+	Burst        float64
+	Tokens       float64 // requested; set while the phase is LoanRequested
+	Units        int
+	Period       time.Duration // how long the loan may be used, counted from sending a request
+	EndsAt       time.Time     // end of use; the deadline of an unanswered request
+	AskedAt      time.Time     // when the latest request or renewal was sent
+	Attempts     int           // requests sent since the last answer
+	NotRenewable bool          // the lender does not extend it
+}
+
+// LenderCandidate is a VM with a base share.
+type LenderCandidate struct {
 	VM     string
 	Remote bool // in another data centre
 	Share  RateShare
 	Units  int
 }
 
-// LenderNote is this VM's record of a possible lender.
-type LenderNote struct {
-	Until     time.Time     // do not send a request before this time
-	Misses    int           // consecutive requests that yielded nothing
-	Spare     float64       // requests per second or units that the lender had left after its latest answer
-	RoundTrip time.Duration // of the latest request
+// LenderStats is this VM's record of a possible lender.
+type LenderStats struct {
+	RetryAfter time.Time     // do not send a request before this time
+	Refusals   int           // consecutive requests that yielded nothing
+	Spare      float64       // requests per second or units that the lender had left after its latest answer
+	RoundTrip  time.Duration // of the latest request
 }
 
 // LoanBook holds the loans of one customer's limit or one backend server's
 // connections.
 type LoanBook struct {
-	Lent       []Lent
-	Borrowed   []Borrowed
-	Holders    []Holder // possible lenders, in the order in which to ask; nil until needed
-	Notes      map[string]*LenderNote
-	UnmetSince time.Time // when demand began to exceed what this VM has; zero if it does not
-	PlanAt     time.Time // when loans must be planned next; zero if nothing is due
-	PlannedAt  time.Time // when loans were planned last
+	Lent             []GrantedLoan
+	Borrowed         []BorrowedLoan
+	LenderCandidates []LenderCandidate // possible lenders, in the order in which to ask; nil until needed
+	LenderStats      map[string]*LenderStats
+	UnmetSince       time.Time // when demand began to exceed what this VM has; zero if it does not
+	NextPlanAt       time.Time // when loans must be planned next; zero if nothing is due
+	LastPlanAt       time.Time // when loans were planned last
 }
 
 // ShareWaiter is a request that waits for a token.
@@ -151,9 +151,9 @@
 	Borrowed  map[uint64]LoanRef       // by loan number
 	Returned  map[string]ReturnedLoans // by borrower
 
-	HeldSince        time.Time // start of the lease hold in which the buckets were started
-	FirstProcess     bool      // no earlier process of this VM's name can have an outstanding loan
-	EarlierLoansTill time.Time // when connection loans of other processes of this name have ended
+	HeldSince           time.Time // start of the lease hold in which the buckets were started
+	FirstProcess        bool      // no earlier process of this VM's name can have an outstanding loan
+	PredecessorLoansEnd time.Time // when connection loans of other processes of this name have ended
 }
 
 // ReturnedLoans distinguishes requests that were delayed in the network from
@@ -191,10 +191,10 @@
 	f(&t.shares)
 }
 
-// Relevant returns the configurations that this VM must respect, ascending.
+// EffectiveConfigs returns the configurations that this VM must respect, ascending.
 // They start with the highest one that every VM is known to have applied, as
 // far as this VM has them.
-func (t *ShareTable) Relevant() []*Config {
+func (t *ShareTable) EffectiveConfigs() []*Config {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var configs []*Config
--- a/transport/limits/limits.go
+++ b/transport/limits/limits.go
@@ -139,7 +139,7 @@
 
 // Leave starts to lend what this VM does not use itself, and stops borrowing.
 func (l *Limits) Leave() {
-	share.Leave(l.Tables.Shares, time.Now())
+	share.Drain(l.Tables.Shares, time.Now())
 	l.advanceNow()
 }
 
@@ -167,7 +167,7 @@
 	now := time.Now()
 	reports := map[string]uint64{l.Tables.Self.Name: share.AppliedTicket(l.Tables, now)}
 	for _, m := range l.Tables.Members.All() {
-		lease.Learn(l.Tables, m.Name, m.Incarnation)
+		lease.ObserveIncarnation(l.Tables, m.Name, m.Incarnation)
 		if m.Name != l.Tables.Self.Name {
 			reports[m.Name] = m.AppliedTicket
 		}
@@ -275,7 +275,7 @@
 // Handle answers the lease query and the loan requests of another VM.
 func (l *Limits) Handle(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
 	now := time.Now()
-	lease.Learn(l.Tables, from.Name, from.Incarnation)
+	lease.ObserveIncarnation(l.Tables, from.Name, from.Incarnation)
 	if m.Lease != nil {
 		answer := lease.Confirm(l.Tables, from.Name, *m.Lease, now)
 		a.Lease = &answer
