--- a/coordination/share/acquire.go
+++ b/coordination/share/acquire.go
@@ -29,8 +29,8 @@
 	// maxTokenWait is the longest time that a request waits for tokens that this VM
 	// accrues itself.
 	maxTokenWait = 2 * time.Second
-	// maxLoanWait is the longest time that a request waits for a loan. Loans follow a
-	// demand that moves to this VM within about a second.
+	// maxLoanWait is the longest time that a request waits for a loan. When demand
+	// moves to this VM, loans follow within about a second.
 	maxLoanWait = time.Second
 	// defaultRetryDelay is the retry delay proposed if the time at which tokens will
 	// be available is unknown.
@@ -131,24 +131,24 @@
 }
 
 func estimateWait(s *state.Shares, c *state.CustomerShare, hold state.LeaseHold, now time.Time) waitEstimate {
-	p := waitEstimate{bucket: snapshotBucket(c), now: now, leaseValid: hold.Valid(now)}
-	p.loanAvailableFrom, p.loanPossible = loanAvailableFrom(s, c, now)
-	p.agreementPending = len(s.Tickets) > 1 && !s.Static
-	return p
+	e := waitEstimate{bucket: snapshotBucket(c), now: now, leaseValid: hold.Valid(now)}
+	e.loanAvailableFrom, e.loanPossible = loanAvailableFrom(s, c, now)
+	e.agreementPending = len(s.Tickets) > 1 && !s.Static
+	return e
 }
 
 // recheckAt returns when to check the request again, or false if it cannot be served
 // in time. total is the cost of the request and of those before it.
-func (p waitEstimate) recheckAt(w state.ShareWaiter, total float64) (time.Time, bool) {
-	if p.leaseValid {
-		until, ok := p.bucket.affordableAt(total, w.Cost, p.now)
+func (e waitEstimate) recheckAt(w state.ShareWaiter, total float64) (time.Time, bool) {
+	if e.leaseValid {
+		until, ok := e.bucket.affordableAt(total, w.Cost, e.now)
 		if ok && !until.After(earlier(w.Deadline, w.Joined.Add(maxTokenWait))) {
 			return until, true
 		}
 	}
 	until := earlier(w.Deadline, w.Joined.Add(maxLoanWait))
-	viable := !p.leaseValid || p.agreementPending || p.loanPossible && p.loanAvailableFrom.Before(until)
-	return until, viable && p.now.Before(until)
+	viable := !e.leaseValid || e.agreementPending || e.loanPossible && e.loanAvailableFrom.Before(until)
+	return until, viable && e.now.Before(until)
 }
 
 // loanAvailableFrom returns the earliest time at which a loan can be expected, or false
@@ -200,15 +200,15 @@
 		refusal := Admission{Verdict: Refused, RetryAt: retryAt(c, total, w.Cost, now)}
 		decisions = append(decisions, Decision{w.ID, c.Name, refusal})
 	}
-	p := estimateWait(s, c, hold, now)
+	e := estimateWait(s, c, hold, now)
 	kept, total := c.Waiters[:0], 0.0
 	for _, w := range c.Waiters {
-		switch _, viable := p.recheckAt(w, total+w.Cost); {
+		switch _, viable := e.recheckAt(w, total+w.Cost); {
 		case !now.Before(w.Deadline):
 			refuse(w, total+w.Cost)
 		case len(kept) == 0 && spendTokens(c, hold, w.Cost, now):
 			decisions = append(decisions, Decision{w.ID, c.Name, Admission{Verdict: Granted}})
-			p.bucket.level = c.Level
+			e.bucket.level = c.Level
 		case viable:
 			kept = append(kept, w)
 			total += w.Cost
--- a/coordination/share/base.go
+++ b/coordination/share/base.go
@@ -112,10 +112,10 @@
 // requestLenders returns the other VMs that have a base share of the customer's limit.
 func (t topology) requestLenders(c *state.Customer, self, dataCentre string) []state.LenderCandidate {
 	var candidates []state.LenderCandidate
-	for _, p := range t.all {
-		share := t.requestShare(c, p.vm, p.dataCentre)
-		if p.vm != self && share.Rate > 0 {
-			candidates = append(candidates, state.LenderCandidate{VM: p.vm, Remote: p.dataCentre != dataCentre, Share: share})
+	for _, v := range t.all {
+		share := t.requestShare(c, v.vm, v.dataCentre)
+		if v.vm != self && share.Rate > 0 {
+			candidates = append(candidates, state.LenderCandidate{VM: v.vm, Remote: v.dataCentre != dataCentre, Share: share})
 		}
 	}
 	return sortLenders(candidates, self)
@@ -140,9 +140,9 @@
 func (t topology) rank(key, vm string) int {
 	own := lease.RendezvousHash(key, vm)
 	rank := 0
-	for _, p := range t.all {
-		score := lease.RendezvousHash(key, p.vm)
-		if score > own || score == own && p.vm < vm {
+	for _, v := range t.all {
+		score := lease.RendezvousHash(key, v.vm)
+		if score > own || score == own && v.vm < vm {
 			rank++
 		}
 	}
@@ -157,13 +157,13 @@
 	}
 	extra := t.vmsWithExtraConnection(server, limit%len(t.all))
 	var candidates []state.LenderCandidate
-	for _, p := range t.all {
+	for _, v := range t.all {
 		units := limit / len(t.all)
-		if extra[p.vm] {
+		if extra[v.vm] {
 			units++
 		}
-		if p.vm != self && units > 0 {
-			candidates = append(candidates, state.LenderCandidate{VM: p.vm, Remote: p.dataCentre != dataCentre, Units: units})
+		if v.vm != self && units > 0 {
+			candidates = append(candidates, state.LenderCandidate{VM: v.vm, Remote: v.dataCentre != dataCentre, Units: units})
 		}
 	}
 	return sortLenders(candidates, self)
@@ -173,8 +173,8 @@
 // the server.
 func (t topology) vmsWithExtraConnection(server string, n int) map[string]bool {
 	names := make([]string, len(t.all))
-	for i, p := range t.all {
-		names[i] = p.vm
+	for i, v := range t.all {
+		names[i] = v.vm
 	}
 	extra := make(map[string]bool, n)
 	for _, name := range lease.Rendezvous(server, names)[:n] {
--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -16,8 +16,8 @@
 	// minBorrowDemand is the demand in requests per second from which rate is
 	// borrowed. Below it, only tokens are borrowed, as requests need them: a rate
 	// spread over many VMs fills buckets with a capacity of about one token, and the
-	// excess is lost. With 8 instead of 30, a customer with 20 requests per second had
-	// 41 % instead of 11 % of its requests delayed.
+	// excess is lost. With 8, 41 % of the requests of a customer with 20 requests per
+	// second are delayed; with 30, 11 %.
 	minBorrowDemand = 30
 	// A loan of tokens lasts tokenLoanRoundTrips times the latest round trip to the
 	// lender, but at least minTokenLoan, and defaultTokenLoan if no round trip is
@@ -25,15 +25,17 @@
 	tokenLoanRoundTrips = 10
 	minTokenLoan        = 30 * time.Millisecond
 	defaultTokenLoan    = 200 * time.Millisecond
-	// A VM borrows the whole rate of a customer if its demand exceeds the fraction
-	// dominanceStart of it, and stops doing so at the fraction dominanceEnd.
+	// A VM borrows the whole rate of a customer with a rate below 2*minBorrowDemand if
+	// its demand exceeds the fraction dominanceStart of that rate, and stops doing so at
+	// the fraction dominanceEnd.
 	dominanceStart = 0.5
 	dominanceEnd   = 0.25
 	// backlogDrainTime is the time in which a borrower aims to serve the requests that
 	// are already waiting.
 	backlogDrainTime = 200 * time.Millisecond
 	// localTokenWait is how long a request waits for this VM's own tokens before
-	// tokens are borrowed for it. A message and its answer take 2 to 3 ms.
+	// tokens are borrowed for it. A message and its answer take 2 to 3 ms. It is also
+	// the minimum back-off from a lender that proposed a delay.
 	localTokenWait = 5 * time.Millisecond
 
 	// resendTimeout is the time after which an unanswered request is sent again.
@@ -41,16 +43,16 @@
 	// loanRequestTimeout is the time after which an unanswered request is abandoned.
 	loanRequestTimeout = 800 * time.Millisecond
 	// remoteBorrowDelay is how long demand is unmet before VMs of other data centres
-	// are asked although some in the local one may still lend. With 1 s, requests
-	// waited that long if the local data centre had only a small remainder to lend.
+	// are asked although some in the local one may still lend. With 1 s, requests would
+	// wait that long if the local data centre has only a small remainder to lend.
 	remoteBorrowDelay = 50 * time.Millisecond
-	// A VM that lent nothing is not asked again for minBackoff, which doubles with
-	// each refusal up to earlyMaxBackoff. After earlyMisses refusals it doubles
-	// further up to maxBackoff: by then, the loans to a VM that demand has moved away
-	// from have been returned.
+	// A VM that lent nothing is not asked again for minBackoff. The back-off doubles
+	// with each consecutive refusal up to earlyMaxBackoff, and further up to maxBackoff
+	// if more than earlyRefusals refusals came before: by then, the loans to a VM that
+	// demand has moved away from have been returned.
 	minBackoff      = 50 * time.Millisecond
 	earlyMaxBackoff = 200 * time.Millisecond
-	earlyMisses     = 6
+	earlyRefusals   = 6
 	maxBackoff      = 2 * time.Second
 	// expectedAnswerTime is how long the amount of an unanswered request counts as
 	// expected. Afterwards other VMs are asked as well.
@@ -160,8 +162,8 @@
 		n.Refusals = 0
 	}
 	backoff := min(minBackoff<<min(n.Refusals, 10), earlyMaxBackoff)
-	if n.Refusals > earlyMisses {
-		backoff = min(earlyMaxBackoff<<min(n.Refusals-earlyMisses, 10), maxBackoff)
+	if n.Refusals > earlyRefusals {
+		backoff = min(earlyMaxBackoff<<min(n.Refusals-earlyRefusals, 10), maxBackoff)
 	}
 	if hint > 0 {
 		backoff = min(max(hint, localTokenWait), earlyMaxBackoff)
@@ -228,8 +230,10 @@
 	}
 }
 
-// hasDominantDemand reports whether most of the customer's demand arrives at this VM.
-// It then borrows the whole rate, since no other VM has more use for it.
+// hasDominantDemand reports whether the demand at this VM is so large a fraction of the
+// customer's rate (see dominanceStart) that it borrows the whole rate, since no other VM
+// has more use for it. It is never so for customers with a rate of 2*minBorrowDemand or
+// more.
 func hasDominantDemand(c *state.CustomerShare, demand float64) bool {
 	if c.Limit.Rate >= 2*minBorrowDemand {
 		return false
@@ -283,18 +287,18 @@
 	if b.LenderCandidates == nil {
 		b.LenderCandidates = p.lendersFor(c.Name)
 	}
-	for _, h := range p.candidates(b) {
+	for _, lender := range p.candidates(b) {
 		switch {
 		case shortRate > 0:
-			r := min(shortRate, h.Share.Rate)
-			burst := min(h.Share.Burst, max(shortTokens, r*c.Limit.Burst/c.Limit.Rate))
+			r := min(shortRate, lender.Share.Rate)
+			burst := min(lender.Share.Burst, max(shortTokens, r*c.Limit.Burst/c.Limit.Rate))
 			tokens := min(burst, max(0, shortTokens))
-			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
+			p.requestLoan(b, lender, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
 			shortRate -= r
 			shortTokens -= tokens
 		case shortTokens > 0:
-			tokens := min(shortTokens, h.Share.Burst)
-			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.LenderStats[h.VM])})
+			tokens := min(shortTokens, lender.Share.Burst)
+			p.requestLoan(b, lender, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.LenderStats[lender.VM])})
 			shortTokens -= tokens
 		}
 	}
--- a/coordination/share/broken_test.go
+++ b/coordination/share/broken_test.go
@@ -19,39 +19,40 @@
 	broken hooks
 	// script sets up the situation in which the rule matters, if random runs seldom
 	// reach it.
-	script func(w *simulation)
+	script func(s *simulation)
 }
 
-// faultFreePlan is the plan for scripts.
+// faultFreePlan is the plan in which scripts run: three VMs in one data centre, fast
+// clocks and no faults.
 var faultFreePlan = plan{Layout: []int{3}, Clocks: "fast"}
 
 // startSecondProcess starts a second process of vm1 at 10 s while the first continues.
-func startSecondProcess(w *simulation) {
-	w.f.after(10*time.Second, func() { w.f.start("vm1", "dc1", w.speed(), w.f.config) })
+func startSecondProcess(s *simulation) {
+	s.f.after(10*time.Second, func() { s.f.start("vm1", "dc1", s.speed(), s.f.config) })
 }
 
 // saturateBuckets lets the buckets fill, then sends enough requests to spend every
 // token at once, and starts a second process of vm1. If the bucket of that process
 // started full, it would hold tokens that the first process has spent.
-func saturateBuckets(w *simulation) {
+func saturateBuckets(s *simulation) {
 	const begin = 25 * time.Second
-	w.f.after(begin+5*time.Second, func() { w.f.start("vm1", "dc1", w.speed(), w.f.config) })
-	w.script = func(string) (*process, float64) {
-		if w.f.now < begin {
+	s.f.after(begin+5*time.Second, func() { s.f.start("vm1", "dc1", s.speed(), s.f.config) })
+	s.script = func(string) (*process, float64) {
+		if s.f.now < begin {
 			return nil, 10
 		}
-		running := w.f.running()
-		return running[w.f.rng.IntN(len(running))], 10
+		running := s.f.running()
+		return running[s.f.rng.IntN(len(running))], 10
 	}
 }
 
 // delayAnswersToFirstProcess starts a second process of vm1 and delays all messages to
 // the first one, so that it learns late of the second.
-func delayAnswersToFirstProcess(w *simulation) {
-	startSecondProcess(w)
-	normalLatency := w.f.latency
-	w.f.latency = func(from, to *process) time.Duration {
-		if w.f.now > 5*time.Second && to.name == "vm1" && to.incarnation == 1 {
+func delayAnswersToFirstProcess(s *simulation) {
+	startSecondProcess(s)
+	normalLatency := s.f.latency
+	s.f.latency = func(from, to *process) time.Duration {
+		if s.f.now > 5*time.Second && to.name == "vm1" && to.incarnation == 1 {
 			return 2500 * time.Millisecond
 		}
 		return normalLatency(from, to)
@@ -60,28 +61,28 @@
 
 // restartUninformedVoter starts a second process of vm1 that vm3 learns of but vm2 does
 // not, and restarts vm2.
-func restartUninformedVoter(w *simulation) {
-	startSecondProcess(w)
-	w.f.blocked = func(from, to *process) bool {
-		return w.f.now < 13500*time.Millisecond && w.f.now > 10*time.Second &&
+func restartUninformedVoter(s *simulation) {
+	startSecondProcess(s)
+	s.f.blocked = func(from, to *process) bool {
+		return s.f.now < 13500*time.Millisecond && s.f.now > 10*time.Second &&
 			(to.name == "vm2" && (from.name != "vm1" || from.incarnation == 2) || from.name == "vm3" && to.incarnation == 1)
 	}
-	w.f.after(13500*time.Millisecond, func() {
-		w.f.current["vm2"].dead = true
-		w.f.start("vm2", "dc1", w.speed(), w.f.config)
+	s.f.after(13500*time.Millisecond, func() {
+		s.f.current["vm2"].dead = true
+		s.f.start("vm2", "dc1", s.speed(), s.f.config)
 	})
 }
 
 // borrowLargeLoans makes vm1, whose clock is slow, borrow the shares of the other VMs,
 // which periodically need them back.
-func borrowLargeLoans(w *simulation) {
-	addCustomer(w.f.config, "large", 900, 9)
-	w.limits["large"] = &referenceBucket{rate: 900, burst: 9, level: 9}
-	w.f.after(0, func() { w.f.current["vm1"].speed = 0.99 })
-	w.script = func(customer string) (*process, float64) {
-		p := w.f.current["vm1"]
-		if others := w.f.running(); int(w.f.now/(4*time.Second))%2 == 1 {
-			p = others[w.f.rng.IntN(len(others))]
+func borrowLargeLoans(s *simulation) {
+	addCustomer(s.f.config, "large", 900, 9)
+	s.limits["large"] = &referenceBucket{rate: 900, burst: 9, level: 9}
+	s.f.after(0, func() { s.f.current["vm1"].speed = 0.99 })
+	s.script = func(customer string) (*process, float64) {
+		p := s.f.current["vm1"]
+		if others := s.f.running(); int(s.f.now/(4*time.Second))%2 == 1 {
+			p = others[s.f.rng.IntN(len(others))]
 		}
 		if customer != "large" {
 			p = nil
@@ -92,19 +93,19 @@
 
 // replaceLender replaces a VM that has lent its share. The new process gets requests
 // of its own, while messages of the borrower still reach the old one.
-func replaceLender(w *simulation) {
-	borrowLargeLoans(w)
-	w.f.after(15*time.Second, func() { w.f.start("vm2", "dc1", w.speed(), w.f.config) })
-	w.f.route = func(from *process, name string) *process {
+func replaceLender(s *simulation) {
+	borrowLargeLoans(s)
+	s.f.after(15*time.Second, func() { s.f.start("vm2", "dc1", s.speed(), s.f.config) })
+	s.f.route = func(from *process, name string) *process {
 		if from.name == "vm1" && name == "vm2" {
-			return w.f.procs[1]
+			return s.f.procs[1]
 		}
-		return w.f.target(name)
+		return s.f.target(name)
 	}
-	w.script = func(customer string) (*process, float64) {
-		p := w.f.current["vm1"]
-		if w.f.now > 15*time.Second && w.f.rng.IntN(2) == 0 {
-			p = w.f.current["vm2"]
+	s.script = func(customer string) (*process, float64) {
+		p := s.f.current["vm1"]
+		if s.f.now > 15*time.Second && s.f.rng.IntN(2) == 0 {
+			p = s.f.current["vm2"]
 		}
 		if customer != "large" {
 			p = nil
@@ -113,11 +114,11 @@
 	}
 }
 
-// delayAnswers delays the answers to vm1 by 500 ms.
-func delayAnswers(w *simulation) {
-	borrowLargeLoans(w)
-	normalLatency := w.f.latency
-	w.f.latency = func(from, to *process) time.Duration {
+// delayAnswers runs borrowLargeLoans with a latency of 500 ms for all messages to vm1.
+func delayAnswers(s *simulation) {
+	borrowLargeLoans(s)
+	normalLatency := s.f.latency
+	s.f.latency = func(from, to *process) time.Duration {
 		if to.name == "vm1" {
 			return 500 * time.Millisecond
 		}
@@ -128,17 +129,17 @@
 // restartLender makes vm1 borrow connections of the other VMs, which then need them
 // themselves, and restarts one of these. The connections that its old process lent
 // are in use until after the lease hold of the new one has begun.
-func restartLender(w *simulation) {
+func restartLender(s *simulation) {
 	const restart = 10500 * time.Millisecond // right after a renewal of the loans
-	w.wanted = func(p *process) int {
-		if p.name == "vm1" || w.f.now >= restart {
+	s.wanted = func(p *process) int {
+		if p.name == "vm1" || s.f.now >= restart {
 			return 20
 		}
 		return 0
 	}
-	w.f.after(restart, func() {
-		w.f.current["vm2"].dead = true
-		w.f.start("vm2", "dc1", w.speed(), w.f.config)
+	s.f.after(restart, func() {
+		s.f.current["vm2"].dead = true
+		s.f.start("vm2", "dc1", s.speed(), s.f.config)
 	})
 }
 
@@ -193,8 +194,8 @@
 }
 
 func brokenRules() []rule {
-	held := make(map[*process]time.Time)
-	var until time.Time
+	held := make(map[*process]time.Time) // start of the hold in which the buckets were filled
+	var until time.Time                  // end of the lender's hold before it was extended
 	return []rule{
 		{name: "lender reclaims without margin", script: borrowLargeLoans, broken: hooks{granted: func(p *process, from Peer, req LoanRequest) {
 			p.tables.Shares.With(func(s *state.Shares) {
@@ -310,7 +311,7 @@
 
 // Guards against checks that do not detect a broken rule, and against rules that are
 // not needed.
-func TestBrokenRulesAreNoticed(t *testing.T) {
+func TestBrokenRulesAreDetected(t *testing.T) {
 	for _, r := range brokenRules() {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
--- a/coordination/share/connections.go
+++ b/coordination/share/connections.go
@@ -216,13 +216,13 @@
 	if b.LenderCandidates == nil {
 		b.LenderCandidates = p.topology().connectionLenders(c.Server, c.Limit, p.tables.Self.Name, p.tables.Self.DataCentre)
 	}
-	for _, h := range p.candidates(b) {
+	for _, lender := range p.candidates(b) {
 		if short <= 0 {
 			return
 		}
-		units := min(short, lendableConnections(h.Units, c.Limit, len(p.topology().all)))
+		units := min(short, lendableConnections(lender.Units, c.Limit, len(p.topology().all)))
 		if units > 0 {
-			p.requestLoan(b, h, LoanRequest{Resource: Connections, Name: c.Server, Units: units, Period: ConnectionLoanPeriod})
+			p.requestLoan(b, lender, LoanRequest{Resource: Connections, Name: c.Server, Units: units, Period: ConnectionLoanPeriod})
 			short -= units
 		}
 	}
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -20,7 +20,7 @@
 	rng          *rand.Rand
 	now          time.Duration // real time
 	events       eventQueue
-	seq          int
+	seq          int // number of the latest event
 	procs        []*process
 	current      map[string]*process
 	store        map[string]uint64 // incarnation in the lease object, by VM
@@ -37,7 +37,7 @@
 	loanMessages int              // number of messages with loan requests
 }
 
-// faults are probabilities for each message.
+// faults holds the probability of each message fault, and whether the store is down.
 type faults struct {
 	lost, repeated, slow float64
 	storeDown            bool
@@ -56,7 +56,7 @@
 	receiving  func(p *process, a LoanAnswer, sentAt *time.Time) // before a borrower applies an answer
 }
 
-// proc is one process of a VM.
+// process is one process of a VM.
 type process struct {
 	f           *fleet
 	name, dc    string
@@ -65,15 +65,15 @@
 	speed       float64 // of its clock, relative to real time
 	pausedUntil time.Duration
 	dead        bool
-	timer       int // generation of the timer for Advance
-	reports     map[string]uint64
-	agreed      uint64
+	timer       int               // generation of the timer for Advance
+	reports     map[string]uint64 // applied ticket reported by each VM
+	agreed      uint64            // highest ticket that another process knows to be applied by all
 	nextID      uint64
 }
 
 type event struct {
 	at  time.Duration
-	seq int
+	seq int // orders events at the same time
 	run func()
 }
 
--- a/coordination/share/lend.go
+++ b/coordination/share/lend.go
@@ -26,8 +26,8 @@
 
 	// lendHeadroom is the multiple of its own demand that a lender reserves.
 	lendHeadroom = 1.2
-	// reservedTokens is the part of the burst that a lender does not lend, so that its
-	// own next request need not wait.
+	// reservedTokens is the part of the burst, in requests, that a lender does not lend,
+	// so that its own next request need not wait.
 	reservedTokens = 1
 	// idleTimeout is the time without a request of a customer after which a VM
 	// reserves nothing for the customer's next one.
@@ -35,7 +35,7 @@
 	// minLoanRate is the minimum rate of a loan in requests per second.
 	minLoanRate = 0.5
 	// minLoanFraction is the minimum fraction of the requested rate that is lent.
-	// Smaller loans would split a share into many while demand decays.
+	// With smaller loans, a share would be split into many loans while demand decays.
 	minLoanFraction = 0.25
 )
 
@@ -141,7 +141,8 @@
 	return h.req.Resource == Connections || !h.endsAt().After(h.hold.Until)
 }
 
-// renew moves the end of a loan. It never moves the end to an earlier time.
+// renew moves the end of a loan to a later time, never to an earlier one. It reports
+// whether the loan is renewed.
 func (h *grantHandler) renew(record *state.GrantedLoan, longest time.Duration) bool {
 	if h.req.Period <= 0 || h.req.Period > longest || !h.coveredByHold() {
 		return false
@@ -261,7 +262,7 @@
 }
 
 // expireLoans removes the loans that have ended by the given time. It reports whether
-// there were any.
+// there were any. A request that is still unanswered counts as refused.
 func expireLoans(s *state.Shares, b *state.LoanBook, at time.Time) bool {
 	before := len(b.Lent) + len(b.Borrowed)
 	b.Lent = slices.DeleteFunc(b.Lent, func(r state.GrantedLoan) bool { return !r.EndsAt.After(at) })
--- a/coordination/share/limits_test.go
+++ b/coordination/share/limits_test.go
@@ -28,24 +28,25 @@
 type faultEvent struct {
 	At   time.Duration
 	Kind string
-	VM   int
-	For  time.Duration
+	VM   int           // index among the VM names in order, modulo their number
+	For  time.Duration // how long the fault lasts; take out, put back: above 6 s, the whole data centre changes
 }
 
 // plan describes one run of a fleet under faults.
 type plan struct {
 	Seed        uint64
-	Layout      []int // number of VMs in each data centre
-	Lost        float64
-	Repeated    float64
-	Slow        float64
-	StoreDown   bool
+	Layout      []int   // number of VMs in each data centre
+	Lost        float64 // probability that a message is lost
+	Repeated    float64 // probability that an extra copy of a message is sent
+	Slow        float64 // probability that a message is delayed further, by 1 s on average
+	StoreDown   bool    // from planStart on
 	Static      bool
-	Clocks      string
+	Clocks      string // how clock speeds are drawn; see speed
 	FaultEvents []faultEvent
 }
 
-// timeBetween draws uniformly between two times; IntRange prefers small numbers.
+// timeBetween draws uniformly between two times in steps of 50 ms; IntRange prefers
+// small numbers.
 func timeBetween(from, to time.Duration) *rapid.Generator[time.Duration] {
 	var all []time.Duration
 	for at := from; at < to; at += 50 * time.Millisecond {
@@ -84,24 +85,24 @@
 	script    func(customer string) (p *process, load float64) // target and load of requests; optional
 	wanted    func(p *process) int                             // connections wanted to each server; optional
 	limits    map[string]*referenceBucket                      // by customer
-	configs   []*state.Config
-	open      map[*process]map[string]int // connections, by server
-	evaluated map[*process]time.Duration  // when the connections were last adjusted to their limits
-	agreed    uint64
+	configs   []*state.Config                                  // of all tickets
+	open      map[*process]map[string]int                      // connections, by server
+	evaluated map[*process]time.Duration                       // when the connections were last adjusted to their limits
+	agreed    uint64                                           // highest ticket that any process knows to be applied by all
 	spends    int
 	violation string
 }
 
-func (w *simulation) fail(format string, args ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf("%v: ", w.f.now) + fmt.Sprintf(format, args...)
+func (s *simulation) fail(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf("%v: ", s.f.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 // run runs a plan and returns the first violation, if any. script may be nil.
-func (p plan) run(h hooks, script func(w *simulation)) (violation string, spends int) {
+func (p plan) run(h hooks, script func(s *simulation)) (violation string, spends int) {
 	config := fleetConfig(1, p.Layout...)
-	w := &simulation{
+	s := &simulation{
 		f: newFleet(p.Seed, config), clocks: p.Clocks, limits: make(map[string]*referenceBucket), configs: []*state.Config{config},
 		open: make(map[*process]map[string]int), evaluated: make(map[*process]time.Duration),
 	}
@@ -110,37 +111,37 @@
 	addCustomer(config, "changing", 20, 8)
 	for _, name := range []string{"small", "medium"} {
 		c := config.Customers[name]
-		w.limits[name] = &referenceBucket{rate: c.Rate, burst: c.Burst, level: c.Burst}
+		s.limits[name] = &referenceBucket{rate: c.Rate, burst: c.Burst, level: c.Burst}
 	}
-	w.limits["changing"] = &referenceBucket{}
+	s.limits["changing"] = &referenceBucket{}
 	config.Groups["g"] = &state.Group{Name: "g", Servers: []state.BackendServer{
 		{Name: "few", Connections: 3}, {Name: "some", Connections: 5}, {Name: "many", Connections: 17},
 	}}
-	f := w.f
+	f := s.f
 	f.hooks, f.static = h, p.Static
 	f.faults = faults{lost: p.Lost, repeated: p.Repeated, slow: p.Slow}
-	f.onSpend, f.changed = w.checkSpend, w.resize
+	f.onSpend, f.changed = s.checkSpend, s.resize
 	if script != nil {
-		script(w)
+		script(s)
 	}
-	f.startAll(w.speed)
+	f.startAll(s.speed)
 	for _, d := range p.FaultEvents {
-		f.after(d.At, func() { w.inject(d) })
+		f.after(d.At, func() { s.inject(d) })
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Customers)) {
-		f.after(time.Second, func() { w.sendRequests(name) })
+		f.after(time.Second, func() { s.sendRequests(name) })
 	}
-	f.after(time.Second, w.wantConnections)
+	f.after(time.Second, s.wantConnections)
 	f.after(planStart, func() { f.faults.storeDown = p.StoreDown })
 	f.runUntil(planLength)
-	return w.violation, w.spends
+	return s.violation, s.spends
 }
 
 // speed draws the speed of a clock, up to 1 % fast or slow. With all clocks fast, the
 // fleet uses its limits to within 0.01 %, which makes the check most sensitive.
-func (w *simulation) speed() float64 {
-	draw := w.f.rng.Float64()
-	switch w.clocks {
+func (s *simulation) speed() float64 {
+	draw := s.f.rng.Float64()
+	switch s.clocks {
 	case "fast":
 		return 1.01
 	case "extreme":
@@ -151,30 +152,30 @@
 
 // checkSpend checks that a process that grants a request has a valid lease hold, that
 // no other process with its name has one, and that the limit is respected.
-func (w *simulation) checkSpend(p *process, customer string) {
-	w.spends++
+func (s *simulation) checkSpend(p *process, customer string) {
+	s.spends++
 	if !lease.Valid(p.tables.Lease, p.local()) {
-		w.fail("%s/%d spends without a valid lease", p.name, p.incarnation)
+		s.fail("%s/%d spends without a valid lease", p.name, p.incarnation)
 	}
-	for _, q := range w.f.procs {
+	for _, q := range s.f.procs {
 		if q != p && q.name == p.name && !q.dead && lease.Valid(q.tables.Lease, q.local()) {
-			w.fail("%s/%d spends while %d holds the lease", p.name, p.incarnation, q.incarnation)
+			s.fail("%s/%d spends while %d holds the lease", p.name, p.incarnation, q.incarnation)
 		}
 	}
-	if b := w.limits[customer]; !b.spend(w.f.now, 1) {
-		w.fail("%s exceeds its limit by %.3f", customer, -b.level)
+	if b := s.limits[customer]; !b.spend(s.f.now, 1) {
+		s.fail("%s exceeds its limit by %.3f", customer, -b.level)
 	}
 }
 
 // updateChangingLimit sets the limit of the customer "changing" to that of the highest
 // ticket that any process knows to be applied by all.
-func (w *simulation) updateChangingLimit(p *process) {
-	w.agreed = max(w.agreed, p.tables.Shares.Agreed())
-	b := w.limits["changing"]
-	b.advance(w.f.now)
+func (s *simulation) updateChangingLimit(p *process) {
+	s.agreed = max(s.agreed, p.tables.Shares.Agreed())
+	b := s.limits["changing"]
+	b.advance(s.f.now)
 	b.rate, b.burst = 0, 0
-	for _, c := range w.configs {
-		if c.Ticket.Number == w.agreed {
+	for _, c := range s.configs {
+		if c.Ticket.Number == s.agreed {
 			b.rate, b.burst = c.Customers["changing"].Rate, c.Customers["changing"].Burst
 		}
 	}
@@ -183,12 +184,12 @@
 
 // sendRequests sends requests of a customer at about 2.5 times its rate, most of them
 // to one VM, which changes over time.
-func (w *simulation) sendRequests(customer string) {
-	f := w.f
+func (s *simulation) sendRequests(customer string) {
+	f := s.f
 	load := 2.5
 	var p *process
-	if w.script != nil {
-		p, load = w.script(customer)
+	if s.script != nil {
+		p, load = s.script(customer)
 	} else if running := f.running(); len(running) > 0 {
 		p = running[(int(f.now/(3*time.Second))+len(customer))%len(running)]
 		if f.rng.IntN(3) == 0 {
@@ -200,98 +201,98 @@
 		f.runOn(p, 0, func() { p.request(customer, deadline) })
 	}
 	rate := load * f.config.Customers[customer].Rate
-	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.sendRequests(customer) })
+	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() { s.sendRequests(customer) })
 }
 
 // wantConnections changes how many connections the VMs want.
-func (w *simulation) wantConnections() {
-	for _, p := range w.f.procs {
-		server := []string{"few", "some", "many"}[w.f.rng.IntN(3)]
-		wanted := w.f.rng.IntN(8)
-		if w.wanted != nil {
-			wanted = w.wanted(p)
+func (s *simulation) wantConnections() {
+	for _, p := range s.f.procs {
+		server := []string{"few", "some", "many"}[s.f.rng.IntN(3)]
+		wanted := s.f.rng.IntN(8)
+		if s.wanted != nil {
+			wanted = s.wanted(p)
 		}
-		w.f.runOn(p, 0, func() {
+		s.f.runOn(p, 0, func() {
 			if WantConnections(p.tables, server, wanted, p.local()) {
 				p.advance()
 			}
-			w.resize(p)
+			s.resize(p)
 		})
 	}
-	w.f.after(300*time.Millisecond, w.wantConnections)
+	s.f.after(300*time.Millisecond, s.wantConnections)
 }
 
 // resize adjusts the connections of a process to its limits and checks their sum over
 // all processes. All allowed connections are opened; those that may finish are closed
 // after a random time.
-func (w *simulation) resize(p *process) {
-	if w.open[p] == nil {
-		w.open[p] = make(map[string]int)
+func (s *simulation) resize(p *process) {
+	if s.open[p] == nil {
+		s.open[p] = make(map[string]int)
 	}
-	w.updateChangingLimit(p)
-	w.evaluated[p] = w.f.now
+	s.updateChangingLimit(p)
+	s.evaluated[p] = s.f.now
 	for _, server := range []string{"few", "some", "many"} {
 		limits := ConnectionLimit(p.tables, server, p.local())
-		open := min(w.open[p][server], limits.Keep)
-		if open > limits.Open && w.f.rng.IntN(4) == 0 {
+		open := min(s.open[p][server], limits.Keep)
+		if open > limits.Open && s.f.rng.IntN(4) == 0 {
 			open--
 		}
 		open = max(open, limits.Open)
-		w.open[p][server] = open
+		s.open[p][server] = open
 		p.tables.Backends.With(server, func(c *state.ServerConns) { c.Opening = open })
 		if open > 0 {
-			w.f.runOn(p, p.until(limits.Until), func() {
-				if w.evaluated[p] < w.f.now {
-					w.resize(p)
+			s.f.runOn(p, p.until(limits.Until), func() {
+				if s.evaluated[p] < s.f.now {
+					s.resize(p)
 				}
 			})
 		}
-		w.checkConnections(server)
+		s.checkConnections(server)
 	}
 }
 
 // checkConnections checks the total of the connections of all processes. Those of a
 // paused process are not counted, because nothing in the fleet can close them.
-func (w *simulation) checkConnections(server string) {
+func (s *simulation) checkConnections(server string) {
 	total, limit := 0, 0
-	for _, s := range w.f.config.Groups["g"].Servers {
-		if s.Name == server {
-			limit = s.Connections
+	for _, b := range s.f.config.Groups["g"].Servers {
+		if b.Name == server {
+			limit = b.Connections
 		}
 	}
-	for _, p := range w.f.procs {
-		if !p.dead && w.f.now >= p.pausedUntil && w.evaluated[p] >= p.pausedUntil {
-			total += w.open[p][server]
+	for _, p := range s.f.procs {
+		if !p.dead && s.f.now >= p.pausedUntil && s.evaluated[p] >= p.pausedUntil {
+			total += s.open[p][server]
 		}
 	}
 	if total > limit {
-		w.fail("%d connections to %s, limit %d", total, server, limit)
+		s.fail("%d connections to %s, limit %d", total, server, limit)
 	}
 }
 
-func (w *simulation) inject(d faultEvent) {
-	names := slices.Sorted(maps.Keys(w.f.current))
-	p := w.f.current[names[d.VM%len(names)]]
+func (s *simulation) inject(d faultEvent) {
+	names := slices.Sorted(maps.Keys(s.f.current))
+	p := s.f.current[names[d.VM%len(names)]]
 	switch d.Kind {
 	case "pause":
-		p.pausedUntil = max(p.pausedUntil, w.f.now+d.For)
+		p.pausedUntil = max(p.pausedUntil, s.f.now+d.For)
 	case "kill":
 		p.dead = true
-		w.f.after(d.For, func() { w.restart(p) })
+		s.f.after(d.For, func() { s.restart(p) })
 	case "replace":
-		w.replace(p, d, 0)
+		s.replace(p, d, 0)
 	case "replace paused":
-		w.replace(p, d, d.For)
+		s.replace(p, d, d.For)
 	case "rate":
-		w.publish(func(c *state.Config) {
-			rate := 5 + w.f.rng.Float64()*30
+		s.publish(func(c *state.Config) {
+			rate := 5 + s.f.rng.Float64()*30
 			addCustomer(c, "changing", rate, rate/3)
 		})
 	case "take out", "put back":
 		to := map[string]state.ServiceState{"take out": state.Leaving, "put back": state.InService}[d.Kind]
-		w.publish(func(c *state.Config) { setState(c, p.name, p.dc, to, d.For > 6*time.Second) })
+		s.publish(func(c *state.Config) { setState(c, p.name, p.dc, to, d.For > 6*time.Second) })
 	case "add":
-		w.add(p.dc)
+		s.add(p.dc)
 	}
 }
 
@@ -312,63 +313,63 @@
 
 // restart starts a new process of a VM. It gets its configuration from a running
 // process if there is one, otherwise from the store.
-func (w *simulation) restart(old *process) {
-	if w.f.current[old.name] != old {
+func (s *simulation) restart(old *process) {
+	if s.f.current[old.name] != old {
 		return
 	}
-	config := w.f.config
-	if running := w.f.running(); len(running) > 0 {
-		config = running[w.f.rng.IntN(len(running))].tables.Config.Current()
-	} else if w.f.faults.storeDown {
-		w.f.after(storeRetry, func() { w.restart(old) })
+	config := s.f.config
+	if running := s.f.running(); len(running) > 0 {
+		config = running[s.f.rng.IntN(len(running))].tables.Config.Current()
+	} else if s.f.faults.storeDown {
+		s.f.after(storeRetry, func() { s.restart(old) })
 		return
 	}
-	w.f.start(old.name, old.dc, w.speed(), config)
+	s.f.start(old.name, old.dc, s.speed(), config)
 }
 
 // replace starts a new process while the old one is paused or continues. Only one VM
 // of a data centre has two processes at a time, because the voters have to be able to
 // tell them apart.
-func (w *simulation) replace(p *process, d faultEvent, pause time.Duration) {
-	for _, q := range w.f.procs {
-		if q.dc == p.dc && !q.dead && w.f.current[q.name] != q {
+func (s *simulation) replace(p *process, d faultEvent, pause time.Duration) {
+	for _, q := range s.f.procs {
+		if q.dc == p.dc && !q.dead && s.f.current[q.name] != q {
 			return
 		}
 	}
 	if p.dead {
 		return
 	}
-	p.pausedUntil = max(p.pausedUntil, w.f.now+pause)
-	w.restart(p)
-	w.f.after(pause+d.For, func() { p.dead = true })
+	p.pausedUntil = max(p.pausedUntil, s.f.now+pause)
+	s.restart(p)
+	s.f.after(pause+d.For, func() { p.dead = true })
 }
 
 // publish applies a new ticket at a different time on each VM.
-func (w *simulation) publish(change func(c *state.Config)) {
-	next := *w.f.config
+func (s *simulation) publish(change func(c *state.Config)) {
+	next := *s.f.config
 	next.Ticket.Number++
 	next.Customers = maps.Clone(next.Customers)
 	next.DataCentres = make(map[string]*state.DataCentre)
-	for name, dc := range w.f.config.DataCentres {
+	for name, dc := range s.f.config.DataCentres {
 		copied := *dc
 		copied.VMs = slices.Clone(dc.VMs)
 		next.DataCentres[name] = &copied
 	}
 	change(&next)
-	w.f.config = &next
-	w.configs = append(w.configs, &next)
-	for _, p := range w.f.procs {
-		w.f.runOn(p, time.Duration(w.f.rng.Int64N(int64(3*time.Second))), func() { p.apply(&next) })
+	s.f.config = &next
+	s.configs = append(s.configs, &next)
+	for _, p := range s.f.procs {
+		s.f.runOn(p, time.Duration(s.f.rng.Int64N(int64(3*time.Second))), func() { p.apply(&next) })
 	}
 }
 
 // add adds a VM to a data centre and starts it.
-func (w *simulation) add(dc string) {
-	name := fmt.Sprintf("vm%d", len(w.f.current)+1)
-	w.publish(func(c *state.Config) {
+func (s *simulation) add(dc string) {
+	name := fmt.Sprintf("vm%d", len(s.f.current)+1)
+	s.publish(func(c *state.Config) {
 		c.DataCentres[dc].VMs = append(c.DataCentres[dc].VMs, state.VM{Name: name, State: state.InService})
 	})
-	w.f.start(name, dc, w.speed(), w.f.config)
+	s.f.start(name, dc, s.speed(), s.f.config)
 }
 
 // Guards against any interval with more granted requests than burst + rate x t, grants
--- a/coordination/share/plan.go
+++ b/coordination/share/plan.go
@@ -181,8 +181,8 @@
 
 // candidates returns the VMs to ask now, those with the most to lend first. It leaves
 // out VMs in back-off and those that still have a request to answer. VMs of other data
-// centres are included if no local one is left to ask, or if demand has been unmet
-// for remoteBorrowDelay.
+// centres are included if no local one is left to ask and no local answer is expected,
+// or if demand has been unmet for remoteBorrowDelay.
 func (p *planner) candidates(b *state.LoanBook) []state.LenderCandidate {
 	requested := make(map[string]bool)
 	awaitingLocal := false
--- a/coordination/share/policy_test.go
+++ b/coordination/share/policy_test.go
@@ -63,17 +63,17 @@
 
 // pendingRequest is a request that has not been decided yet.
 type pendingRequest struct {
-	customer int
-	arrived  time.Duration
-	inside   bool // a single token bucket for the whole fleet would have granted it at once
+	customer    int
+	arrived     time.Duration
+	withinLimit bool // a single token bucket for the whole fleet would have granted it at once
 }
 
 // policyResult counts requests after the warm-up.
 type policyResult struct {
-	inside, refused, delayedOver10ms, delayedOver100ms int
-	granted                                            [8]int
-	insideOf, lateOf                                   [8]int
-	messages                                           float64 // messages with loan requests per VM and second
+	withinLimit, refused, delayedOver10ms, delayedOver100ms int
+	granted                                                 [8]int
+	withinLimitByCustomer, refusedOrDelayedByCustomer       [8]int
+	messages                                                float64 // messages with loan requests per VM and second
 }
 
 type waitKey struct {
@@ -143,12 +143,12 @@
 func (sim *policySim) request(p *process, i int) {
 	b := &sim.referenceBuckets[i]
 	b.advance(sim.f.now)
-	r := pendingRequest{customer: i, arrived: sim.f.now, inside: b.level >= 1}
-	if r.inside {
+	r := pendingRequest{customer: i, arrived: sim.f.now, withinLimit: b.level >= 1}
+	if r.withinLimit {
 		b.level--
 		if sim.withinRate(i) {
-			sim.result.inside++
-			sim.result.insideOf[i]++
+			sim.result.withinLimit++
+			sim.result.withinLimitByCustomer[i]++
 		}
 	}
 	sim.waiting[waitKey{p, state.WaiterID{Session: p.incarnation, Request: p.nextID + 1}}] = r
@@ -164,10 +164,10 @@
 	if a.Verdict == Granted {
 		sim.result.granted[r.customer]++
 	}
-	if !r.inside || !sim.withinRate(r.customer) {
+	if !r.withinLimit || !sim.withinRate(r.customer) {
 		return
 	}
-	late := true
+	refusedOrDelayed := true
 	switch {
 	case a.Verdict == Refused:
 		sim.result.refused++
@@ -176,10 +176,10 @@
 	case wait > 10*time.Millisecond:
 		sim.result.delayedOver10ms++
 	default:
-		late = false
+		refusedOrDelayed = false
 	}
-	if late {
-		sim.result.lateOf[r.customer]++
+	if refusedOrDelayed {
+		sim.result.refusedOrDelayedByCustomer[r.customer]++
 	}
 }
 
@@ -212,26 +212,27 @@
 }
 
 // Guards against loans that make requests within their customer's rate be refused or
-// delayed more often than equal static shares do. Prints the results.
+// delayed more often than equal static shares do. Prints the results; the column
+// "inside" counts the requests within the limit.
 func TestPolicy(t *testing.T) {
 	fmt.Printf("%-11s %-8s %9s %9s %9s %9s %9s %9s %9s\n", "demand", "shares", "inside", "refused%", ">10ms%", ">100ms%", "worst%", "5x rate%", "msg/VM/s")
 	for _, s := range scenarios {
-		var late [2]float64
+		var refusedOrDelayed [2]float64
 		for i, static := range []bool{true, false} {
 			r := runPolicy(s, static, *policySeed)
 			name := map[bool]string{true: "static", false: "loans"}[static]
-			late[i] = percent(r.refused+r.delayedOver10ms+r.delayedOver100ms, r.inside)
-			fmt.Printf("%-11s %-8s %9d %9.2f %9.2f %9.2f %9.2f %9.1f %9.1f\n", s.name, name, r.inside,
-				percent(r.refused, r.inside), percent(r.delayedOver10ms, r.inside), percent(r.delayedOver100ms, r.inside),
+			refusedOrDelayed[i] = percent(r.refused+r.delayedOver10ms+r.delayedOver100ms, r.withinLimit)
+			fmt.Printf("%-11s %-8s %9d %9.2f %9.2f %9.2f %9.2f %9.1f %9.1f\n", s.name, name, r.withinLimit,
+				percent(r.refused, r.withinLimit), percent(r.delayedOver10ms, r.withinLimit), percent(r.delayedOver100ms, r.withinLimit),
 				worstCustomer(s, r), overloadedThroughput(s, r), r.messages)
 			if *printCustomers {
-				for i := range r.insideOf {
-					fmt.Printf("    customer%d: inside %d, late %.2f %%\n", i+1, r.insideOf[i], percent(r.lateOf[i], r.insideOf[i]))
+				for i := range r.withinLimitByCustomer {
+					fmt.Printf("    customer%d: %d requests within the limit, %.2f %% refused or delayed\n", i+1, r.withinLimitByCustomer[i], percent(r.refusedOrDelayedByCustomer[i], r.withinLimitByCustomer[i]))
 				}
 			}
 		}
-		if late[1] > late[0] {
-			t.Errorf("%s: %.2f %% refused or delayed, %.2f %% with static shares", s.name, late[1], late[0])
+		if refusedOrDelayed[1] > refusedOrDelayed[0] {
+			t.Errorf("%s: %.2f %% refused or delayed, %.2f %% with static shares", s.name, refusedOrDelayed[1], refusedOrDelayed[0])
 		}
 	}
 }
@@ -240,8 +241,8 @@
 // customer that stays within its rate.
 func worstCustomer(s scenario, r policyResult) float64 {
 	most := 0.0
-	for i := range r.insideOf {
-		most = max(most, percent(r.lateOf[i], r.insideOf[i]))
+	for i := range r.withinLimitByCustomer {
+		most = max(most, percent(r.refusedOrDelayedByCustomer[i], r.withinLimitByCustomer[i]))
 	}
 	return most
 }
--- a/coordination/share/tickets.go
+++ b/coordination/share/tickets.go
@@ -119,20 +119,20 @@
 
 // computeBaseShares computes this VM's base shares under one ticket.
 func computeBaseShares(config *state.Config, self state.Self, static bool) state.TicketShares {
-	placement := newTopology(config, static)
+	t := newTopology(config, static)
 	shares := state.TicketShares{
 		Config:   config,
 		Requests: make(map[string]state.RateShare),
 		Units:    make(map[string]int),
-		VMs:      len(placement.all),
+		VMs:      len(t.all),
 		Applied:  make(map[string]bool),
 	}
 	for name, customer := range config.Customers {
-		shares.Requests[name] = placement.requestShare(customer, self.Name, self.DataCentre)
+		shares.Requests[name] = t.requestShare(customer, self.Name, self.DataCentre)
 	}
 	for _, group := range config.Groups {
 		for _, server := range group.Servers {
-			shares.Units[server.Name] = placement.connectionShare(server.Name, server.Connections, self.Name, self.DataCentre)
+			shares.Units[server.Name] = t.connectionShare(server.Name, server.Connections, self.Name, self.DataCentre)
 		}
 	}
 	return shares
@@ -162,12 +162,13 @@
 	}
 }
 
-// complete reports whether this VM has the agreed ticket.
+// hasAgreedTicket reports whether this VM has the agreed ticket.
 func hasAgreedTicket(s *state.Shares) bool {
 	return len(s.Tickets) > 0 && s.Agreed != 0 && s.Tickets[0].Config.Ticket.Number == s.Agreed
 }
 
-// updateBaseShares sets each base share to its minimum over the stored tickets.
+// updateBaseShares sets each base share to its minimum over the stored tickets, or to
+// zero if this VM does not have the agreed ticket.
 func updateBaseShares(s *state.Shares) {
 	if len(s.Tickets) == 0 {
 		return
@@ -240,8 +241,9 @@
 	return units / 2
 }
 
-// resetOnNewHold empties the buckets when a new lease hold has begun. Another process
-// with this VM's name may have spent from the same shares until then.
+// resetOnNewHold empties the buckets, removes all tickets but the newest and sets the
+// end of earlier processes' loans when a new lease hold has begun. Another process with
+// this VM's name may have spent from the same shares until then.
 func resetOnNewHold(s *state.Shares, hold state.LeaseHold) {
 	if hold.Since.Equal(s.HeldSince) {
 		return
