--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -24,15 +24,15 @@
 // have confirmed one.
 const ExclusivePeriod = Duration + Duration/50 + 100*time.Millisecond
 
-// OutgoingQuery is a query to be sent to Voter, which is Store for the platform's
-// store.
+// OutgoingQuery is a query to be sent to Voter, which is Store for the store that
+// holds the lease objects.
 type OutgoingQuery struct {
 	Voter string
 	Query Query
 }
 
-// Start records the start time of this process, which confirms nothing until
-// ExclusivePeriod has passed since then.
+// Start records the start time of this process. It confirms nothing before Start
+// is called, nor until ExclusivePeriod has passed since then.
 func Start(t *state.LeaseTable, now time.Time) {
 	t.With(func(l *state.Lease) { l.Started = now })
 }
@@ -105,7 +105,7 @@
 // storeWaitElapsed reports whether the store's confirmations count yet. The
 // store cannot measure the exclusive period of a confirmation, so the new
 // process waits until no earlier process can still rely on its last reading of
-// the object.
+// the VM's lease object.
 func storeWaitElapsed(l *state.Lease, now time.Time) bool {
 	if l.StoreSince.IsZero() {
 		l.StoreSince = now
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -85,8 +85,9 @@
 	}
 }
 
-// Guards against a voter that confirms a second process of one name, in each
-// way in which this can come about.
+// Guards against a voter that confirms a second process of one name: right after
+// its own start, while the first confirmation is in use, when superseded, or for a
+// sender with an outdated configuration.
 func TestConfirm(t *testing.T) {
 	config, ready := configOf(2, 3), epoch.Add(ExclusivePeriod)
 	digest := VotersOf(config, "vm1").digest()
@@ -145,7 +146,7 @@
 }
 
 // Guards against use of the store's confirmation while an earlier process may
-// still rely on its last reading of the object.
+// still rely on its last reading of the VM's lease object.
 func TestStoreConfirmsAfterWait(t *testing.T) {
 	tables := newTables("vm1", 2, configOf(1, 1), epoch)
 	ask := func(at time.Time) {
--- a/coordination/lease/messages.go
+++ b/coordination/lease/messages.go
@@ -11,6 +11,7 @@
 // All times are readings of this VM's monotonic clock.
 package lease
 
+// Query asks a voter to confirm the sender's incarnation.
 type Query struct {
 	Number      uint64 // echoed in the answer, to find the time of sending
 	Incarnation uint64
@@ -18,6 +19,7 @@
 	Voters      uint64 // digest of the sender's voters
 }
 
+// Answer is a voter's answer to a Query.
 type Answer struct {
 	Number    uint64
 	Confirmed bool
--- a/coordination/lease/voters.go
+++ b/coordination/lease/voters.go
@@ -7,7 +7,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Store is the voter name of the platform's store.
+// Store is the voter name of the store that holds the lease objects.
 const Store = "(store)"
 
 // maxVoters is the maximum number of voters of a VM, including itself. Five
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -26,17 +26,18 @@
 )
 
 const (
-	// minLoanDuration is the duration of a loan in a small fleet. The quota
-	// coordinator counts it from sending the request, the lender from answering, so
-	// the loan ends first at the quota coordinator. It bounds how long nothing is
-	// granted after a quota coordinator is lost.
+	// minLoanDuration is the minimum duration of a loan. Loans last longer if quota
+	// coordinators send requests less often. The quota coordinator counts the
+	// duration from sending the request, the lender from answering, so the loan ends
+	// first at the quota coordinator. It bounds how long nothing is granted after a
+	// quota coordinator is lost.
 	minLoanDuration = time.Second
-	// loanPingIntervals is the duration of a loan in intervals between the
+	// loanRequestIntervals is the duration of a loan in intervals between the
 	// requests of a quota coordinator.
-	loanPingIntervals = 2.5
+	loanRequestIntervals = 2.5
 	// maxCacheAge is how long granted tokens may be cached. Tokens spent later
-	// than they were granted count in a rate window that the quota coordinator does not
-	// see.
+	// than they were granted count in a later rate window than the one in which the
+	// quota coordinator counted them.
 	maxCacheAge = 500 * time.Millisecond
 	// prefetchPeriod is the period whose expected demand is requested in
 	// advance.
@@ -57,7 +58,7 @@
 // account is the token bucket of a partition whose quota coordinator is this VM.
 type account struct {
 	tokens   float64
-	filledAt time.Duration            // when tokens was last refilled
+	filledAt time.Duration            // when tokens was last refilled; zero if never
 	borrowed map[string]borrowedShare // by lender
 	// credited has the VMs whose share has already added its part of the
 	// initial tokens to this account. This VM itself is "".
@@ -118,7 +119,7 @@
 // LoanDuration returns the duration of loans to quota coordinators that send a
 // request every interval.
 func LoanDuration(interval time.Duration) time.Duration {
-	return max(minLoanDuration, time.Duration(loanPingIntervals*float64(interval)))
+	return max(minLoanDuration, time.Duration(loanRequestIntervals*float64(interval)))
 }
 
 // Lend lends this VM's shares to the requesting quota coordinator for the given
@@ -165,8 +166,8 @@
 
 // LinkClosed ends the loans granted on the link. The quota coordinator closed the
 // link, or notices with its next request that it is closed, and then stops
-// counting these loans. Otherwise its customers would be granted nothing until
-// the loans expire.
+// counting these loans. Without this call, the quota coordinator's customers would
+// be granted nothing until the loans expire.
 func (t *Table) LinkClosed(link string, now time.Duration) {
 	t.endLoans(now, func(_ catalog.LimitPartition, l loan) bool { return l.link == link })
 }
@@ -278,7 +279,8 @@
 	return s
 }
 
-// TokenInterval returns how long a customer at its limit waits for one token.
+// TokenInterval returns how long a customer at its limit waits for one token,
+// rounded up to a millisecond; one second if the rate is zero.
 func TokenInterval(c *catalog.Customer) time.Duration {
 	if c.Rate <= 0 {
 		return time.Second
@@ -286,10 +288,11 @@
 	return time.Duration(math.Ceil(1000/c.Rate)) * time.Millisecond
 }
 
-// Admission is the result of Admit.
+// Admission says whether an operation may run now, and how many tokens to
+// request.
 type Admission struct {
 	Admitted bool
-	Request  int // tokens to request from the quota coordinators; zero if a request is outstanding
+	Request  int // tokens to request from the quota coordinators; zero if none are needed or a request is outstanding
 }
 
 // Admit spends a cached token for one operation. An operation that is not
@@ -297,22 +300,22 @@
 func (t *Table) Admit(customer string, now time.Duration) Admission {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.cache(customer)
-	s.measureDemand(now)
-	if now >= s.until {
-		s.tokens = 0
+	c := t.cache(customer)
+	c.measureDemand(now)
+	if now >= c.until {
+		c.tokens = 0
 	}
 	var a Admission
-	if s.tokens > 0 {
-		s.tokens--
+	if c.tokens > 0 {
+		c.tokens--
 		a.Admitted = true
 	} else {
-		s.waiting++
+		c.waiting++
 	}
-	prefetch := int(s.demand * prefetchPeriod.Seconds())
-	if s.requested == 0 && (s.waiting > 0 || s.tokens < prefetch/2) {
-		s.requested = s.waiting + prefetch
-		a.Request = s.requested
+	prefetch := int(c.demand * prefetchPeriod.Seconds())
+	if c.requested == 0 && (c.waiting > 0 || c.tokens < prefetch/2) {
+		c.requested = c.waiting + prefetch
+		a.Request = c.requested
 	}
 	return a
 }
@@ -322,12 +325,12 @@
 func (t *Table) AddGranted(customer string, granted int, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.cache(customer)
-	s.requested = 0
-	s.add(granted, now)
-	admitted := min(s.tokens, s.waiting)
-	s.waiting -= admitted
-	s.tokens -= admitted
+	c := t.cache(customer)
+	c.requested = 0
+	c.add(granted, now)
+	admitted := min(c.tokens, c.waiting)
+	c.waiting -= admitted
+	c.tokens -= admitted
 	return admitted
 }
 
@@ -339,13 +342,13 @@
 	t.cache(customer).add(granted, now)
 }
 
-func (s *tokenCache) add(granted int, now time.Duration) {
-	if now >= s.until {
-		s.tokens = 0
+func (c *tokenCache) add(granted int, now time.Duration) {
+	if now >= c.until {
+		c.tokens = 0
 	}
 	if granted > 0 {
-		s.tokens += granted
-		s.until = now + maxCacheAge
+		c.tokens += granted
+		c.until = now + maxCacheAge
 	}
 }
 
@@ -361,29 +364,29 @@
 func (t *Table) RetryRequest(customer string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.cache(customer)
-	if s.requested > 0 {
+	c := t.cache(customer)
+	if c.requested > 0 {
 		return 0
 	}
-	s.requested = s.waiting
-	return s.requested
+	c.requested = c.waiting
+	return c.requested
 }
 
 func (t *Table) cache(customer string) *tokenCache {
-	s := t.caches[customer]
-	if s == nil {
-		s = &tokenCache{}
-		t.caches[customer] = s
+	c := t.caches[customer]
+	if c == nil {
+		c = &tokenCache{}
+		t.caches[customer] = c
 	}
-	return s
+	return c
 }
 
-func (s *tokenCache) measureDemand(now time.Duration) {
-	s.count++
-	passed := now - s.intervalStart
+func (c *tokenCache) measureDemand(now time.Duration) {
+	c.count++
+	passed := now - c.intervalStart
 	if passed < demandInterval {
 		return
 	}
-	s.demand += demandWeight * (float64(s.count)/passed.Seconds() - s.demand)
-	s.count, s.intervalStart = 0, now
+	c.demand += demandWeight * (float64(c.count)/passed.Seconds() - c.demand)
+	c.count, c.intervalStart = 0, now
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -77,8 +77,8 @@
 
 // Guards against a VM that spends nothing of its own for a second although it is
 // in contact with all others, so that no quota coordinator counts loans of its
-// previous run. After a restart of the fleet all operations were refused for that
-// time.
+// previous run. Otherwise all operations would be refused for that time after a
+// restart of the fleet.
 func TestJoinedVMSpendsItsShare(t *testing.T) {
 	table := NewTable(afterStart)
 	table.AllVMsReachable(afterStart + 100*time.Millisecond)
@@ -233,7 +233,7 @@
 // Guards against a share that stays lent to a quota coordinator which no longer
 // counts the customer, and against one that is reclaimed from a quota coordinator
 // that still counts it.
-func TestQuotaCoordinatorGivesUp(t *testing.T) {
+func TestQuotaCoordinatorReleasesShares(t *testing.T) {
 	lender := NewTable(0)
 	lender.Lend("l", "1", partitions("c", "d"), minLoanDuration, afterStart)
 	lender.Release("l", "2", nil, afterStart) // sent on another link
