--- a/coordination/ticket/apply.go
+++ b/coordination/ticket/apply.go
@@ -91,7 +91,7 @@
 // Outcome is the final state of an application.
 type Outcome int
 
-// Outcomes.
+// Values of Outcome.
 const (
 	Applied  Outcome = iota // the ticket took effect
 	Invalid                 // not applied: the ticket is invalid
--- a/coordination/ticket/check.go
+++ b/coordination/ticket/check.go
@@ -31,7 +31,6 @@
 	text    string
 }
 
-// findings is a list of findings.
 type findings []finding
 
 func (f *findings) error(text string, paths ...[]string) {
@@ -46,9 +45,9 @@
 // reports all problems of the ticket and of the result. The merged
 // configuration must not be used if one of the problems is an error.
 //
-// Errors that the current configuration already had become warnings, so that
-// they do not keep operators from revoking a key. Its warnings are not
-// repeated.
+// An error that the current configuration already contains is reported as a
+// warning, so that it does not keep operators from revoking a key. A warning that
+// it already contains is not repeated.
 func Check(current *state.Config, t *Ticket) (merged *state.Config, problems []Problem) {
 	if current == nil {
 		current = EmptyConfig()
@@ -100,7 +99,9 @@
 	return problems
 }
 
-// reportedPath returns the first path whose object the ticket sets or removes.
+// reportedPath returns the first path that names no object or whose object the
+// ticket sets or removes, or the first path if there is none. For a removed object
+// it is the path of the entry in remove.
 func reportedPath(t *Ticket, paths [][]string) []string {
 	for _, p := range paths {
 		if len(p) < 2 {
--- a/coordination/ticket/check_changes.go
+++ b/coordination/ticket/check_changes.go
@@ -27,7 +27,7 @@
 // checkServerChanges refuses to add or remove more than one server of a group
 // at once. VMs apply a ticket at different times, so a majority of the old
 // servers and one of the new servers must share a server; otherwise an
-// acknowledged write can be lost (P2). This holds only if they differ by one
+// acknowledged write can be lost. This holds only if they differ by one
 // server.
 func checkServerChanges(f *findings, before, after *state.Group) {
 	path := objectPath(Groups, after.Name, "servers")
@@ -54,7 +54,7 @@
 }
 
 // checkVMChanges warns if a VM is removed that may still run. It could continue
-// to spend from its share while the other VMs spend the same share (P7).
+// to spend from its share while the other VMs spend the same share.
 func checkVMChanges(f *findings, before *state.DataCentre, merged *state.Config) {
 	path := objectPath(DataCentres, before.Name, "vms")
 	for _, old := range before.VMs {
--- a/coordination/ticket/check_config.go
+++ b/coordination/ticket/check_config.go
@@ -42,14 +42,14 @@
 	return &uniquenessCheck{f, subject, make(map[string]firstUse)}
 }
 
-func (r *uniquenessCheck) add(value, text string, path []string) {
-	first, used := r.seen[value]
+func (u *uniquenessCheck) add(value, text string, path []string) {
+	first, used := u.seen[value]
 	switch {
 	case value == "":
 	case used:
-		r.f.error(fmt.Sprintf("%s %s is used twice: by %s and by %s", r.subject, value, first.text, text), path, first.path)
+		u.f.error(fmt.Sprintf("%s %s is used twice: by %s and by %s", u.subject, value, first.text, text), path, first.path)
 	default:
-		r.seen[value] = firstUse{text, path}
+		u.seen[value] = firstUse{text, path}
 	}
 }
 
--- a/coordination/ticket/check_objects.go
+++ b/coordination/ticket/check_objects.go
@@ -10,7 +10,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MinServeFor is the minimum of serve_for. Confirmations of the configuration
+// MinServeFor is the minimum of serve_for (see state.CutOffPolicy). Confirmations of the configuration
 // travel through the exchange between VMs, so ages of a few seconds are normal
 // and must not cause refusals.
 const MinServeFor = 5 * time.Second
--- a/coordination/ticket/diff.go
+++ b/coordination/ticket/diff.go
@@ -12,7 +12,7 @@
 // Op is the kind of a change to an object or field.
 type Op string
 
-// Kinds of changes.
+// Values of Op.
 const (
 	Add    Op = "add"
 	Change Op = "change"
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -189,7 +189,7 @@
 // Order is the relation of an offered configuration to the current one.
 type Order int
 
-// Orders.
+// Values of Order.
 const (
 	Older    Order = iota // ignore it and offer the current one
 	Same                  // nothing to do
--- a/state/backend.go
+++ b/state/backend.go
@@ -53,7 +53,7 @@
 
 // RetryBudget limits the retries of requests to one database group.
 type RetryBudget struct {
-	Tokens  float64
+	Tokens  float64 // retries available at Updated
 	Updated time.Time
 }
 
--- a/state/config.go
+++ b/state/config.go
@@ -23,7 +23,7 @@
 // Access is the access mode of a route.
 type Access string
 
-// Access modes.
+// Values of Access.
 const (
 	ReadWrite Access = "read_write"
 	ReadOnly  Access = "read_only"
--- a/state/failover.go
+++ b/state/failover.go
@@ -5,19 +5,19 @@
 // FailoverStep is the progress of this VM's promotion attempt.
 type FailoverStep int
 
-// Steps of a promotion.
+// Values of FailoverStep.
 const (
-	FailoverIdle FailoverStep = iota
-	FailoverAdopting
-	FailoverPromoting
-	FailoverFollowing
-	FailoverSwitching // planned switchover: the primary drains before its successor takes over
+	FailoverIdle      FailoverStep = iota // no attempt
+	FailoverAdopting                      // the servers are ordered to adopt Term, until a majority has
+	FailoverPromoting                     // Candidate is ordered to become the primary
+	FailoverFollowing                     // the other servers are ordered to follow the new primary
+	FailoverSwitching                     // planned switchover: the primary drains before its successor takes over
 )
 
 // Condition is this VM's assessment of a group's primary.
 type Condition int
 
-// Conditions of a group.
+// Values of Condition.
 const (
 	ConditionUncertain Condition = iota // not enough information to act
 	ConditionHealthy
@@ -36,13 +36,13 @@
 	SwitchingSince time.Time // when the primary was first seen to refuse writes for a switchover
 
 	Step        FailoverStep
-	Term        uint64 // latest term that this VM tried to establish; never reused
-	Candidate   string // server to promote; known from the start of a planned switchover
-	Predecessor string // primary drained for this attempt; empty unless planned
-	Adopted     map[string]ServerStatus
-	Refused     map[string]bool // servers that refuse to adopt Term
-	Following   map[string]bool // servers that have not answered a follow order yet
-	StartedAt   time.Time       // start of the attempt
+	Term        uint64                  // latest term that this VM tried to establish; never reused
+	Candidate   string                  // server to promote; known from the start of a planned switchover
+	Predecessor string                  // primary drained for this attempt; empty unless planned
+	Adopted     map[string]ServerStatus // by server, the status of each server that has adopted Term
+	Refused     map[string]bool         // servers that refuse to adopt Term
+	Following   map[string]bool         // servers that have not answered a follow order yet
+	StartedAt   time.Time               // start of the attempt
 	StepStarted time.Time
 	StepEnds    time.Time // deadline of the step
 	MajorityAt  time.Time // when a majority had adopted Term; zero until then
--- a/state/group.go
+++ b/state/group.go
@@ -211,8 +211,8 @@
 }
 
 // Age returns an upper bound of the staleness of the server's data: the time
-// since the latest sample of the primary that the server is known to have
-// reached. known is false if there is no such sample.
+// since the latest confirmed sample of the server's log term that the server is
+// known to have reached. known is false if there is no such sample.
 func (g *GroupState) Age(server string, now time.Time) (age time.Duration, known bool) {
 	v := g.Servers[server]
 	if v == nil || v.QueriedAt.IsZero() {
--- a/state/lease.go
+++ b/state/lease.go
@@ -37,7 +37,7 @@
 	Queries    map[uint64]LeaseQuery
 	NextQuery  uint64
 	Confirmed  map[string]time.Time // by voter, the sending time of the latest query that it confirmed
-	StoreSince time.Time            // when the store's object was first seen to name this incarnation
+	StoreSince time.Time            // when this VM's lease object in the store was first seen to contain this incarnation; zero before
 	Hold       LeaseHold
 	Known      map[string]*VoterRecord // by VM name
 }
--- a/state/position.go
+++ b/state/position.go
@@ -5,7 +5,7 @@
 // WaitKind is the condition that a position waiter waits for.
 type WaitKind int
 
-// Kinds of waiters.
+// Values of WaitKind.
 const (
 	WaitDurable WaitKind = iota // a majority holds the writes so far under Term
 	WaitCover                   // the server covers Point and, if MaxAge is set, is no staler than MaxAge
--- a/state/server.go
+++ b/state/server.go
@@ -5,7 +5,7 @@
 // Role is the replication role of a backend server.
 type Role string
 
-// Roles.
+// Values of Role.
 const (
 	Primary Role = "primary"
 	Replica Role = "replica"
@@ -42,7 +42,7 @@
 }
 
 // Start returns the position at which the given term begins in the server's
-// log, if known.
+// log. known is false if the term is not in History.
 func (s *ServerStatus) Start(term uint64) (position uint64, known bool) {
 	for _, h := range s.History {
 		if h.Term == term {
@@ -53,7 +53,8 @@
 }
 
 // End returns the position at which the given term ends in the server's log,
-// which is where the next term in the log starts.
+// which is where the next term in the log starts. known is false if the term or
+// its successor is not in History.
 func (s *ServerStatus) End(term uint64) (position uint64, known bool) {
 	for i, h := range s.History {
 		if h.Term == term && i+1 < len(s.History) {
--- a/state/share.go
+++ b/state/share.go
@@ -31,9 +31,9 @@
 	Rate        float64
 	Burst       float64
 	Tokens      float64
-	Units       int
+	Units       int // connections
 	EndsAt      time.Time
-	Refused     bool // the lender needs it back and does not extend it
+	Refused     bool // the lender needs it back and does not renew it
 }
 
 // LoanPhase is the phase of a loan at its borrower.
@@ -55,13 +55,13 @@
 	Remote       bool // the lender is in another data centre
 	Rate         float64
 	Burst        float64
-	Tokens       float64 // requested; set while the phase is LoanRequested
-	Units        int
+	Tokens       float64       // requested; set while the phase is LoanRequested
+	Units        int           // connections
 	Period       time.Duration // how long the loan may be used, counted from sending a request
 	EndsAt       time.Time     // end of use; the deadline of an unanswered request
 	AskedAt      time.Time     // when the latest request or renewal was sent
 	Attempts     int           // requests sent since the last answer
-	NotRenewable bool          // the lender does not extend it
+	NotRenewable bool          // the lender does not renew it
 }
 
 // LenderCandidate is a VM with a base share.
@@ -69,14 +69,14 @@
 	VM     string
 	Remote bool // in another data centre
 	Share  RateShare
-	Units  int
+	Units  int // connections
 }
 
 // LenderStats is this VM's record of a possible lender.
 type LenderStats struct {
 	RetryAfter time.Time     // do not send a request before this time
 	Refusals   int           // consecutive requests that yielded nothing
-	Spare      float64       // requests per second or units that the lender had left after its latest answer
+	Spare      float64       // requests per second or connections that the lender had left after its latest answer
 	RoundTrip  time.Duration // of the latest request
 }
 
@@ -125,8 +125,8 @@
 	Limit        int // of all VMs together
 	Base         int // of this VM
 	ReportedBase int // of this VM, under the tickets that it has reported as applied
-	Lendable     int // maximum number of units that may be lent
-	MaxLendable  int // maximum number of units that an earlier process of this VM can have lent; never decreases
+	Lendable     int // maximum number of connections that may be lent
+	MaxLendable  int // maximum number of connections that an earlier process of this VM can have lent; never decreases
 	Wanted       int // connections that this VM can use
 	Loans        LoanBook
 }
--- a/state/statement/statement.go
+++ b/state/statement/statement.go
@@ -7,7 +7,7 @@
 // Verb is the kind of a request.
 type Verb uint8
 
-// Verbs. Those from Discard on are sent only by the proxy.
+// Values of Verb. Those from Discard on are sent only by the proxy.
 const (
 	Unknown       Verb = iota // text that the protocol does not define
 	Begin                     // begins a read-write transaction
@@ -16,13 +16,13 @@
 	Rollback
 	Read
 	Write
-	Set     // sets a session variable
-	Prepare // creates a prepared statement
-	Execute // runs a prepared statement
-	Close   // drops a prepared statement
-	Discard // drops a connection's session variables and prepared statements
-	Status  // queries the role and position of a backend server
-	StepDown
+	Set      // sets a session variable
+	Prepare  // creates a prepared statement
+	Execute  // runs a prepared statement
+	Close    // drops a prepared statement
+	Discard  // drops a connection's session variables and prepared statements
+	Status   // queries the role and position of a backend server
+	StepDown // orders the primary to give up its role
 	verbCount
 )
 
@@ -61,13 +61,13 @@
 	Payload string
 	Writes  bool        // Prepare
 	After   state.Point // Read, Begin, BeginReadOnly: point that the server must hold; zero means none
-	Term    uint64      // StepDown
+	Term    uint64      // StepDown: term of the successor
 }
 
 // Code is the outcome of a request.
 type Code uint8
 
-// Outcomes. Lost, Unreachable and Down are used only inside the fleet.
+// Values of Code. Lost, Unreachable and Down are used only inside the fleet.
 const (
 	OK               Code = iota
 	Busy                  // not run: no capacity
@@ -108,7 +108,9 @@
 // Internal reports whether the code is used only inside the fleet.
 func (c Code) Internal() bool { return c == Lost || c == Unreachable || c == Down }
 
-// NotRun reports whether the code proves that the statement did not run.
+// NotRun reports whether the code proves that the statement did not run, and the
+// statement may succeed if it is sent again. It is false for statements that would
+// be refused again.
 func (c Code) NotRun() bool {
 	switch c {
 	case Busy, Lagging, ReadOnly, WrongServer, ConnectionLimit, UnknownStatement, Unreachable, Down:
@@ -120,7 +122,7 @@
 // TxState is the state of a session's transaction.
 type TxState uint8
 
-// Transaction states.
+// Values of TxState.
 const (
 	Idle     TxState = iota
 	InTx             // a transaction is open
