--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -48,17 +48,17 @@
 // loan that is counted from the arrival of the answer.
 func TestLoansEnd(t *testing.T) {
 	coordinator := NewTable(0)
-	take := func(now time.Duration) int { return coordinator.GrantTokens(customer, 0, 4, 1000, now) }
-	take(afterStart) // creates the account
+	grant := func(now time.Duration) int { return coordinator.GrantTokens(customer, 0, 4, 1000, now) }
+	grant(afterStart) // creates the account
 	coordinator.Receive("a", partitions("c"), minLoanDuration, afterStart)
 	coordinator.Receive("b", partitions("c"), minLoanDuration, afterStart)
 	// Three of four shares of 100 per second for half a second.
-	if got := take(afterStart + minLoanDuration/2); got < 35 || got > 38 {
+	if got := grant(afterStart + minLoanDuration/2); got < 35 || got > 38 {
 		t.Errorf("%d tokens with three shares", got)
 	}
-	take(afterStart + minLoanDuration)
+	grant(afterStart + minLoanDuration)
 	// Only its own share.
-	if got := take(afterStart + 2*minLoanDuration); got > 13 {
+	if got := grant(afterStart + 2*minLoanDuration); got > 13 {
 		t.Errorf("%d tokens after the loans expired", got)
 	}
 }
@@ -114,12 +114,12 @@
 // Guards against partitions that share their tokens or loans.
 func TestPartitionsAreApart(t *testing.T) {
 	table := NewTable(0)
-	take := func(index uint8, now time.Duration) int { return table.GrantTokens(customer, index, 1, 1000, now) }
-	take(0, afterStart)
-	take(1, afterStart)
+	grant := func(index uint8, now time.Duration) int { return table.GrantTokens(customer, index, 1, 1000, now) }
+	grant(0, afterStart)
+	grant(1, afterStart)
 	table.Lend("l", "1", partitions("c"), time.Minute, afterStart) // partition 0
 	now := afterStart + 400*time.Millisecond
-	if lent, kept := take(0, now), take(1, now); lent > 0 || kept < 39 || kept > 40 {
+	if lent, kept := grant(0, now), grant(1, now); lent > 0 || kept < 39 || kept > 40 {
 		t.Errorf("%d tokens of the partition that is lent, %d of the other one, which earns 100 per second", lent, kept)
 	}
 }
@@ -212,12 +212,12 @@
 // elsewhere.
 func TestShareEarnsWhereItIs(t *testing.T) {
 	table := NewTable(0)
-	take := func(now time.Duration) int { return table.GrantTokens(customer, 0, 1, 1000, now) }
-	take(afterStart)
-	take(afterStart) // empties the bucket
+	grant := func(now time.Duration) int { return table.GrantTokens(customer, 0, 1, 1000, now) }
+	grant(afterStart)
+	grant(afterStart) // empties the bucket
 	table.Lend("l", "1", partitions("c"), time.Minute, afterStart)
 	table.LinkClosed("1", afterStart+10*time.Second)
-	if got := take(afterStart + 10*time.Second + 100*time.Millisecond); got > 10 {
+	if got := grant(afterStart + 10*time.Second + 100*time.Millisecond); got > 10 {
 		t.Errorf("%d tokens for 100 ms at 100 per second", got)
 	}
 	table.Receive("b", partitions("c"), minLoanDuration, afterStart+20*time.Second)
