--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -240,7 +240,7 @@
 	switch {
 	case cfg == nil:
 		return "no configuration"
-	case !drain.TakesWork(drain.VMState(cfg, self.Name, self.DataCentre)):
+	case !drain.AcceptsWork(drain.VMState(cfg, self.Name, self.DataCentre)):
 		return "leaving"
 	case !v.limits.Usable():
 		return "not confirmed by its voters"
--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -10,11 +10,11 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// ContactBound is the maximum time since the last confirmation for which a
+// MaxConfirmationAge is the maximum time since the last confirmation for which a
 // configuration counts as current. The time stays below about 6 s on a healthy
 // VM, and one failed call to the store adds up to 3 s, so a shorter bound would
 // refuse customers although the store is reachable.
-const ContactBound = 15 * time.Second
+const MaxConfirmationAge = 15 * time.Second
 
 // Reason says why a request is refused.
 type Reason int
@@ -143,7 +143,7 @@
 	if fresh.StoreDown || p.Always {
 		return true
 	}
-	return !fresh.ConfirmedAt.IsZero() && Elapsed(fresh.ConfirmedAt, now) <= max(p.ServeFor, ContactBound)
+	return !fresh.ConfirmedAt.IsZero() && Elapsed(fresh.ConfirmedAt, now) <= max(p.ServeFor, MaxConfirmationAge)
 }
 
 // Elapsed returns the time from t to now, measured by the monotonic clock or the
--- a/coordination/access/access_test.go
+++ b/coordination/access/access_test.go
@@ -91,8 +91,8 @@
 	}{
 		{"within serve_for", state.CutOffPolicy{ServeFor: time.Minute}, state.Freshness{ConfirmedAt: now.Add(-time.Minute)}, true},
 		{"after serve_for", state.CutOffPolicy{ServeFor: time.Minute}, state.Freshness{ConfirmedAt: now.Add(-time.Minute - 1)}, false},
-		{"zero serve_for in contact", state.CutOffPolicy{}, state.Freshness{ConfirmedAt: now.Add(-ContactBound)}, true},
-		{"zero serve_for out of contact", state.CutOffPolicy{}, state.Freshness{ConfirmedAt: now.Add(-ContactBound - 1)}, false},
+		{"zero serve_for in contact", state.CutOffPolicy{}, state.Freshness{ConfirmedAt: now.Add(-MaxConfirmationAge)}, true},
+		{"zero serve_for out of contact", state.CutOffPolicy{}, state.Freshness{ConfirmedAt: now.Add(-MaxConfirmationAge - 1)}, false},
 		{"always", state.CutOffPolicy{Always: true}, state.Freshness{}, true},
 		{"never confirmed", state.CutOffPolicy{ServeFor: time.Hour}, state.Freshness{}, false},
 		{"store down for all", state.CutOffPolicy{}, state.Freshness{ConfirmedAt: now.Add(-time.Hour), StoreDown: true}, true},
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -26,14 +26,14 @@
 	return vm.State
 }
 
-// TakesWork reports whether a VM in the given state accepts new sessions, and
+// AcceptsWork reports whether a VM in the given state accepts new sessions, and
 // new requests of sessions without an open transaction.
-func TakesWork(s state.ServiceState) bool { return s == state.InService }
+func AcceptsWork(s state.ServiceState) bool { return s == state.InService }
 
-// Returned lists the backend servers that are in service under next and were
+// ReturnedServers lists the backend servers that are in service under next and were
 // not under prev. It lists none for the first configuration of a VM, which does
 // not tell how long a server has been in service.
-func Returned(prev, next *state.Config) []Server {
+func ReturnedServers(prev, next *state.Config) []Server {
 	if prev == nil || next == nil {
 		return nil
 	}
--- a/coordination/membership/freshness.go
+++ b/coordination/membership/freshness.go
@@ -9,9 +9,9 @@
 )
 
 // MissedAfter is the age of the configuration above which a VM reports to others
-// that it does not reach the store. It is lower than access.ContactBound by the
-// time that it takes to receive the same report from every other data centre, so
-// that no customer is refused while the store is down for all VMs.
+// that it does not reach the store. It is lower than access.MaxConfirmationAge by
+// the time that it takes to receive the same report from every other data centre,
+// so that no customer is refused while the store is down for all VMs.
 const MissedAfter = 8 * time.Second
 
 // storeDownMargin keeps the age of the configuration above MissedAfter while the
--- a/coordination/queueing/queueing.go
+++ b/coordination/queueing/queueing.go
@@ -25,9 +25,9 @@
 
 // Reasons.
 const (
-	QueueFull   Reason = iota // too many requests are waiting
-	TooLate                   // the deadline has passed or would pass in the queue
-	Unreachable               // connecting to the backend server failed
+	QueueFull        Reason = iota // too many requests are waiting
+	DeadlineExceeded               // the deadline has passed or would pass in the queue
+	Unreachable                    // connecting to the backend server failed
 )
 
 // Effect is an action that the caller carries out: Grant, Refuse, Open or Close.
@@ -88,7 +88,7 @@
 		return []Effect{grant(s, w, conn, now)}
 	}
 	if now.Add(expectedWait(s, w)).After(w.Deadline) {
-		return []Effect{Refuse{w.ID, TooLate}}
+		return []Effect{Refuse{w.ID, DeadlineExceeded}}
 	}
 	var effects []Effect
 	if len(s.Waiters) >= o.maxWaiters() {
@@ -104,8 +104,8 @@
 	return append(effects, openConns(s, now)...)
 }
 
-// Withdraw removes a request from the queue.
-func Withdraw(s *state.ServerConns, id state.WaiterID) {
+// RemoveWaiter removes a request from the queue.
+func RemoveWaiter(s *state.ServerConns, id state.WaiterID) {
 	for i := range s.Waiters {
 		if s.Waiters[i].ID == id {
 			s.Waiters = append(s.Waiters[:i], s.Waiters[i+1:]...)
@@ -180,7 +180,7 @@
 	kept := s.Waiters[:0]
 	for _, w := range s.Waiters {
 		if now.After(w.Deadline) {
-			effects = append(effects, Refuse{w.ID, TooLate})
+			effects = append(effects, Refuse{w.ID, DeadlineExceeded})
 			continue
 		}
 		kept = append(kept, w)
@@ -189,8 +189,9 @@
 	return append(effects, openConns(s, now)...)
 }
 
-// Warm opens connections ahead of their use, up to the given number or the limit.
-func Warm(s *state.ServerConns, conns int, now time.Time) []Effect {
+// Prewarm opens connections ahead of their use, up to the given number or the
+// limit.
+func Prewarm(s *state.ServerConns, conns int, now time.Time) []Effect {
 	var effects []Effect
 	for s.Open() < min(conns, s.Limit) && !now.Before(s.RetryAt) {
 		s.Opening++
--- a/coordination/queueing/queueing_test.go
+++ b/coordination/queueing/queueing_test.go
@@ -93,7 +93,7 @@
 	}
 	late := waiter("a", 9, 1)
 	late.Deadline = start.Add(300 * time.Millisecond)
-	want := []Effect{Refuse{late.ID, TooLate}}
+	want := []Effect{Refuse{late.ID, DeadlineExceeded}}
 	if diff := cmp.Diff(want, Acquire(s, late, start, Options{})); diff != "" {
 		t.Error(diff)
 	}
@@ -171,8 +171,8 @@
 	b := &state.RetryBudget{}
 	allowed := 0
 	for range 1000 {
-		Earn(b, start)
-		if Retry(b, start) {
+		EarnRetries(b, start)
+		if TakeRetry(b, start) {
 			allowed++
 		}
 	}
--- a/coordination/queueing/retry.go
+++ b/coordination/queueing/retry.go
@@ -17,14 +17,14 @@
 	maxBackoff        = 200 * time.Millisecond
 )
 
-// Earn adds the retries that one request earns to the budget.
-func Earn(b *state.RetryBudget, now time.Time) {
+// EarnRetries adds the retries that one request earns to the budget.
+func EarnRetries(b *state.RetryBudget, now time.Time) {
 	refill(b, now)
 	b.Tokens = min(b.Tokens+retriesPerRequest, maxRetryTokens)
 }
 
-// Retry takes one retry from the budget and reports whether one was left.
-func Retry(b *state.RetryBudget, now time.Time) bool {
+// TakeRetry takes one retry from the budget and reports whether one was left.
+func TakeRetry(b *state.RetryBudget, now time.Time) bool {
 	refill(b, now)
 	if b.Tokens < 1 {
 		return false
--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -14,7 +14,7 @@
 // Kinds of parts.
 const (
 	PartData       PartKind = iota // rows and notices
-	PartLead                       // responses from before a statement runs: parsed, bound, described
+	PartPreamble                   // responses from before a statement runs: parsed, bound, described
 	PartCompletion                 // completion of a statement
 	PartError                      // an error
 )
@@ -32,11 +32,11 @@
 // a write without running it.
 const readOnlyViolation = "25006"
 
-// Part handles a part of the answer. Parts that may show that a write completed
-// are held until a majority of servers has the write. Errors, and what comes
-// before the first row, are held because a request that is refused as a write
-// runs again on another server.
-func (d *Decider) Part(s *state.Session, conn state.ConnID, request uint64, kind PartKind, part any) []Effect {
+// HandlePart handles a part of the answer. Parts that may show that a write
+// completed are held until a majority of servers has the write. Errors, and what
+// comes before the first row, are held because a request that is refused as a
+// write runs again on another server.
+func (d *Decider) HandlePart(s *state.Session, conn state.ConnID, request uint64, kind PartKind, part any) []Effect {
 	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
@@ -45,15 +45,15 @@
 		s.Completed = true
 	}
 	writable := !readOnly(s.Request.Class)
-	if kind == PartError || kind == PartLead && !s.Forwarded || writable && s.Completed {
+	if kind == PartError || kind == PartPreamble && !s.Forwarded || writable && s.Completed {
 		return []Effect{Hold{Part: part}}
 	}
 	s.Forwarded = true
 	return []Effect{FlushHeld{}, Forward{Part: part}}
 }
 
-// Ended handles the end of the answer.
-func (d *Decider) Ended(s *state.Session, conn state.ConnID, request uint64, end End, now time.Time) []Effect {
+// HandleEnd handles the end of the answer.
+func (d *Decider) HandleEnd(s *state.Session, conn state.ConnID, request uint64, end End, now time.Time) []Effect {
 	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
@@ -63,10 +63,10 @@
 	if d.mayRestartTransaction(s, end) {
 		return d.restartTransaction(s, now)
 	}
-	s.InTransaction, s.Reopening = end.InTransaction, false
-	s.Opening = nil
+	s.InTransaction, s.ReplayingBegin = end.InTransaction, false
+	s.BeginPayload = nil
 	if s.InTransaction && s.Request.OnlyBegins && end.ErrorCode == "" {
-		s.Opening = s.Request.Payload
+		s.BeginPayload = s.Request.Payload
 	}
 	var effects []Effect
 	if end.ErrorCode == readOnlyViolation && s.TargetsPrimary {
@@ -82,7 +82,7 @@
 		return append(effects, d.finish(s, Outcome{Kind: Answered})...)
 	}
 	s.Phase = state.PhaseAcknowledging
-	return append(effects, Await{Group: d.groupOf(s), Waiter: state.PositionWaiter{
+	return append(effects, AwaitPosition{Group: d.groupOf(s), Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
 		Kind:     state.WaitDurable,
 		Joined:   now,
@@ -109,10 +109,10 @@
 // without any lasting effect, so that another server may run it. A transaction
 // that the request itself began is rolled back.
 func (d *Decider) mayRerouteWrite(s *state.Session, end End) bool {
-	if end.ErrorCode != readOnlyViolation || end.Committed || s.InTransaction || s.Reopening || s.Forwarded {
+	if end.ErrorCode != readOnlyViolation || end.Committed || s.InTransaction || s.ReplayingBegin || s.Forwarded {
 		return false
 	}
-	if s.Request.Class == state.ClassBeginRO || s.Refusals >= maxWriteRefusals {
+	if s.Request.Class == state.ClassBeginRO || s.WriteRefusals >= maxWriteRefusals {
 		return false
 	}
 	_, route, _ := d.lookup(s)
@@ -121,12 +121,12 @@
 
 // rerouteWrite runs a request that was refused as a write on another server.
 func (d *Decider) rerouteWrite(s *state.Session, end End, now time.Time) []Effect {
-	s.Refusals++
+	s.WriteRefusals++
 	effects := []Effect{DropHeld{}}
 	if !readOnly(s.Request.Class) {
 		// The server was chosen as the primary but is read-only.
 		s.Excluded = s.Server
-		effects = append(effects, Suspect{Group: d.groupOf(s), Server: s.Server})
+		effects = append(effects, ReportFailure{Group: d.groupOf(s), Server: s.Server})
 	}
 	s.Request.Class = state.ClassWrite
 	s.Sent = false
@@ -142,37 +142,37 @@
 // statement of a transaction as a write. The transaction has had no effect yet,
 // so it can be started again on the new primary.
 func (d *Decider) mayRestartTransaction(s *state.Session, end End) bool {
-	if end.ErrorCode != readOnlyViolation || s.Opening == nil || s.Forwarded || s.Refusals >= maxWriteRefusals {
+	if end.ErrorCode != readOnlyViolation || s.BeginPayload == nil || s.Forwarded || s.WriteRefusals >= maxWriteRefusals {
 		return false
 	}
 	// On a read-only route the transaction itself is read-only, and the refusal
 	// says nothing about the server.
 	_, route, _ := d.lookup(s)
-	return (s.InTransaction || s.Reopening) && route != nil && route.Access == state.ReadWrite
+	return (s.InTransaction || s.ReplayingBegin) && route != nil && route.Access == state.ReadWrite
 }
 
 // restartTransaction starts the transaction again on another server, together with
 // the current request.
 func (d *Decider) restartTransaction(s *state.Session, now time.Time) []Effect {
-	s.Refusals++
-	s.InTransaction, s.Reopening = false, true
+	s.WriteRefusals++
+	s.InTransaction, s.ReplayingBegin = false, true
 	s.Excluded, s.Sent = s.Server, false
-	effects := []Effect{DropHeld{}, Suspect{Group: d.groupOf(s), Server: s.Server}}
+	effects := []Effect{DropHeld{}, ReportFailure{Group: d.groupOf(s), Server: s.Server}}
 	effects = append(effects, d.discardConn(s)...)
 	return append(effects, d.route(s, now)...)
 }
 
-// Lost handles the failure of the session's backend connection.
-func (d *Decider) Lost(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
+// HandleConnLost handles the failure of the session's backend connection.
+func (d *Decider) HandleConnLost(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
 	if s.Conn != conn || conn == 0 {
 		return nil
 	}
 	s.Conn, s.Cancelled = 0, false
-	suspect := Suspect{Group: d.groupOf(s), Server: s.Server}
+	suspect := ReportFailure{Group: d.groupOf(s), Server: s.Server}
 	if s.Phase == state.PhaseAcknowledging {
 		// A connection is held in this phase only if the request committed one
 		// transaction and began another.
-		effects := []Effect{suspect, WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)}, DropHeld{}}
+		effects := []Effect{suspect, CancelAwait{Group: d.groupOf(s), ID: waiterID(s)}, DropHeld{}}
 		return append(effects, d.close(s, Outcome{Kind: Unknown, Reason: ConnectionLost})...)
 	}
 	if s.Phase != state.PhaseExecuting {
@@ -187,7 +187,7 @@
 // retryOrFail retries a request that was sent and whose connection was lost or
 // closed, or ends it with an unknown outcome.
 func (d *Decider) retryOrFail(s *state.Session, reason Reason, now time.Time) []Effect {
-	if s.InTransaction || s.Reopening {
+	if s.InTransaction || s.ReplayingBegin {
 		out := Outcome{Kind: Unknown, Reason: TransactionLost}
 		if s.Request.Class == state.ClassEnd || s.Request.MayCommit {
 			out.Reason = reason
@@ -207,17 +207,17 @@
 // effect or is idempotent, the client has received no part of its answer, its
 // deadline has not passed and the retry budget allows it.
 func (d *Decider) mayRetry(s *state.Session, now time.Time) bool {
-	retryable := readOnly(s.Request.Class) || s.Request.Class == state.ClassBegin || s.Request.Idempotent || d.Options.RetryAnything
+	retryable := readOnly(s.Request.Class) || s.Request.Class == state.ClassBegin || s.Request.Idempotent || d.Options.RetryNonIdempotent
 	if !retryable || s.Forwarded || !now.Before(s.Request.Deadline) {
 		return false
 	}
 	allowed := false
-	d.Tables.Backends.WithRetries(d.groupOf(s), func(b *state.RetryBudget) { allowed = queueing.Retry(b, now) })
+	d.Tables.Backends.WithRetries(d.groupOf(s), func(b *state.RetryBudget) { allowed = queueing.TakeRetry(b, now) })
 	return allowed
 }
 
-// Resolved handles the result of an Await.
-func (d *Decider) Resolved(s *state.Session, request uint64, r replication.Result, now time.Time) []Effect {
+// HandleWaitResult handles the result of an AwaitPosition.
+func (d *Decider) HandleWaitResult(s *state.Session, request uint64, r replication.Result, now time.Time) []Effect {
 	if s.Request.Number != request {
 		return nil
 	}
--- a/coordination/session/check.go
+++ b/coordination/session/check.go
@@ -36,20 +36,20 @@
 		s.CheckedAt = now
 		return []Effect{
 			d.queryServers(s, now, earlier(now.Add(replicaStatusTimeout), s.Request.Deadline)),
-			Wake{Request: s.Request.Number, At: now.Add(replicaStatusTimeout)},
+			SetTimer{Request: s.Request.Number, At: now.Add(replicaStatusTimeout)},
 		}
 	case d.answeredSince(s, s.CheckedAt):
 		s.CheckedAt = time.Time{}
-		return []Effect{Wake{Request: s.Request.Number, At: now.Add(recheckDelay)}}
+		return []Effect{SetTimer{Request: s.Request.Number, At: now.Add(recheckDelay)}}
 	}
-	effects := append(d.discardConn(s), Suspect{Group: d.groupOf(s), Server: s.Server})
+	effects := append(d.discardConn(s), ReportFailure{Group: d.groupOf(s), Server: s.Server})
 	return append(effects, d.retryOrFail(s, ConnectionLost, now)...)
 }
 
 // queryServers asks all servers of the group for their status. The waiter also
 // shows the failover logic that a request is waiting for the primary.
 func (d *Decider) queryServers(s *state.Session, now, deadline time.Time) Effect {
-	return Await{Group: d.groupOf(s), Waiter: state.PositionWaiter{
+	return AwaitPosition{Group: d.groupOf(s), Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
 		Kind:     state.WaitPrimary,
 		Joined:   now,
@@ -75,13 +75,13 @@
 		return nil
 	}
 	if r.Kind != replication.Satisfied || r.Term <= s.Term {
-		return []Effect{Wake{Request: s.Request.Number, At: now.Add(recheckDelay)}}
+		return []Effect{SetTimer{Request: s.Request.Number, At: now.Add(recheckDelay)}}
 	}
 	s.Superseded = true
 	if !d.reachable(s) {
 		return d.checkServer(s, now)
 	}
-	return []Effect{Wake{Request: s.Request.Number, At: now.Add(supersededGrace)}}
+	return []Effect{SetTimer{Request: s.Request.Number, At: now.Add(supersededGrace)}}
 }
 
 // reachable reports whether the session's server answered the latest status
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -34,10 +34,10 @@
 // Options select variants of the policy. The zero value is the normal policy; all
 // others are baselines for benchmarks.
 type Options struct {
-	ReadsOnPrimary bool // reads never go to a replica
-	NoGroupCommit  bool // each write has its own position round
-	AckOnCommit    bool // writes are acknowledged once the primary has committed them; unsafe
-	RetryAnything  bool // requests that are not idempotent are also retried after they were sent; unsafe
+	ReadsOnPrimary     bool // reads never go to a replica
+	NoGroupCommit      bool // each write has its own position round
+	AckOnCommit        bool // writes are acknowledged once the primary has committed them; unsafe
+	RetryNonIdempotent bool // requests that are not idempotent are also retried after they were sent; unsafe
 }
 
 // Decider decides on the events of all sessions of a VM.
@@ -81,14 +81,14 @@
 	access.NoConfiguration: NoConfiguration,
 }
 
-// Arrive starts handling a request of the client.
-func (d *Decider) Arrive(s *state.Session, r state.Request, now time.Time) []Effect {
+// StartRequest starts handling a request of the client.
+func (d *Decider) StartRequest(s *state.Session, r state.Request, now time.Time) []Effect {
 	resetRequest(s, r)
 	if out := d.checkAccess(s, now); out.Kind != Answered {
 		return d.refuseAccess(s, out)
 	}
 	d.applyReadOnlyRoute(s)
-	wake := Wake{Request: r.Number, At: r.Deadline}
+	wake := SetTimer{Request: r.Number, At: r.Deadline}
 	if s.InTransaction && (r.Class == state.ClassEnd || r.Class == state.ClassRollback) {
 		return append([]Effect{wake}, d.send(s, now)...)
 	}
@@ -116,9 +116,9 @@
 func resetRequest(s *state.Session, r state.Request) {
 	s.Request = r
 	s.Sent, s.Forwarded, s.MayHaveRun = false, false, false
-	s.Attempts, s.Refusals = 0, 0
-	s.Excluded, s.CoverAsked = "", ""
-	s.Reopening = false
+	s.Attempts, s.WriteRefusals = 0, 0
+	s.Excluded, s.PositionQueried = "", ""
+	s.ReplayingBegin = false
 }
 
 // refuseAccess refuses a request that the session may not run. The session is
@@ -148,7 +148,7 @@
 // asks for the processing of limits that the decision depends on.
 func (d *Decider) startAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
 	s.Phase = state.PhaseAdmission
-	effects := d.handleAdmission(s, a, now)
+	effects := d.applyAdmission(s, a, now)
 	if a.Verdict == share.Wait {
 		effects = append(effects, AdvanceLimits{At: a.Until})
 	}
@@ -158,10 +158,10 @@
 	return effects
 }
 
-// Admitted handles the decision on a request that waited for a token. The token is
-// returned if the request no longer waits, or if it will spend one when it is
-// sent.
-func (d *Decider) Admitted(s *state.Session, request uint64, a share.Admission, now time.Time) []Effect {
+// HandleAdmission handles the decision on a request that waited for a token. The
+// token is returned if the request no longer waits, or if it will spend one when
+// it is sent.
+func (d *Decider) HandleAdmission(s *state.Session, request uint64, a share.Admission, now time.Time) []Effect {
 	waits := s.Phase == state.PhaseAdmission && s.Request.Number == request
 	if a.Verdict == share.Granted && !(waits && s.InTransaction) {
 		share.RefundToken(d.Tables, s.Customer, requestCost)
@@ -169,12 +169,12 @@
 	if !waits {
 		return nil
 	}
-	return d.handleAdmission(s, a, now)
+	return d.applyAdmission(s, a, now)
 }
 
-// handleAdmission sends or routes a request that was admitted, and refuses one that
+// applyAdmission sends or routes a request that was admitted, and refuses one that
 // was not.
-func (d *Decider) handleAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
+func (d *Decider) applyAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
 	switch a.Verdict {
 	case share.Wait:
 		return nil
@@ -185,7 +185,7 @@
 		return d.send(s, now)
 	}
 	if group := d.groupOf(s); group != "" {
-		d.Tables.Backends.WithRetries(group, func(b *state.RetryBudget) { queueing.Earn(b, now) })
+		d.Tables.Backends.WithRetries(group, func(b *state.RetryBudget) { queueing.EarnRetries(b, now) })
 	}
 	return d.route(s, now)
 }
@@ -264,12 +264,12 @@
 		Group:          group,
 		DataCentre:     d.Tables.Self.DataCentre,
 		Now:            now,
-		Read:           readOnly(s.Request.Class) && !s.Reopening,
+		Read:           readOnly(s.Request.Class) && !s.ReplayingBegin,
 		ReplicaAllowed: known || s.TokenSet,
 		Point:          point,
 		MaxAge:         maxAge,
 		Excluded:       s.Excluded,
-		QueriedReplica: s.CoverAsked,
+		QueriedReplica: s.PositionQueried,
 		TieBreaker:     s.ID + s.Request.Number,
 		Load:           d.Tables.Backends.Load,
 		PrimaryOnly:    d.Options.ReadsOnPrimary,
@@ -294,8 +294,8 @@
 // requires.
 func (d *Decider) awaitReplicaPosition(s *state.Session, q routing.Query, server string, now time.Time) []Effect {
 	s.Phase = state.PhasePosition
-	s.CoverAsked = server
-	return []Effect{Await{Group: q.Group.Name, Waiter: state.PositionWaiter{
+	s.PositionQueried = server
+	return []Effect{AwaitPosition{Group: q.Group.Name, Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
 		Kind:     state.WaitCover,
 		Joined:   now,
@@ -308,7 +308,7 @@
 
 func (d *Decider) awaitPrimary(s *state.Session, group string, now time.Time) []Effect {
 	s.Phase = state.PhasePosition
-	return []Effect{Await{Group: group, Waiter: state.PositionWaiter{
+	return []Effect{AwaitPosition{Group: group, Waiter: state.PositionWaiter{
 		ID:       waiterID(s),
 		Kind:     state.WaitPrimary,
 		Joined:   now,
@@ -316,10 +316,10 @@
 	}}}
 }
 
-// Granted gives the session's request a backend connection. The connection is
+// HandleConn gives the session's request a backend connection. The connection is
 // released unused if the request no longer waits for it, if the server is no
 // longer the primary, or if no token is left.
-func (d *Decider) Granted(s *state.Session, request uint64, server string, conn state.ConnID, now time.Time) []Effect {
+func (d *Decider) HandleConn(s *state.Session, request uint64, server string, conn state.ConnID, now time.Time) []Effect {
 	if s.Phase != state.PhaseConnection || s.Request.Number != request {
 		return []Effect{Release{Server: server, Conn: conn}}
 	}
@@ -349,8 +349,8 @@
 	return primary
 }
 
-// NotGranted handles the refusal of a backend connection.
-func (d *Decider) NotGranted(s *state.Session, request uint64, reason queueing.Reason, now time.Time) []Effect {
+// HandleConnRefused handles the refusal of a backend connection.
+func (d *Decider) HandleConnRefused(s *state.Session, request uint64, reason queueing.Reason, now time.Time) []Effect {
 	if s.Phase != state.PhaseConnection || s.Request.Number != request {
 		return nil
 	}
@@ -358,7 +358,7 @@
 		return d.refuse(s, Refused(NoConnection))
 	}
 	s.Excluded = s.Server
-	effects := []Effect{Suspect{Group: d.groupOf(s), Server: s.Server}}
+	effects := []Effect{ReportFailure{Group: d.groupOf(s), Server: s.Server}}
 	return append(effects, d.backoff(s, now)...)
 }
 
@@ -374,17 +374,17 @@
 		Conn:     s.Conn,
 		Request:  s.Request.Number,
 		Payload:  s.Request.Payload,
-		ReadOnly: !s.InTransaction && readOnly(s.Request.Class) && !s.Reopening,
+		ReadOnly: !s.InTransaction && readOnly(s.Request.Class) && !s.ReplayingBegin,
 	}
-	if s.Reopening {
-		send.Opening = s.Opening
+	if s.ReplayingBegin {
+		send.Opening = s.BeginPayload
 	}
-	return []Effect{send, Wake{Request: s.Request.Number, At: now.Add(firstCheckDelay)}}
+	return []Effect{send, SetTimer{Request: s.Request.Number, At: now.Add(firstCheckDelay)}}
 }
 
-// Unsent handles a connection that failed before any byte of the request was sent
-// on it.
-func (d *Decider) Unsent(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
+// HandleSendFailed handles a connection that failed before any byte of the
+// request was sent on it.
+func (d *Decider) HandleSendFailed(s *state.Session, conn state.ConnID, request uint64, now time.Time) []Effect {
 	if !d.isCurrent(s, conn, request) {
 		return nil
 	}
@@ -399,7 +399,7 @@
 func (d *Decider) backoff(s *state.Session, now time.Time) []Effect {
 	s.Phase = state.PhaseBackoff
 	at := now.Add(queueing.Backoff(max(s.Attempts, 1)))
-	return []Effect{Wake{Request: s.Request.Number, At: earlier(at, s.Request.Deadline)}}
+	return []Effect{SetTimer{Request: s.Request.Number, At: earlier(at, s.Request.Deadline)}}
 }
 
 func readOnly(c state.Class) bool { return c == state.ClassRead || c == state.ClassBeginRO }
--- a/coordination/session/effects.go
+++ b/coordination/session/effects.go
@@ -11,14 +11,14 @@
 type Effect interface{ effect() }
 
 // Acquire asks for a connection to a backend server. The transport layer responds
-// with a call of Granted or NotGranted.
+// with a call of HandleConn or HandleConnRefused.
 type Acquire struct {
 	Server string
 	Waiter state.ConnWaiter
 }
 
-// WithdrawAcquire cancels an Acquire that has no response yet.
-type WithdrawAcquire struct {
+// CancelAcquire cancels an Acquire that has no response yet.
+type CancelAcquire struct {
 	Server string
 	ID     state.WaiterID
 }
@@ -70,21 +70,21 @@
 // connection.
 type CancelBackend struct{ Conn state.ConnID }
 
-// Await waits for positions of a group's servers. The transport layer responds
-// with a call of Resolved.
-type Await struct {
+// AwaitPosition waits for positions of a group's servers. The transport layer
+// responds with a call of HandleWaitResult.
+type AwaitPosition struct {
 	Group  string
 	Waiter state.PositionWaiter
 }
 
-// WithdrawAwait cancels an Await that has no response yet.
-type WithdrawAwait struct {
+// CancelAwait cancels an AwaitPosition that has no response yet.
+type CancelAwait struct {
 	Group string
 	ID    state.WaiterID
 }
 
-// Wake requests a call of Woken at the given time.
-type Wake struct {
+// SetTimer requests a call of HandleTimer at the given time.
+type SetTimer struct {
 	Request uint64
 	At      time.Time
 }
@@ -92,8 +92,8 @@
 // ReportToken sends the session token to the client.
 type ReportToken struct{}
 
-// Suspect reports that communication with a backend server failed.
-type Suspect struct {
+// ReportFailure reports that communication with a backend server failed.
+type ReportFailure struct {
 	Group  string
 	Server string
 }
@@ -105,21 +105,21 @@
 // CloseClient tells the client the reason and ends the session.
 type CloseClient struct{ Outcome Outcome }
 
-func (Acquire) effect()         {}
-func (WithdrawAcquire) effect() {}
-func (Send) effect()            {}
-func (Forward) effect()         {}
-func (Hold) effect()            {}
-func (FlushHeld) effect()       {}
-func (DropHeld) effect()        {}
-func (Finish) effect()          {}
-func (Release) effect()         {}
-func (Discard) effect()         {}
-func (CancelBackend) effect()   {}
-func (Await) effect()           {}
-func (WithdrawAwait) effect()   {}
-func (Wake) effect()            {}
-func (ReportToken) effect()     {}
-func (Suspect) effect()         {}
-func (AdvanceLimits) effect()   {}
-func (CloseClient) effect()     {}
+func (Acquire) effect()       {}
+func (CancelAcquire) effect() {}
+func (Send) effect()          {}
+func (Forward) effect()       {}
+func (Hold) effect()          {}
+func (FlushHeld) effect()     {}
+func (DropHeld) effect()      {}
+func (Finish) effect()        {}
+func (Release) effect()       {}
+func (Discard) effect()       {}
+func (CancelBackend) effect() {}
+func (AwaitPosition) effect() {}
+func (CancelAwait) effect()   {}
+func (SetTimer) effect()      {}
+func (ReportToken) effect()   {}
+func (ReportFailure) effect() {}
+func (AdvanceLimits) effect() {}
+func (CloseClient) effect()   {}
--- a/coordination/session/end.go
+++ b/coordination/session/end.go
@@ -10,8 +10,8 @@
 // request, counted from the deadline of the previous one.
 const maxIdleInTransaction = 30 * time.Second
 
-// Woken handles the time of a Wake.
-func (d *Decider) Woken(s *state.Session, request uint64, now time.Time) []Effect {
+// HandleTimer handles the time of a SetTimer.
+func (d *Decider) HandleTimer(s *state.Session, request uint64, now time.Time) []Effect {
 	if s.Request.Number != request || s.Phase == state.PhaseClosed {
 		return nil
 	}
@@ -46,10 +46,10 @@
 		d.cancelAdmission(s)
 		return d.refuse(s, Refused(RateExceeded))
 	case state.PhasePosition:
-		effects := []Effect{WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)}}
+		effects := []Effect{CancelAwait{Group: d.groupOf(s), ID: waiterID(s)}}
 		return append(effects, d.refuse(s, Refused(NoPrimary))...)
 	case state.PhaseConnection:
-		effects := []Effect{WithdrawAcquire{Server: s.Server, ID: waiterID(s)}}
+		effects := []Effect{CancelAcquire{Server: s.Server, ID: waiterID(s)}}
 		return append(effects, d.refuse(s, Refused(NoConnection))...)
 	case state.PhaseBackoff:
 		return d.refuse(s, Refused(NoConnection))
@@ -74,10 +74,10 @@
 	case state.PhaseBackoff:
 		return d.refuse(s, cancelled)
 	case state.PhasePosition:
-		effects := []Effect{WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)}}
+		effects := []Effect{CancelAwait{Group: d.groupOf(s), ID: waiterID(s)}}
 		return append(effects, d.refuse(s, cancelled)...)
 	case state.PhaseConnection:
-		effects := []Effect{WithdrawAcquire{Server: s.Server, ID: waiterID(s)}}
+		effects := []Effect{CancelAcquire{Server: s.Server, ID: waiterID(s)}}
 		return append(effects, d.refuse(s, cancelled)...)
 	case state.PhaseExecuting:
 		s.Cancelled = true
@@ -86,16 +86,16 @@
 	return nil
 }
 
-// Gone ends the session after the client has disconnected.
-func (d *Decider) Gone(s *state.Session) []Effect {
+// HandleDisconnect ends the session after the client has disconnected.
+func (d *Decider) HandleDisconnect(s *state.Session) []Effect {
 	var effects []Effect
 	switch s.Phase {
 	case state.PhaseAdmission:
 		d.cancelAdmission(s)
 	case state.PhasePosition, state.PhaseExecuting, state.PhaseAcknowledging:
-		effects = append(effects, WithdrawAwait{Group: d.groupOf(s), ID: waiterID(s)})
+		effects = append(effects, CancelAwait{Group: d.groupOf(s), ID: waiterID(s)})
 	case state.PhaseConnection:
-		effects = append(effects, WithdrawAcquire{Server: s.Server, ID: waiterID(s)})
+		effects = append(effects, CancelAcquire{Server: s.Server, ID: waiterID(s)})
 	}
 	effects = append(effects, d.discardConn(s)...)
 	s.Phase = state.PhaseClosed
@@ -118,7 +118,7 @@
 // longer open, the session is closed, because later requests would run outside
 // the transaction.
 func (d *Decider) refuse(s *state.Session, out Outcome) []Effect {
-	if s.Reopening {
+	if s.ReplayingBegin {
 		return d.close(s, Outcome{Kind: Unknown, Reason: TransactionLost})
 	}
 	if s.MayHaveRun {
@@ -135,7 +135,7 @@
 	effects := []Effect{Finish{Outcome: out, InTransaction: s.InTransaction}}
 	if s.InTransaction {
 		idleDeadline := s.Request.Deadline.Add(maxIdleInTransaction)
-		return append(effects, Wake{Request: s.Request.Number, At: idleDeadline})
+		return append(effects, SetTimer{Request: s.Request.Number, At: idleDeadline})
 	}
 	if s.Draining {
 		effects = append(effects, d.close(s, Refused(ShuttingDown))...)
--- a/matrix/sensitivity_test.go
+++ b/matrix/sensitivity_test.go
@@ -69,7 +69,7 @@
 			t.Run(stepName+"/"+faultName, func(t *testing.T) {
 				t.Parallel()
 				requireViolation(t, history.RanTwice, stepName, faultName, func(o *chestnutdyke.Options) {
-					o.Session.RetryAnything = true
+					o.Session.RetryNonIdempotent = true
 				})
 			})
 		}
--- a/protocol/pgwire/answer.go
+++ b/protocol/pgwire/answer.go
@@ -41,9 +41,9 @@
 
 // Step is the result of adding a message to an Answer.
 type Step struct {
-	Parts []Part // parts that the message completed
-	Ended bool   // the answer is complete
-	Fault string // why the connection must be closed; empty if it can be used
+	Parts       []Part // parts that the message completed
+	Ended       bool   // the answer is complete
+	CloseReason string // why the connection must be closed; empty if it can be used
 }
 
 // Add adds the next message. more reports that further messages have already been
@@ -70,11 +70,11 @@
 		a.appendMessage(&step, session.PartCompletion, msg)
 	case *pgproto3.ParseComplete:
 		a.prepared++
-		a.appendMessage(&step, session.PartLead, msg)
+		a.appendMessage(&step, session.PartPreamble, msg)
 	case *pgproto3.BindComplete, *pgproto3.ParameterDescription, *pgproto3.RowDescription, *pgproto3.NoData:
-		a.appendMessage(&step, session.PartLead, msg)
+		a.appendMessage(&step, session.PartPreamble, msg)
 	case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
-		step.Fault = "COPY is not supported"
+		step.CloseReason = "COPY is not supported"
 	case *pgproto3.ParameterStatus, *pgproto3.NotificationResponse:
 		// These concern the pooled connection, not the client's session.
 	default:
@@ -95,7 +95,7 @@
 			a.preparationRefused = true
 			return Step{}
 		}
-		return Step{Fault: fmt.Sprintf("preparation of the connection failed: %s (%s)", m.Message, m.Code)}
+		return Step{CloseReason: fmt.Sprintf("preparation of the connection failed: %s (%s)", m.Message, m.Code)}
 	case *pgproto3.ReadyForQuery:
 		a.pendingPreparations--
 	}
@@ -111,7 +111,7 @@
 	a.part.Kind = kind
 	raw, err := msg.Encode(a.part.Bytes)
 	if err != nil {
-		step.Fault = "message cannot be encoded: " + err.Error()
+		step.CloseReason = "message cannot be encoded: " + err.Error()
 		return
 	}
 	a.part.Bytes = raw
@@ -131,6 +131,7 @@
 // Prepared returns the number of the request's Parse messages that succeeded.
 func (a *Answer) Prepared() int { return a.prepared }
 
-// Tainted reports whether the backend server refused a part of the preparation. The
-// settings and prepared statements of the connection are then unknown.
-func (a *Answer) Tainted() bool { return a.preparationRefused }
+// PreparationFailed reports whether the backend server refused a part of the
+// preparation. The settings and prepared statements of the connection are then
+// unknown.
+func (a *Answer) PreparationFailed() bool { return a.preparationRefused }
--- a/protocol/pgwire/batch.go
+++ b/protocol/pgwire/batch.go
@@ -20,11 +20,11 @@
 // extended protocol up to a Sync.
 type Batch struct {
 	Messages []pgproto3.FrontendMessage
-	// Unsynced reports that the batch ends with a Flush, which is refused, and that
+	// SyncPending reports that the batch ends with a Flush, which is refused, and that
 	// its Sync follows later. The refusal is not followed by a ReadyForQuery.
-	Unsynced bool
-	// OnlySync reports that the batch consists of a single Sync.
-	OnlySync bool
+	SyncPending bool
+	// IsSync reports that the batch consists of a single Sync.
+	IsSync bool
 
 	// The fields below are set by Statements.Analyse.
 
@@ -81,11 +81,11 @@
 	switch msg.(type) {
 	case *pgproto3.Sync:
 		f.batch = nil
-		b.OnlySync = len(b.Messages) == 1
+		b.IsSync = len(b.Messages) == 1
 		return b, nil
 	case *pgproto3.Flush:
 		// The client waits for the answers to its messages before it sends the Sync.
-		b.Unsynced = true
+		b.SyncPending = true
 		f.batch, f.skipping = nil, true
 		return b, nil
 	}
@@ -99,14 +99,14 @@
 		return nil
 	}
 	f.skipping = false
-	return &Batch{OnlySync: true}
+	return &Batch{IsSync: true}
 }
 
-// Statements are the prepared statements of a session by name.
-type Statements map[string]*pgproto3.Parse
+// PreparedStatements are the prepared statements of a session by name.
+type PreparedStatements map[string]*pgproto3.Parse
 
-// Prepared records that the first n Parse messages of a batch succeeded.
-func (s Statements) Prepared(b *Batch, n int) {
+// RecordPrepared records that the first n Parse messages of a batch succeeded.
+func (s PreparedStatements) RecordPrepared(b *Batch, n int) {
 	for _, name := range b.Closed {
 		delete(s, name)
 	}
@@ -117,12 +117,12 @@
 
 // Analyse sets the fields of a batch that describe what it does. It looks only at
 // the first keywords of each statement.
-func (s Statements) Analyse(b *Batch) {
+func (s PreparedStatements) Analyse(b *Batch) {
 	if q, ok := b.Messages[0].(*pgproto3.Query); ok {
 		analyseSimpleQuery(b, q.String)
 		return
 	}
-	a := analysis{batch: b, session: s, parsed: make(Statements)}
+	a := analysis{batch: b, session: s, parsed: make(PreparedStatements)}
 	b.Class = state.ClassRead
 	for _, msg := range b.Messages {
 		a.addMessage(msg)
@@ -141,7 +141,7 @@
 		b.OnlyBegins = onlyBeginsTransaction(sql)
 		return
 	}
-	if st.class == state.ClassLocal {
+	if st.class == state.ClassSetting {
 		b.Class = state.ClassWrite
 		b.Setting = parseSetting(sql, st)
 		return
@@ -192,9 +192,9 @@
 // analysis is the state of Analyse for a batch of the extended protocol.
 type analysis struct {
 	batch      *Batch
-	session    Statements
-	parsed     Statements // prepared by the batch itself
-	boundCount int        // statements bound so far
+	session    PreparedStatements
+	parsed     PreparedStatements // prepared by the batch itself
+	boundCount int                // statements bound so far
 }
 
 func (a *analysis) addMessage(msg pgproto3.FrontendMessage) {
@@ -229,7 +229,7 @@
 	}
 	b, st := a.batch, classify(p.Query)
 	a.boundCount++
-	if st.class == state.ClassLocal {
+	if st.class == state.ClassSetting {
 		st.class = state.ClassWrite
 		b.Setting = parseSetting(p.Query, st)
 	}
--- a/protocol/pgwire/batch_test.go
+++ b/protocol/pgwire/batch_test.go
@@ -43,7 +43,7 @@
 	for _, tt := range tests {
 		t.Run(tt.sql, func(t *testing.T) {
 			b := &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: tt.sql}}}
-			Statements{}.Analyse(b)
+			PreparedStatements{}.Analyse(b)
 			if b.Class != tt.class || (b.Unsupported != "") != tt.unsupported {
 				t.Errorf("got class %d, unsupported %q", b.Class, b.Unsupported)
 			}
@@ -53,7 +53,7 @@
 
 // Guards against routing a batch by only one of its statements.
 func TestAnalyseExtendedBatch(t *testing.T) {
-	session := Statements{"read": {Name: "read", Query: "SELECT 1"}}
+	session := PreparedStatements{"read": {Name: "read", Query: "SELECT 1"}}
 	tests := []struct {
 		name     string
 		messages []pgproto3.FrontendMessage
@@ -102,7 +102,7 @@
 	}
 	for _, tt := range tests {
 		b := &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: tt.sql}}}
-		Statements{}.Analyse(b)
+		PreparedStatements{}.Analyse(b)
 		if diff := cmp.Diff(tt.want, b.Setting); diff != "" {
 			t.Errorf("%s: %s", tt.sql, diff)
 		}
@@ -128,9 +128,9 @@
 	f.Add("/* /* */ SET")
 	f.Fuzz(func(t *testing.T, sql string) {
 		b := &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: sql}}}
-		Statements{}.Analyse(b)
+		PreparedStatements{}.Analyse(b)
 		e := &Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Parse{Query: sql}, &pgproto3.Bind{}, &pgproto3.Sync{}}}
-		Statements{}.Analyse(e)
+		PreparedStatements{}.Analyse(e)
 	})
 }
 
@@ -166,7 +166,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			Statements{}.Analyse(tt.batch)
+			PreparedStatements{}.Analyse(tt.batch)
 			if tt.batch.Class != tt.class || tt.batch.MayCommit != tt.mayCommit {
 				t.Errorf("got class %d, may commit %v; want %d, %v", tt.batch.Class, tt.batch.MayCommit, tt.class, tt.mayCommit)
 			}
--- a/protocol/pgwire/benchmark_test.go
+++ b/protocol/pgwire/benchmark_test.go
@@ -14,7 +14,7 @@
 	msg := &pgproto3.Query{String: benchmarkSQL}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := Copy(msg); err != nil {
+		if _, _, err := CloneMessage(msg); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -24,14 +24,14 @@
 	msg := &pgproto3.Bind{PreparedStatement: "s1", Parameters: [][]byte{[]byte("skin-17")}, ParameterFormatCodes: []int16{0}}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := Copy(msg); err != nil {
+		if _, _, err := CloneMessage(msg); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func BenchmarkAnalyse(b *testing.B) {
-	s := make(Statements)
+	s := make(PreparedStatements)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Analyse(&Batch{Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: benchmarkSQL}}})
@@ -46,7 +46,7 @@
 		owners uint64
 	}{{"same session", 1}, {"other session", 2}} {
 		b.Run(bm.name, func(b *testing.B) {
-			c := &Connection{}
+			c := &ConnectionState{}
 			n := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/protocol/pgwire/classify.go
+++ b/protocol/pgwire/classify.go
@@ -11,7 +11,7 @@
 type classification struct {
 	class       state.Class
 	unsupported string // why the statement cannot run under transaction pooling
-	setting     string // lower-case name of the setting in SET or RESET; set only with ClassLocal
+	setting     string // lower-case name of the setting in SET or RESET; set only with ClassSetting
 }
 
 // classify classifies a statement by its first keywords only. Classifying a write as
@@ -39,7 +39,7 @@
 	case "SET":
 		return classifySet(words)
 	case "RESET":
-		return classification{class: state.ClassLocal, setting: strings.ToLower(word(1))}
+		return classification{class: state.ClassSetting, setting: strings.ToLower(word(1))}
 	case "LISTEN", "UNLISTEN", "COPY", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD":
 		return classification{class: state.ClassWrite, unsupported: word(0)}
 	case "CREATE":
@@ -106,7 +106,7 @@
 		// The proxy sets the access mode of pooled connections itself.
 		return classification{class: state.ClassWrite, unsupported: "a session-wide access mode (use BEGIN READ ONLY)"}
 	}
-	return classification{class: state.ClassLocal, setting: strings.ToLower(name)}
+	return classification{class: state.ClassSetting, setting: strings.ToLower(name)}
 }
 
 func isTemporary(word string) bool { return word == "TEMP" || word == "TEMPORARY" }
--- a/protocol/pgwire/copy.go
+++ b/protocol/pgwire/copy.go
@@ -10,10 +10,10 @@
 // messageHeaderBytes is the length of a message's type byte and length field.
 const messageHeaderBytes = 5
 
-// Copy returns a copy of a message that shares no memory with it, and its encoded
-// size in bytes. A received message must be copied to be kept: pgproto3 reuses its
-// memory for the next message.
-func Copy(msg pgproto3.FrontendMessage) (pgproto3.FrontendMessage, int, error) {
+// CloneMessage returns a copy of a message that shares no memory with it, and its
+// encoded size in bytes. A received message must be copied to be kept: pgproto3
+// reuses its memory for the next message.
+func CloneMessage(msg pgproto3.FrontendMessage) (pgproto3.FrontendMessage, int, error) {
 	raw, err := msg.Encode(nil)
 	if err != nil {
 		return nil, 0, err
--- a/protocol/pgwire/prepare.go
+++ b/protocol/pgwire/prepare.go
@@ -6,14 +6,14 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Connection tracks the state of a backend connection: its settings, its prepared
-// statements, and the session that they belong to.
-type Connection struct {
+// ConnectionState tracks the state of a backend connection: its settings, its
+// prepared statements, and the session that they belong to.
+type ConnectionState struct {
 	owner           uint64 // session ID; zero if the connection is new or its state is unknown
 	variables       []state.Variable
 	readOnly        bool
 	accessModeKnown bool
-	prepared        Statements
+	prepared        PreparedStatements
 }
 
 // Prepared is an encoded request, preceded by the messages that prepare the
@@ -36,7 +36,7 @@
 // Prepare encodes a batch for the connection. If another session used the
 // connection before, its settings and prepared statements are discarded first. In an
 // open transaction only statements are prepared.
-func (c *Connection) Prepare(want Preparation, b *Batch) Prepared {
+func (c *ConnectionState) Prepare(want Preparation, b *Batch) Prepared {
 	var p Prepared
 	if !want.InTransaction {
 		p.discardOtherSession(c, want.Owner)
@@ -51,7 +51,7 @@
 }
 
 // addBatch appends a batch, preceded by the statements that it uses.
-func (p *Prepared) addBatch(c *Connection, b *Batch, lookup func(string) *pgproto3.Parse) {
+func (p *Prepared) addBatch(c *ConnectionState, b *Batch, lookup func(string) *pgproto3.Parse) {
 	p.prepareStatements(c, b, lookup)
 	for _, m := range b.Messages {
 		p.addMessage(m)
@@ -64,19 +64,20 @@
 	}
 }
 
-// Changed records that the settings and prepared statements of the connection are
-// unknown. The next request outside a transaction discards them first.
-func (c *Connection) Changed() { c.owner = 0 }
+// Invalidate records that the settings and prepared statements of the connection
+// are unknown. The next request outside a transaction discards them first.
+func (c *ConnectionState) Invalidate() { c.owner = 0 }
 
 // SettingChanged records that the owning session changed a setting. vars are all its
 // settings after the change.
-func (c *Connection) SettingChanged(vars []state.Variable) {
+func (c *ConnectionState) SettingChanged(vars []state.Variable) {
 	c.variables = vars
 	c.accessModeKnown = false
 }
 
-// Failed records that only the first n Parse messages of the batch succeeded.
-func (c *Connection) Failed(b *Batch, n int) {
+// RecordParseFailures records that only the first n Parse messages of the batch
+// succeeded.
+func (c *ConnectionState) RecordParseFailures(b *Batch, n int) {
 	for i, s := range b.Parsed {
 		if i >= n {
 			delete(c.prepared, s.Name)
@@ -86,9 +87,9 @@
 
 // discardOtherSession resets the connection if it belongs to another session or its
 // state is unknown.
-func (p *Prepared) discardOtherSession(c *Connection, owner uint64) {
+func (p *Prepared) discardOtherSession(c *ConnectionState, owner uint64) {
 	if c.prepared == nil {
-		c.prepared = make(Statements)
+		c.prepared = make(PreparedStatements)
 		c.owner = owner // a new connection has nothing to discard
 	}
 	if c.owner == owner {
@@ -103,7 +104,7 @@
 
 // applySettings sets the settings of the session and the access mode where they
 // differ from those of the connection.
-func (p *Prepared) applySettings(c *Connection, vars []state.Variable, readOnly bool) {
+func (p *Prepared) applySettings(c *ConnectionState, vars []state.Variable, readOnly bool) {
 	if !equalVariables(c.variables, vars) {
 		if len(c.variables) > 0 {
 			p.addQuery("RESET ALL")
@@ -127,7 +128,7 @@
 
 // prepareStatements prepares the statements that the batch uses and the connection
 // lacks. It closes statements on the connection whose names the batch prepares.
-func (p *Prepared) prepareStatements(c *Connection, b *Batch, lookup func(string) *pgproto3.Parse) {
+func (p *Prepared) prepareStatements(c *ConnectionState, b *Batch, lookup func(string) *pgproto3.Parse) {
 	before := p.Bytes
 	for _, name := range b.Used {
 		want := lookup(name)
--- a/protocol/pgwire/refusal.go
+++ b/protocol/pgwire/refusal.go
@@ -43,10 +43,10 @@
 // that may or may not have taken effect.
 const sqlstateOutcomeUnknown = "08007"
 
-// Refuse returns the error for an outcome other than Answered. fatal marks an error
-// after which the client connection is closed. Refuse panics if the reason has no
-// entry in refusals.
-func Refuse(out session.Outcome, fatal bool) *pgproto3.ErrorResponse {
+// ErrorResponseFor returns the error for an outcome other than Answered. fatal
+// marks an error after which the client connection is closed. ErrorResponseFor
+// panics if the reason has no entry in refusals.
+func ErrorResponseFor(out session.Outcome, fatal bool) *pgproto3.ErrorResponse {
 	r, ok := refusals[out.Reason]
 	if !ok {
 		panic(fmt.Sprintf("no refusal for reason %d", out.Reason))
--- a/protocol/pgwire/setting.go
+++ b/protocol/pgwire/setting.go
@@ -6,14 +6,14 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Prefix is the prefix of the proxy's own session settings.
-const Prefix = "chestnutdyke."
+// SettingPrefix is the prefix of the proxy's own session settings.
+const SettingPrefix = "chestnutdyke."
 
 // The proxy's own session settings.
 const (
-	SettingSession      = Prefix + "session"       // session token
-	SettingMaxStaleness = Prefix + "max_staleness" // maximum staleness that reads accept, such as 500ms
-	SettingIdempotent   = Prefix + "idempotent"    // on: requests may be retried
+	SettingSession      = SettingPrefix + "session"       // session token
+	SettingMaxStaleness = SettingPrefix + "max_staleness" // maximum staleness that reads accept, such as 500ms
+	SettingIdempotent   = SettingPrefix + "idempotent"    // on: requests may be retried
 )
 
 // SettingVerb is the operation of a statement on a setting.
@@ -34,8 +34,8 @@
 	Statement string // the text of the statement
 }
 
-// Own reports whether the setting is one of the proxy's own.
-func (s *Setting) Own() bool { return strings.HasPrefix(s.Name, Prefix) }
+// IsProxySetting reports whether the setting is one of the proxy's own.
+func (s *Setting) IsProxySetting() bool { return strings.HasPrefix(s.Name, SettingPrefix) }
 
 // parseSetting returns the setting that a SET or RESET statement changes.
 func parseSetting(sql string, st classification) *Setting {
@@ -44,7 +44,7 @@
 		s.Verb = ResetVerb
 		return s
 	}
-	if s.Own() {
+	if s.IsProxySetting() {
 		s.Value = parseSettingValue(sql)
 	}
 	return s
@@ -58,7 +58,7 @@
 		return nil
 	}
 	s := &Setting{Verb: ShowVerb, Name: strings.ToLower(words[1]), Statement: sql}
-	if !s.Own() {
+	if !s.IsProxySetting() {
 		return nil
 	}
 	return s
@@ -84,9 +84,9 @@
 // case. It does not convert the whole text to one case, because that could change
 // its length.
 func textAfterPrefix(sql string) string {
-	for i := 0; i+len(Prefix) <= len(sql); i++ {
-		if strings.EqualFold(sql[i:i+len(Prefix)], Prefix) {
-			return sql[i+len(Prefix):]
+	for i := 0; i+len(SettingPrefix) <= len(sql); i++ {
+		if strings.EqualFold(sql[i:i+len(SettingPrefix)], SettingPrefix) {
+			return sql[i+len(SettingPrefix):]
 		}
 	}
 	return ""
@@ -96,10 +96,10 @@
 // on backend connections.
 const MaxReplayedSettings = 16
 
-// Remember returns the settings to replay on backend connections after the statement
-// s has succeeded. It returns vars and false if there would be more than
-// MaxReplayedSettings.
-func Remember(vars []state.Variable, s *Setting) ([]state.Variable, bool) {
+// UpdateReplayedSettings returns the settings to replay on backend connections
+// after the statement s has succeeded. It returns vars and false if there would
+// be more than MaxReplayedSettings.
+func UpdateReplayedSettings(vars []state.Variable, s *Setting) ([]state.Variable, bool) {
 	kept := make([]state.Variable, 0, len(vars)+1)
 	for _, v := range vars {
 		if v.Name != s.Name && s.Name != "all" {
--- a/state/session.go
+++ b/state/session.go
@@ -32,7 +32,7 @@
 	ClassBeginRO               // begins a read-only transaction
 	ClassEnd                   // ends a transaction
 	ClassRollback              // rolls back a transaction
-	ClassLocal                 // answered by the VM itself
+	ClassSetting               // answered by the VM itself
 )
 
 // Request is a unit of work whose answer a client waits for. Payload is what
@@ -96,27 +96,27 @@
 	Server  string // backend server that the request is sent to
 	Term    uint64 // term of the primary that the request is sent to
 	// TargetsPrimary is set if Server was chosen as the primary.
-	TargetsPrimary bool
-	Conn           ConnID
-	Sent           bool      // at least one byte of the request was handed to Conn
-	Forwarded      bool      // at least one byte of the answer was handed to the client
-	Answering      bool      // part of the answer has arrived
-	Completed      bool      // the answer received so far contains a completed statement
-	Superseded     bool      // a primary later than the one that runs the request is known
-	CheckedAt      time.Time // when a check of the server began; zero if none is in progress
-	Attempts       int       // number of times the request was sent
-	Refusals       int       // number of times a backend server refused it as a write
-	MayHaveRun     bool      // an earlier attempt was sent and its result is unknown
-	Cancelled      bool      // a cancel request was sent while Conn was held
-	Excluded       string    // backend server that just failed this request
-	CoverAsked     string    // replica whose position was already queried for this request
+	TargetsPrimary  bool
+	Conn            ConnID
+	Sent            bool      // at least one byte of the request was handed to Conn
+	Forwarded       bool      // at least one byte of the answer was handed to the client
+	Answering       bool      // part of the answer has arrived
+	Completed       bool      // the answer received so far contains a completed statement
+	Superseded      bool      // a primary later than the one that runs the request is known
+	CheckedAt       time.Time // when a check of the server began; zero if none is in progress
+	Attempts        int       // number of times the request was sent
+	WriteRefusals   int       // number of times a backend server refused it as a write
+	MayHaveRun      bool      // an earlier attempt was sent and its result is unknown
+	Cancelled       bool      // a cancel request was sent while Conn was held
+	Excluded        string    // backend server that just failed this request
+	PositionQueried string    // replica whose position was already queried for this request
 
 	InTransaction bool
-	// Opening is the payload of the request that began the transaction, as long
+	// BeginPayload is the payload of the request that began the transaction, as long
 	// as nothing else has run in it; nil otherwise.
-	Opening   any
-	Reopening bool // the transaction is begun again on another server, together with the current request
-	Draining  bool // close as soon as there is no request and no transaction
+	BeginPayload   any
+	ReplayingBegin bool // the transaction is begun again on another server, together with the current request
+	Draining       bool // close as soon as there is no request and no transaction
 }
 
 // Lock locks the session.
--- a/transport/exchange/relay.go
+++ b/transport/exchange/relay.go
@@ -74,7 +74,7 @@
 	}
 	age := access.Elapsed(freshness.ConfirmedAt, now)
 	e.metrics.age.Update(age.Seconds())
-	p.logStoreStatus(down, age > access.ContactBound)
+	p.logStoreStatus(down, age > access.MaxConfirmationAge)
 }
 
 func (p *configPart) logStoreStatus(down, old bool) {
--- a/transport/lifecycle/lifecycle.go
+++ b/transport/lifecycle/lifecycle.go
@@ -88,14 +88,14 @@
 	if c == nil || c == l.appliedConfig {
 		return
 	}
-	for _, s := range drain.Returned(l.appliedConfig, c) {
+	for _, s := range drain.ReturnedServers(l.appliedConfig, c) {
 		l.Tables.Groups.With(s.Group, func(g *state.GroupState) { g.View(s.Name).ReturnsAt = now })
 		l.warming[s] = now
 	}
 	l.appliedConfig = c
 	own := drain.VMState(c, l.Tables.Self.Name, l.Tables.Self.DataCentre)
 	l.SetState(own)
-	takes := drain.TakesWork(own)
+	takes := drain.AcceptsWork(own)
 	switch {
 	case l.takingWork && !takes:
 		l.Logger.WithField("state", own).Info("session: draining.")
--- a/transport/pgbackend/backends.go
+++ b/transport/pgbackend/backends.go
@@ -152,7 +152,7 @@
 
 // Withdraw removes a request for a connection that has not been granted yet.
 func (b *Backends) Withdraw(server string, id state.WaiterID) {
-	b.Tables.Backends.With(server, func(s *state.ServerConns) { queueing.Withdraw(s, id) })
+	b.Tables.Backends.With(server, func(s *state.ServerConns) { queueing.RemoveWaiter(s, id) })
 }
 
 // Release returns a connection to the pool, or hands it to the next waiting
@@ -180,14 +180,14 @@
 // Send prepares the connection for the session and sends the request. The response
 // goes to h, which holds the connection until Release or Discard. Send returns
 // false if the connection failed before any byte was sent.
-func (b *Backends) Send(conn state.ConnID, h ResponseHandler, request uint64, batch *pgwire.Batch, prepare func(c *pgwire.Connection) pgwire.Prepared) bool {
+func (b *Backends) Send(conn state.ConnID, h ResponseHandler, request uint64, batch *pgwire.Batch, prepare func(c *pgwire.ConnectionState) pgwire.Prepared) bool {
 	c := b.lookup(conn)
 	return c != nil && c.send(h, request, batch, prepare(&c.protocolState))
 }
 
 // WithProtocolState calls f with the protocol state of a connection that the
 // caller holds. It does nothing if the connection is closed.
-func (b *Backends) WithProtocolState(conn state.ConnID, f func(c *pgwire.Connection)) {
+func (b *Backends) WithProtocolState(conn state.ConnID, f func(c *pgwire.ConnectionState)) {
 	if c := b.lookup(conn); c != nil {
 		f(&c.protocolState)
 	}
@@ -213,7 +213,7 @@
 	var effects []queueing.Effect
 	b.Tables.Backends.With(server.Name, func(s *state.ServerConns) {
 		s.Limit = limit
-		effects = queueing.Warm(s, conns, now)
+		effects = queueing.Prewarm(s, conns, now)
 	})
 	b.execute(server.Name, effects)
 }
--- a/transport/pgbackend/conn.go
+++ b/transport/pgbackend/conn.go
@@ -58,7 +58,7 @@
 	frontend      *pgproto3.Frontend
 	network       network.Network
 	address       string
-	protocolState pgwire.Connection // used by the holder's worker, and by the reader until it has called HandleEnd
+	protocolState pgwire.ConnectionState // used by the holder's worker, and by the reader until it has called HandleEnd
 
 	mu            sync.Mutex      // guards the fields below; only the outbox's lock is taken under it
 	current       *pendingRequest // nil between requests
@@ -162,7 +162,7 @@
 	for _, p := range step.Parts {
 		r.handler.HandlePart(c.ID, r.request, p)
 	}
-	if step.Fault != "" {
+	if step.CloseReason != "" {
 		return false
 	}
 	if !step.Ended {
@@ -171,10 +171,10 @@
 	c.mu.Lock()
 	c.current = nil
 	c.mu.Unlock()
-	if r.response.Tainted() {
-		c.protocolState.Changed()
+	if r.response.PreparationFailed() {
+		c.protocolState.Invalidate()
 	}
-	c.protocolState.Failed(r.batch, r.response.Prepared())
+	c.protocolState.RecordParseFailures(r.batch, r.response.Prepared())
 	r.handler.HandleEnd(c.ID, r.request, r.response.End(), r.response.Prepared())
 	return true
 }
--- a/transport/pgserver/pgserver.go
+++ b/transport/pgserver/pgserver.go
@@ -204,7 +204,7 @@
 	defer closeAfterFlush(raw, client)
 	sess, refused := s.Sessions.Login(client, login)
 	if refused != nil {
-		client.Send(pgwire.Refuse(*refused, true))
+		client.Send(pgwire.ErrorResponseFor(*refused, true))
 		client.Finish()
 		discardInput(backend)
 		return
@@ -330,13 +330,13 @@
 		if _, ok := msg.(*pgproto3.Terminate); ok {
 			return
 		}
-		copied, size, err := pgwire.Copy(msg)
+		copied, size, err := pgwire.CloneMessage(msg)
 		if err != nil {
 			return
 		}
 		batch, err := framer.Add(copied, size)
 		if err != nil {
-			c.Send(pgwire.Refuse(session.Outcome{Kind: session.NotRun, Reason: session.StatementTooLarge, Detail: err.Error()}, true))
+			c.Send(pgwire.ErrorResponseFor(session.Outcome{Kind: session.NotRun, Reason: session.StatementTooLarge, Detail: err.Error()}, true))
 			c.Finish()
 			discardInput(backend)
 			return
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -23,8 +23,8 @@
 	st         *state.Session // entry of the session table
 	out        *pgserver.Client
 	queue      *pool.Queue
-	statements pgwire.Statements // prepared statements of the client
-	secret     uint32            // authenticates cancel requests; constant
+	statements pgwire.PreparedStatements // prepared statements of the client
+	secret     uint32                    // authenticates cancel requests; constant
 
 	// idle holds one value while no request runs. The reader of the client
 	// connection receives it before it posts a request.
@@ -36,9 +36,9 @@
 	heldParts   [][]byte      // parts of the response, until FlushHeld or DropHeld
 	txStatus    byte          // status of the last ReadyForQuery; zero before the first
 	timer       *time.Timer
-	wakeUps     []session.Wake // scheduled calls of Decider.Woken
-	requestSpan trace.Span     // nil if no request runs
-	backendSpan trace.Span     // nil if no backend server runs the request
+	scheduled   []session.SetTimer // future calls of Decider.HandleTimer
+	requestSpan trace.Span         // nil if no request runs
+	backendSpan trace.Span         // nil if no backend server runs the request
 }
 
 // post queues a decision. It returns false if the session has ended.
@@ -69,7 +69,7 @@
 
 // Disconnected implements pgserver.Session.
 func (c *clientSession) Disconnected() {
-	c.post(func(time.Time) []session.Effect { return c.sessions.Decider.Gone(c.st) })
+	c.post(func(time.Time) []session.Effect { return c.sessions.Decider.HandleDisconnect(c.st) })
 	c.queue.PostAlways(c.end)
 }
 
@@ -92,13 +92,13 @@
 // startRequest begins a request. Settings of the proxy and unsupported statements
 // are answered here; all other requests go to the decider.
 func (c *clientSession) startRequest(b *pgwire.Batch) {
-	if b.OnlySync {
+	if b.IsSync {
 		c.sendReady()
 		return
 	}
 	c.statements.Analyse(b)
 	c.batch = b
-	if b.Setting != nil && b.Setting.Own() {
+	if b.Setting != nil && b.Setting.IsProxySetting() {
 		c.finish(session.Finish{Outcome: c.executeSetting(b)})
 		return
 	}
@@ -121,7 +121,7 @@
 			Deadline:     now.Add(c.requestTimeout()),
 		}
 		c.startRequestSpan(r)
-		return c.sessions.Decider.Arrive(c.st, r, now)
+		return c.sessions.Decider.StartRequest(c.st, r, now)
 	})
 }
 
@@ -142,7 +142,7 @@
 	switch e := e.(type) {
 	case session.Acquire:
 		c.acquire(e, now)
-	case session.WithdrawAcquire:
+	case session.CancelAcquire:
 		s.backends.Withdraw(e.Server, e.ID)
 	case session.Send:
 		c.send(e)
@@ -167,15 +167,15 @@
 		s.backends.Discard(e.Conn)
 	case session.CancelBackend:
 		s.backends.Cancel(e.Conn)
-	case session.Await:
+	case session.AwaitPosition:
 		s.groups.Wait(e.Group, e.Waiter)
-	case session.WithdrawAwait:
+	case session.CancelAwait:
 		s.groups.Withdraw(e.Group, e.ID)
-	case session.Wake:
-		c.scheduleWake(e)
+	case session.SetTimer:
+		c.scheduleTimer(e)
 	case session.ReportToken:
 		c.out.Send(&pgproto3.ParameterStatus{Name: pgwire.SettingSession, Value: c.token()})
-	case session.Suspect:
+	case session.ReportFailure:
 		s.groups.Suspect(e.Group, e.Server)
 	case session.AdvanceLimits:
 		s.limits.Advance(e.At)
@@ -213,12 +213,12 @@
 	if e.Opening != nil {
 		preparation.Opening = e.Opening.(*pgwire.Batch)
 	}
-	ok := s.backends.Send(e.Conn, c, e.Request, c.batch, func(pc *pgwire.Connection) pgwire.Prepared {
+	ok := s.backends.Send(e.Conn, c, e.Request, c.batch, func(pc *pgwire.ConnectionState) pgwire.Prepared {
 		return pc.Prepare(preparation, c.batch)
 	})
 	if !ok {
 		c.post(func(now time.Time) []session.Effect {
-			return s.Decider.Unsent(c.st, e.Conn, e.Request, now)
+			return s.Decider.HandleSendFailed(c.st, e.Conn, e.Request, now)
 		})
 	}
 }
@@ -230,7 +230,7 @@
 	}
 	c.queue.PostWait(func() {
 		c.run(func(time.Time) []session.Effect {
-			return c.sessions.Decider.Part(c.st, conn, request, p.Kind, p.Bytes)
+			return c.sessions.Decider.HandlePart(c.st, conn, request, p.Kind, p.Bytes)
 		})
 	})
 }
@@ -242,7 +242,7 @@
 			c.recordResponse(conn, end, prepared)
 		}
 		c.run(func(now time.Time) []session.Effect {
-			return c.sessions.Decider.Ended(c.st, conn, request, end, now)
+			return c.sessions.Decider.HandleEnd(c.st, conn, request, end, now)
 		})
 	})
 	if !posted {
@@ -254,14 +254,14 @@
 // settings of the session after a response.
 func (c *clientSession) recordResponse(conn state.ConnID, end session.End, prepared int) {
 	c.txStatus = end.Status
-	c.statements.Prepared(c.batch, prepared)
+	c.statements.RecordPrepared(c.batch, prepared)
 	if c.batch.Setting == nil || end.ErrorCode != "" {
 		return
 	}
-	c.sessions.backends.WithProtocolState(conn, func(pc *pgwire.Connection) {
-		vars, ok := pgwire.Remember(c.st.Variables, c.batch.Setting)
+	c.sessions.backends.WithProtocolState(conn, func(pc *pgwire.ConnectionState) {
+		vars, ok := pgwire.UpdateReplayedSettings(c.st.Variables, c.batch.Setting)
 		if end.InTransaction || !ok {
-			pc.Changed()
+			pc.Invalidate()
 			return
 		}
 		c.st.Lock()
@@ -274,7 +274,7 @@
 // HandleConnLost implements pgbackend.ResponseHandler.
 func (c *clientSession) HandleConnLost(conn state.ConnID, request uint64) {
 	c.post(func(now time.Time) []session.Effect {
-		return c.sessions.Decider.Lost(c.st, conn, request, now)
+		return c.sessions.Decider.HandleConnLost(c.st, conn, request, now)
 	})
 }
 
@@ -292,9 +292,9 @@
 			// backend connection until the output drains.
 			c.out.Abort()
 		}
-		c.out.Send(pgwire.Refuse(e.Outcome, false))
+		c.out.Send(pgwire.ErrorResponseFor(e.Outcome, false))
 	}
-	if c.batch != nil && c.batch.Unsynced {
+	if c.batch != nil && c.batch.SyncPending {
 		c.batch = nil
 		c.idle <- struct{}{}
 		return
@@ -316,30 +316,30 @@
 // closeWithError sends the client the reason and ends the session.
 func (c *clientSession) closeWithError(out session.Outcome) {
 	c.sessions.metrics.outcome(out)
-	c.out.Send(pgwire.Refuse(out, true))
+	c.out.Send(pgwire.ErrorResponseFor(out, true))
 	c.end()
 }
 
-// scheduleWake schedules a call of Decider.Woken, and drops the scheduled calls for
-// earlier requests.
-func (c *clientSession) scheduleWake(w session.Wake) {
-	remaining := c.wakeUps[:0]
-	for _, old := range c.wakeUps {
+// scheduleTimer schedules a call of Decider.HandleTimer, and drops the scheduled
+// calls for earlier requests.
+func (c *clientSession) scheduleTimer(w session.SetTimer) {
+	remaining := c.scheduled[:0]
+	for _, old := range c.scheduled {
 		if old.Request == w.Request {
 			remaining = append(remaining, old)
 		}
 	}
-	c.wakeUps = append(remaining, w)
+	c.scheduled = append(remaining, w)
 	c.armTimer()
 }
 
 // armTimer sets the timer to the earliest scheduled call.
 func (c *clientSession) armTimer() {
-	if len(c.wakeUps) == 0 {
+	if len(c.scheduled) == 0 {
 		return
 	}
-	next := c.wakeUps[0].At
-	for _, w := range c.wakeUps[1:] {
+	next := c.scheduled[0].At
+	for _, w := range c.scheduled[1:] {
 		if w.At.Before(next) {
 			next = w.At
 		}
@@ -355,18 +355,18 @@
 // timerFired makes the scheduled calls that are due.
 func (c *clientSession) timerFired() {
 	now := time.Now()
-	remaining := c.wakeUps[:0]
-	var due []session.Wake
-	for _, w := range c.wakeUps {
+	remaining := c.scheduled[:0]
+	var due []session.SetTimer
+	for _, w := range c.scheduled {
 		if w.At.After(now) {
 			remaining = append(remaining, w)
 			continue
 		}
 		due = append(due, w)
 	}
-	c.wakeUps = remaining
+	c.scheduled = remaining
 	for _, w := range due {
-		c.run(func(now time.Time) []session.Effect { return c.sessions.Decider.Woken(c.st, w.Request, now) })
+		c.run(func(now time.Time) []session.Effect { return c.sessions.Decider.HandleTimer(c.st, w.Request, now) })
 	}
 	c.armTimer()
 }
--- a/transport/sessions/sessions.go
+++ b/transport/sessions/sessions.go
@@ -110,7 +110,7 @@
 		st:         st,
 		out:        out,
 		queue:      s.Pool.NewQueue(s.QueueLimit),
-		statements: make(pgwire.Statements),
+		statements: make(pgwire.PreparedStatements),
 		idle:       make(chan struct{}, 1),
 		ended:      make(chan struct{}),
 		secret:     newSecret(),
@@ -300,7 +300,7 @@
 func (s *Sessions) Granted(id state.WaiterID, server string, conn state.ConnID) {
 	c := s.lookup(id.Session)
 	if c == nil || !c.post(func(now time.Time) []session.Effect {
-		return s.Decider.Granted(c.st, id.Request, server, conn, now)
+		return s.Decider.HandleConn(c.st, id.Request, server, conn, now)
 	}) {
 		s.backends.Release(server, conn, time.Now())
 	}
@@ -310,7 +310,7 @@
 func (s *Sessions) NotGranted(id state.WaiterID, reason queueing.Reason) {
 	if c := s.lookup(id.Session); c != nil {
 		c.post(func(now time.Time) []session.Effect {
-			return s.Decider.NotGranted(c.st, id.Request, reason, now)
+			return s.Decider.HandleConnRefused(c.st, id.Request, reason, now)
 		})
 	}
 }
@@ -319,7 +319,7 @@
 func (s *Sessions) Resolved(id state.WaiterID, r replication.Result) {
 	if c := s.lookup(id.Session); c != nil {
 		c.post(func(now time.Time) []session.Effect {
-			return s.Decider.Resolved(c.st, id.Request, r, now)
+			return s.Decider.HandleWaitResult(c.st, id.Request, r, now)
 		})
 	}
 }
@@ -328,7 +328,7 @@
 func (s *Sessions) Admitted(d share.Decision) {
 	if c := s.lookup(d.ID.Session); c != nil {
 		c.post(func(now time.Time) []session.Effect {
-			return s.Decider.Admitted(c.st, d.ID.Request, d.Admission, now)
+			return s.Decider.HandleAdmission(c.st, d.ID.Request, d.Admission, now)
 		})
 	}
 }
--- a/transport/sessions/settings.go
+++ b/transport/sessions/settings.go
@@ -17,7 +17,7 @@
 func (c *clientSession) applyParameters(parameters map[string]string) *session.Outcome {
 	for name, value := range parameters {
 		name = strings.ToLower(name)
-		if !strings.HasPrefix(name, pgwire.Prefix) {
+		if !strings.HasPrefix(name, pgwire.SettingPrefix) {
 			continue
 		}
 		if out := c.set(name, value); out.Kind != session.Answered {
