--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -52,7 +52,7 @@
 	// its configuration from other VMs, so Seeds must lead to one that has it.
 	Store string
 	// Seeds are the VMs contacted before a configuration is known.
-	Seeds []membership.Partner
+	Seeds []membership.Peer
 	// Secret is shared by all VMs and signs session tokens and messages between VMs.
 	Secret []byte
 	// Backend holds the VM's credentials for backend servers.
--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -50,7 +50,7 @@
 		return env.fail(err)
 	}
 	defer client.Close()
-	if problems := ticket.CheckAlone(file.Ticket); file.Err(problems) != nil {
+	if problems := ticket.CheckStandalone(file.Ticket); file.Err(problems) != nil {
 		return printResult(env, file, ticket.Result{Outcome: ticket.Invalid, Problems: c.allProblems(ctx, env, file, problems)})
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -161,7 +161,7 @@
 	printProblems(env, file, r.Problems)
 	switch r.Outcome {
 	case ticket.Applied:
-		if r.Earlier {
+		if r.AppliedEarlier {
 			env.printf("ticket %d was applied before; nothing to do\n", number)
 			return ExitOK
 		}
@@ -175,10 +175,10 @@
 		}
 		env.errorf("ticket %d was not applied; it is not valid", number)
 		return ExitError
-	case ticket.LostRace:
-		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.Winner))
+	case ticket.Conflict:
+		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.ConflictingRecord))
 		return ExitLost
-	case ticket.NotDone:
+	case ticket.NotApplied:
 		env.errorf("ticket %d was not applied: %s", number, r.Reason)
 		return ExitError
 	default:
--- a/cmd/chestnutctl/ctl/apply_test.go
+++ b/cmd/chestnutctl/ctl/apply_test.go
@@ -111,8 +111,8 @@
 						return ""
 					}
 					r := runApply(t.Context(), s, ticketText(5, "amina", "talaa"))
-					if records := s.records(t); r.Outcome != ticket.Applied || r.Earlier || len(records) != 2 || records[1].Operator != "amina" {
-						t.Errorf("outcome %v (%s), earlier %v, records %v", r.Outcome, r.Reason, r.Earlier, records)
+					if records := s.records(t); r.Outcome != ticket.Applied || r.AppliedEarlier || len(records) != 2 || records[1].Operator != "amina" {
+						t.Errorf("outcome %v (%s), earlier %v, records %v", r.Outcome, r.Reason, r.AppliedEarlier, records)
 					}
 				})
 			})
@@ -127,7 +127,7 @@
 		from int // first call that fails
 		want ticket.Outcome
 	}{
-		"before the update": {1, ticket.NotDone},
+		"before the update": {1, ticket.NotApplied},
 		"from the update":   {2, ticket.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -175,9 +175,9 @@
 			}
 			for i, r := range results {
 				// A lower number than that of an applied ticket is reported as invalid.
-				lost := r.Outcome == ticket.LostRace && applied[r.Winner.Operator] || r.Outcome == ticket.Invalid && !sameNumber
+				lost := r.Outcome == ticket.Conflict && applied[r.ConflictingRecord.Operator] || r.Outcome == ticket.Invalid && !sameNumber
 				if ok := applied[fmt.Sprint("operator", i)]; ok != (r.Outcome == ticket.Applied) || !ok && !lost {
-					t.Errorf("operator %d: outcome %v, winner %q; records %v", i, r.Outcome, r.Winner.Operator, records)
+					t.Errorf("operator %d: outcome %v, winner %q; records %v", i, r.Outcome, r.ConflictingRecord.Operator, records)
 				}
 			}
 			if sameNumber && len(records) != 1 {
@@ -192,7 +192,7 @@
 func TestNewerObjectIsNotWritten(t *testing.T) {
 	value := json.RawMessage(`{"config":{"format":1,"number":3,"digest":"d","colour":"red"}}`)
 	s := &fakeStore{object: storeapi.Object{Version: 1, Value: value}}
-	if r := runApply(t.Context(), s, ticketText(5, "amina", "talaa")); r.Outcome != ticket.NotDone || s.object.Version != 1 {
+	if r := runApply(t.Context(), s, ticketText(5, "amina", "talaa")); r.Outcome != ticket.NotApplied || s.object.Version != 1 {
 		t.Errorf("outcome %v, version %d", r.Outcome, s.object.Version)
 	}
 }
--- a/cmd/chestnutctl/ctl/ticket.go
+++ b/cmd/chestnutctl/ctl/ticket.go
@@ -74,7 +74,7 @@
 }
 
 func checkFileOnly(env Env, file *ticketfile.File) int {
-	problems := ticket.CheckAlone(file.Ticket)
+	problems := ticket.CheckStandalone(file.Ticket)
 	printProblems(env, file, problems)
 	if file.Err(problems) != nil {
 		return ExitError
--- a/cmd/chestnutdyke/main.go
+++ b/cmd/chestnutdyke/main.go
@@ -187,7 +187,7 @@
 		StaticShares:    s.Baselines.StaticShares,
 	}
 	for _, seed := range s.Seeds {
-		o.Seeds = append(o.Seeds, membership.Partner{Name: seed.VM, Address: seed.Address})
+		o.Seeds = append(o.Seeds, membership.Peer{Name: seed.VM, Address: seed.Address})
 	}
 	if c := s.TLS.Certificate; c != nil {
 		o.TLS = &tls.Config{Certificates: []tls.Certificate{*c}, MinVersion: tls.VersionTLS12}
--- a/coordination/membership/digest.go
+++ b/coordination/membership/digest.go
@@ -28,8 +28,8 @@
 	Lags map[int]uint64
 }
 
-// DigestOf returns the digest of a data centre of the configuration.
-func DigestOf(ms *state.Members, c *state.Config, dataCentre string, now time.Time) Digest {
+// NewDigest returns the digest of a data centre of the configuration.
+func NewDigest(ms *state.Members, c *state.Config, dataCentre string, now time.Time) Digest {
 	names := listedVMs(c, dataCentre)
 	d := Digest{
 		DataCentre: dataCentre,
--- a/coordination/membership/entry.go
+++ b/coordination/membership/entry.go
@@ -31,8 +31,8 @@
 	Replaced                // a higher incarnation of a known VM
 )
 
-// EntryOf returns the entry that describes a member.
-func EntryOf(m *state.Member, now time.Time) Entry {
+// NewEntry returns the entry that describes a member.
+func NewEntry(m *state.Member, now time.Time) Entry {
 	return Entry{
 		Name:          m.Name,
 		Incarnation:   m.Incarnation,
--- a/coordination/membership/freshness.go
+++ b/coordination/membership/freshness.go
@@ -8,15 +8,16 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MissedAfter is the age of the configuration above which a VM reports to others
-// that it does not reach the store. It is lower than access.MaxConfirmationAge by
-// the time that it takes to receive the same report from every other data centre,
-// so that no customer is refused while the store is down for all VMs.
-const MissedAfter = 8 * time.Second
+// StoreMissedAfter is the age of the configuration above which a VM reports to
+// others that it does not reach the store. It is lower than
+// access.MaxConfirmationAge by the time that it takes to receive the same report
+// from every other data centre, so that no customer is refused while the store is
+// down for all VMs.
+const StoreMissedAfter = 8 * time.Second
 
-// storeDownMargin keeps the age of the configuration above MissedAfter while the
-// store is down for all VMs. Otherwise the confirmation that follows from StoreDown
-// would make Missed, and thereby StoreDown, false again.
+// storeDownMargin keeps the age of the configuration above StoreMissedAfter while
+// the store is down for all VMs. Otherwise the confirmation that follows from
+// StoreDown would make StoreMissed, and thereby StoreDown, false again.
 const storeDownMargin = RoundInterval
 
 // A report of another data centre is valid for two rotations over the other data
@@ -35,14 +36,15 @@
 	return sentAt.Add(-age), true
 }
 
-// Missed reports whether this VM can report that its data centre does not reach
-// the store: its configuration was confirmed before but not recently, and it is in
-// contact with enough VMs of its data centre that the relays are among them.
-func Missed(c *state.Config, ms *state.Members, self state.Self, fresh state.Freshness, now time.Time) bool {
+// StoreMissed reports whether this VM can report that its data centre does not
+// reach the store: its configuration was confirmed before but not recently, and
+// it is in contact with enough VMs of its data centre that the relays are among
+// them.
+func StoreMissed(c *state.Config, ms *state.Members, self state.Self, fresh state.Freshness, now time.Time) bool {
 	if c == nil || fresh.ConfirmedAt.IsZero() {
 		return false
 	}
-	return access.Elapsed(fresh.ConfirmedAt, now) > MissedAfter && reachesDataCentre(c, ms, self, now)
+	return access.Elapsed(fresh.ConfirmedAt, now) > StoreMissedAfter && reachesDataCentre(c, ms, self, now)
 }
 
 // reachesDataCentre reports whether at least half of this data centre's VMs that
@@ -70,16 +72,16 @@
 	return 2*live >= listed
 }
 
-// Report says whether a data centre reaches the store. Both fields are false if the
-// VM that was asked does not know.
-type Report struct {
+// StoreReport says whether a data centre reaches the store. Both fields are false
+// if the VM that was asked does not know.
+type StoreReport struct {
 	Reached bool // the store confirmed the configuration recently
 	Missed  bool // the data centre does not reach the store
 }
 
 // Record stores a data centre's report, which was received in an answer. It counts
 // from the time at which the request was sent.
-func (r Report) Record(ms *state.Members, dataCentre string, sentAt time.Time) {
+func (r StoreReport) Record(ms *state.Members, dataCentre string, sentAt time.Time) {
 	switch {
 	case dataCentre == "":
 	case r.Reached:
@@ -94,7 +96,7 @@
 // does not either. No key can have been revoked up to the returned time, so the
 // configuration counts as confirmed at that time.
 func StoreDown(c *state.Config, ms *state.Members, self state.Self, fresh state.Freshness, now time.Time) (down bool, until time.Time) {
-	if !Missed(c, ms, self, fresh, now) {
+	if !StoreMissed(c, ms, self, fresh, now) {
 		return false, time.Time{}
 	}
 	dataCentres := OtherDataCentres(c, self.DataCentre)
@@ -109,7 +111,7 @@
 			oldest = at
 		}
 	}
-	return true, oldest.Add(-MissedAfter - storeDownMargin)
+	return true, oldest.Add(-StoreMissedAfter - storeDownMargin)
 }
 
 // OtherDataCentres returns the names of the other data centres that are in use and
--- a/coordination/membership/liveness.go
+++ b/coordination/membership/liveness.go
@@ -53,10 +53,10 @@
 	Forgotten Liveness = "forgotten"
 )
 
-// Sweep updates which members are listed and which are silent, and returns the
-// changes of their liveness. It removes members that are not listed and had no
-// contact for ForgetAfter.
-func Sweep(ms *state.Members, c *state.Config, self state.Self, now time.Time) []Transition {
+// UpdateLiveness updates which members are listed and which are silent, and
+// returns the changes of their liveness. It removes members that are not listed
+// and had no contact for ForgetAfter.
+func UpdateLiveness(ms *state.Members, c *state.Config, self state.Self, now time.Time) []Transition {
 	var changes []Transition
 	names := allListedVMs(c)
 	for name, m := range ms.ByName {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -114,11 +114,11 @@
 	c, ms := fleet(2, "a")
 	Merge(ms, c, Entry{Name: "extra", Incarnation: 1, Sequence: 1, DataCentre: "a"}, now, now)
 	later := now.Add(SilentAfter + time.Millisecond)
-	if got := Sweep(ms, c, self("a", 0), later); len(got) != 2 || got[0].To != Silent {
+	if got := UpdateLiveness(ms, c, self("a", 0), later); len(got) != 2 || got[0].To != Silent {
 		t.Fatalf("after 2 s: %v", got)
 	}
 	later = now.Add(ForgetAfter + time.Millisecond)
-	if diff := cmp.Diff([]Transition{{"extra", Forgotten}}, Sweep(ms, c, self("a", 0), later)); diff != "" {
+	if diff := cmp.Diff([]Transition{{"extra", Forgotten}}, UpdateLiveness(ms, c, self("a", 0), later)); diff != "" {
 		t.Fatal(diff)
 	}
 	old := Entry{Name: "extra", Incarnation: 1, Sequence: 2, DataCentre: "a", Age: ForgetAfter + time.Second}
@@ -126,7 +126,7 @@
 		t.Fatalf("a forgotten VM was added again: %v", got)
 	}
 	ms.ByName["a-1"].Contact = later
-	if diff := cmp.Diff([]Transition{{"a-1", Heard}}, Sweep(ms, c, self("a", 0), later)); diff != "" {
+	if diff := cmp.Diff([]Transition{{"a-1", Heard}}, UpdateLiveness(ms, c, self("a", 0), later)); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -137,7 +137,7 @@
 	c, sender := fleet(3, "a")
 	sender.ByName["a-1"].Contact = now.Add(-730 * time.Millisecond)
 	sender.ByName["a-2"].AppliedTicket = 5
-	d := DigestOf(sender, c, "a", now)
+	d := NewDigest(sender, c, "a", now)
 
 	_, ms := fleet(3, "a")
 	for _, m := range ms.ByName {
@@ -175,7 +175,7 @@
 		ms.ByName[fmt.Sprintf("a-%d", i)].Changed = now.Add(-time.Duration(i) * time.Millisecond)
 	}
 	all := func(*state.Member) bool { return true }
-	var s Selector
+	var s EntrySelector
 	seen := make(map[string]bool)
 	for range 4 { // 24 changed recently; the other 25 take 4 messages with 8 entries each
 		entries := s.Choose(ms, c, MaxEntries, now, all)
@@ -207,7 +207,7 @@
 	rounds := int(3 * RemoteInterval / RoundInterval)
 	for range rounds {
 		count := make(map[Kind]int)
-		for _, p := range s.Partners(r) {
+		for _, p := range s.Peers(r) {
 			count[p.Kind]++
 			if p.Kind == Remote {
 				reached[p.DataCentre] = true
@@ -217,7 +217,7 @@
 			}
 		}
 		if count[Voter] != 2 || count[Neighbour] != 1 || count[Remote] > 1 {
-			t.Fatalf("partners by kind: %v", count)
+			t.Fatalf("peers by kind: %v", count)
 		}
 		r.Now = r.Now.Add(RoundInterval)
 	}
@@ -284,19 +284,21 @@
 // Guards against refusing customers while the store is down for all VMs, and
 // against accepting a revoked key because a data centre cannot be reached.
 func TestStoreDown(t *testing.T) {
-	unconfirmed := state.Freshness{ConfirmedAt: now.Add(-MissedAfter - time.Second)}
+	unconfirmed := state.Freshness{ConfirmedAt: now.Add(-StoreMissedAfter - time.Second)}
 	tests := []struct {
 		name   string
 		change func(c *state.Config, ms *state.Members, f *state.Freshness)
 		down   bool
 	}{
 		{"no data centre reaches it", func(*state.Config, *state.Members, *state.Freshness) {}, true},
-		{"confirmed recently", func(_ *state.Config, _ *state.Members, f *state.Freshness) { f.ConfirmedAt = now.Add(-MissedAfter) }, false},
+		{"confirmed recently", func(_ *state.Config, _ *state.Members, f *state.Freshness) {
+			f.ConfirmedAt = now.Add(-StoreMissedAfter)
+		}, false},
 		{"another data centre reaches it", func(_ *state.Config, ms *state.Members, _ *state.Freshness) {
-			Report{Reached: true}.Record(ms, "b", now)
+			StoreReport{Reached: true}.Record(ms, "b", now)
 		}, false},
 		{"another data centre does not know", func(_ *state.Config, ms *state.Members, _ *state.Freshness) {
-			Report{}.Record(ms, "b", now)
+			StoreReport{}.Record(ms, "b", now)
 		}, true},
 		{"no recent report of another data centre", func(_ *state.Config, ms *state.Members, _ *state.Freshness) {
 			ms.StoreMissed["b"] = now.Add(-11 * time.Second)
@@ -314,15 +316,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, ms := fleet(3, "a", "b", "c")
-			Report{Missed: true}.Record(ms, "b", now.Add(-time.Second))
-			Report{Missed: true}.Record(ms, "c", now.Add(-2*time.Second))
+			StoreReport{Missed: true}.Record(ms, "b", now.Add(-time.Second))
+			StoreReport{Missed: true}.Record(ms, "c", now.Add(-2*time.Second))
 			f := unconfirmed
 			tt.change(c, ms, &f)
 			down, until := StoreDown(c, ms, self("a", 0), f, now)
 			if down != tt.down {
 				t.Fatalf("down %v, want %v", down, tt.down)
 			}
-			if down && now.Sub(until) <= MissedAfter {
+			if down && now.Sub(until) <= StoreMissedAfter {
 				t.Fatalf("a confirmation %v ago would end the state at once", now.Sub(until))
 			}
 		})
--- a/coordination/membership/schedule.go
+++ b/coordination/membership/schedule.go
@@ -29,15 +29,15 @@
 // Kind is the role in which a VM is addressed.
 type Kind int
 
-// Kinds of partners.
+// Kinds of peers.
 const (
 	Voter     Kind = iota // votes on this VM's incarnation
 	Neighbour             // random VM of the same data centre
 	Remote                // VM of another data centre
 )
 
-// Partner is a VM to exchange messages with.
-type Partner struct {
+// Peer is a VM to exchange messages with.
+type Peer struct {
 	Name       string
 	DataCentre string // empty if unknown
 	Address    string
@@ -47,13 +47,13 @@
 	Brief bool
 }
 
-// Round holds the input for the choice of partners. Config may be nil.
+// Round holds the input for the choice of peers. Config may be nil.
 type Round struct {
 	Self    state.Self
 	Config  *state.Config
 	Members *state.Members
 	Voters  []string
-	Seeds   []Partner // VMs named by the platform or the settings
+	Seeds   []Peer // VMs named by the platform or the settings
 	// Missed says that this data centre does not reach the store. Another data
 	// centre is then addressed in every round, because customers are refused until
 	// all of them have reported the same.
@@ -72,23 +72,23 @@
 	rounds     int
 }
 
-// Partners returns the VMs to address in this round, without duplicates.
-func (s *Schedule) Partners(r Round) []Partner {
+// Peers returns the VMs to address in this round, without duplicates.
+func (s *Schedule) Peers(r Round) []Peer {
 	known := candidates(r)
-	partners := voterPartners(r, known)
+	peers := voterPeers(r, known)
 	s.rounds++
-	for i := range partners {
-		partners[i].Brief = r.Config != nil && !r.Joining && (s.rounds+i)%fullMessageRounds != 0
+	for i := range peers {
+		peers[i].Brief = r.Config != nil && !r.Joining && (s.rounds+i)%fullMessageRounds != 0
 	}
-	partners = append(partners, neighbourPartners(r, known, partners)...)
+	peers = append(peers, neighbourPeers(r, known, peers)...)
 	if r.Now.Before(s.nextRemote) && !r.Missed && r.Config != nil {
-		return partners
+		return peers
 	}
 	s.nextRemote = nextDue(s.nextRemote, r.Now)
-	if remote, found := s.remotePartner(r, known); found && !contains(partners, remote.Name) {
-		partners = append(partners, remote)
+	if remote, found := s.remotePeer(r, known); found && !contains(peers, remote.Name) {
+		peers = append(peers, remote)
 	}
-	return partners
+	return peers
 }
 
 // nextDue returns the next due time of a remote exchange. It is based on the
@@ -100,25 +100,25 @@
 	return due.Add(RemoteInterval)
 }
 
-// voterPartners returns the voters that can be addressed.
-func voterPartners(r Round, known map[string]Partner) []Partner {
-	var partners []Partner
+// voterPeers returns the voters that can be addressed.
+func voterPeers(r Round, known map[string]Peer) []Peer {
+	var peers []Peer
 	for _, name := range r.Voters {
 		p, found := known[name]
-		if !found || contains(partners, name) {
+		if !found || contains(peers, name) {
 			continue
 		}
 		p.Kind = Voter
-		partners = append(partners, p)
+		peers = append(peers, p)
 	}
-	return partners
+	return peers
 }
 
-// neighbourPartners returns random VMs of the data centre that are not chosen yet.
+// neighbourPeers returns random VMs of the data centre that are not chosen yet.
 // A VM without a configuration may not know the data centre of a candidate, and
 // takes it for a neighbour.
-func neighbourPartners(r Round, known map[string]Partner, chosen []Partner) []Partner {
-	others := filter(known, func(p Partner) bool {
+func neighbourPeers(r Round, known map[string]Peer, chosen []Peer) []Peer {
+	others := filter(known, func(p Peer) bool {
 		near := p.DataCentre == r.Self.DataCentre || p.DataCentre == "" && r.Config == nil
 		return near && !contains(chosen, p.Name)
 	})
@@ -129,9 +129,9 @@
 	return pickRandom(others, count, Neighbour, r.Random)
 }
 
-// remotePartner returns a random VM of the next data centre in the rotation,
+// remotePeer returns a random VM of the next data centre in the rotation,
 // preferably one that is alive.
-func (s *Schedule) remotePartner(r Round, known map[string]Partner) (Partner, bool) {
+func (s *Schedule) remotePeer(r Round, known map[string]Peer) (Peer, bool) {
 	dataCentres := make(map[string]bool)
 	for _, p := range known {
 		if p.DataCentre != r.Self.DataCentre {
@@ -139,7 +139,7 @@
 		}
 	}
 	if len(dataCentres) == 0 {
-		return Partner{}, false
+		return Peer{}, false
 	}
 	names := slices.Sorted(maps.Keys(dataCentres))
 	// The VMs of a data centre start the rotation at different positions, so that
@@ -147,26 +147,26 @@
 	start := score(r.Self.DataCentre, r.Self.Name) % uint64(len(names))
 	next := names[(start+uint64(s.rotation))%uint64(len(names))]
 	s.rotation++
-	inNext := filter(known, func(p Partner) bool { return p.DataCentre == next })
+	inNext := filter(known, func(p Peer) bool { return p.DataCentre == next })
 	return pickRandom(preferAlive(inNext, r), 1, Remote, r.Random)[0], true
 }
 
-// preferAlive returns the partners that are alive, or all of them if none is.
-func preferAlive(partners []Partner, r Round) []Partner {
-	var live []Partner
-	for _, p := range partners {
+// preferAlive returns the peers that are alive, or all of them if none is.
+func preferAlive(peers []Peer, r Round) []Peer {
+	var live []Peer
+	for _, p := range peers {
 		if Alive(r.Members.ByName[p.Name], r.Self.DataCentre, r.Now) {
 			live = append(live, p)
 		}
 	}
 	if len(live) == 0 {
-		return partners
+		return peers
 	}
 	return live
 }
 
-// pickRandom returns up to count random partners. It reorders from.
-func pickRandom(from []Partner, count int, kind Kind, random func(int) int) []Partner {
+// pickRandom returns up to count random peers. It reorders from.
+func pickRandom(from []Peer, count int, kind Kind, random func(int) int) []Peer {
 	count = min(count, len(from))
 	for i := range count {
 		j := i + random(len(from)-i)
@@ -182,14 +182,14 @@
 // address each other, so that they keep their leases and can work as soon as the
 // data centre returns. The data of a seed is used only while there is neither a
 // member nor a listed VM of its name.
-func candidates(r Round) map[string]Partner {
-	known := make(map[string]Partner)
+func candidates(r Round) map[string]Peer {
+	known := make(map[string]Peer)
 	for _, s := range r.Seeds {
 		known[s.Name] = s
 	}
 	for name, m := range r.Members.ByName {
 		if m.Address != "" {
-			known[name] = Partner{Name: name, DataCentre: m.DataCentre, Address: m.Address}
+			known[name] = Peer{Name: name, DataCentre: m.DataCentre, Address: m.Address}
 		}
 	}
 	if r.Config != nil {
@@ -201,7 +201,7 @@
 
 // addListed adds the VMs of the configuration that are not known yet, and removes
 // those that are out of service.
-func addListed(known map[string]Partner, c *state.Config, own string) {
+func addListed(known map[string]Peer, c *state.Config, own string) {
 	for _, dc := range c.DataCentres {
 		for i := range dc.VMs {
 			vm := &dc.VMs[i]
@@ -210,24 +210,24 @@
 			case vm.State == state.Out || dc.State == state.Out && dc.Name != own:
 				delete(known, vm.Name)
 			case !present:
-				known[vm.Name] = Partner{Name: vm.Name, DataCentre: dc.Name, Address: vm.Address}
+				known[vm.Name] = Peer{Name: vm.Name, DataCentre: dc.Name, Address: vm.Address}
 			}
 		}
 	}
 }
 
-// filter returns the partners for which keep is true, sorted by name.
-func filter(known map[string]Partner, keep func(Partner) bool) []Partner {
-	var kept []Partner
+// filter returns the peers for which keep is true, sorted by name.
+func filter(known map[string]Peer, keep func(Peer) bool) []Peer {
+	var kept []Peer
 	for _, p := range known {
 		if keep(p) {
 			kept = append(kept, p)
 		}
 	}
-	slices.SortFunc(kept, func(a, b Partner) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(kept, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	return kept
 }
 
-func contains(partners []Partner, name string) bool {
-	return slices.ContainsFunc(partners, func(p Partner) bool { return p.Name == name })
+func contains(peers []Peer, name string) bool {
+	return slices.ContainsFunc(peers, func(p Peer) bool { return p.Name == name })
 }
--- a/coordination/membership/selection.go
+++ b/coordination/membership/selection.go
@@ -20,19 +20,19 @@
 	recentPeriod = 10 * time.Second
 )
 
-// Selector selects the entries of messages. The zero value is ready to use.
-type Selector struct {
+// EntrySelector selects the entries of messages. The zero value is ready to use.
+type EntrySelector struct {
 	last string // name of the last entry sent by rotation
 }
 
 // Choose returns at most limit of the wanted members as entries: first those that
 // changed most recently, then the others in rotation, so that repeated calls cover
 // all of them. The entries are shortened according to the configuration.
-func (s *Selector) Choose(ms *state.Members, c *state.Config, limit int, now time.Time, want func(*state.Member) bool) []Entry {
+func (s *EntrySelector) Choose(ms *state.Members, c *state.Config, limit int, now time.Time, want func(*state.Member) bool) []Entry {
 	recent, rest := splitByRecency(ms, limit*maxRecent/MaxEntries, now, want)
 	entries := make([]Entry, 0, limit)
 	for _, m := range recent {
-		entries = append(entries, EntryOf(m, now).Shorten(c))
+		entries = append(entries, NewEntry(m, now).Shorten(c))
 	}
 	start, _ := slices.BinarySearchFunc(rest, s.last, func(m *state.Member, last string) int {
 		return cmp.Or(cmp.Compare(m.Name, last), -1) // the first name after the last one sent
@@ -40,7 +40,7 @@
 	for i := range min(len(rest), limit-len(entries)) {
 		m := rest[(start+i)%len(rest)]
 		s.last = m.Name
-		entries = append(entries, EntryOf(m, now).Shorten(c))
+		entries = append(entries, NewEntry(m, now).Shorten(c))
 	}
 	return entries
 }
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -377,7 +377,7 @@
 		ReadOnly: !s.InTransaction && readOnly(s.Request.Class) && !s.ReplayingBegin,
 	}
 	if s.ReplayingBegin {
-		send.Opening = s.BeginPayload
+		send.BeginPayload = s.BeginPayload
 	}
 	return []Effect{send, SetTimer{Request: s.Request.Number, At: now.Add(firstCheckDelay)}}
 }
--- a/coordination/session/effects.go
+++ b/coordination/session/effects.go
@@ -30,9 +30,9 @@
 	Request  uint64
 	Payload  any
 	ReadOnly bool
-	// Opening is the payload of a request that begins the transaction and is sent
+	// BeginPayload is the payload of a request that begins the transaction and is sent
 	// first; its answer is discarded. It may be nil.
-	Opening any
+	BeginPayload any
 }
 
 // Forward sends a part of the answer to the client.
--- a/coordination/ticket/apply.go
+++ b/coordination/ticket/apply.go
@@ -93,21 +93,21 @@
 
 // Outcomes.
 const (
-	Applied  Outcome = iota // the ticket took effect
-	Invalid                 // not applied: the ticket is invalid
-	LostRace                // not applied: another operator's ticket came first
-	NotDone                 // not applied, and will not be
-	Unknown                 // may have been applied, or may still be
+	Applied    Outcome = iota // the ticket took effect
+	Invalid                   // not applied: the ticket is invalid
+	Conflict                  // not applied: another operator's ticket came first
+	NotApplied                // not applied, and will not be
+	Unknown                   // may have been applied, or may still be
 )
 
 // Result is the final result of an application.
 type Result struct {
-	Outcome  Outcome
-	Problems []Problem    // Applied: warnings; Invalid: all problems
-	Changes  []Difference // Applied by this run: the changes
-	Earlier  bool         // Applied: by an earlier run
-	Winner   Record       // LostRace: the other operator's ticket
-	Reason   string       // LostRace, NotDone, Unknown: explanation
+	Outcome           Outcome
+	Problems          []Problem    // Applied: warnings; Invalid: all problems
+	Changes           []Difference // Applied by this run: the changes
+	AppliedEarlier    bool         // Applied: by an earlier run
+	ConflictingRecord Record       // Conflict: the other operator's ticket
+	Reason            string       // Conflict, NotApplied, Unknown: explanation
 }
 
 // Start returns the first step.
@@ -145,7 +145,7 @@
 	if a.lostWrite != nil {
 		return Finish{Result{Outcome: Unknown, Reason: reason}}
 	}
-	return Finish{Result{Outcome: NotDone, Reason: reason}}
+	return Finish{Result{Outcome: NotApplied, Reason: reason}}
 }
 
 func (a *Apply) handleStored(e Stored) Step {
@@ -154,7 +154,7 @@
 		o = &Object{Config: EmptyConfig()}
 	}
 	if o.hasApplied(a.ticket) {
-		return Finish{Result{Outcome: Applied, Problems: a.warnings, Changes: a.changes, Earlier: !a.writeSent}}
+		return Finish{Result{Outcome: Applied, Problems: a.warnings, Changes: a.changes, AppliedEarlier: !a.writeSent}}
 	}
 	if a.lostWrite != nil && e.Version > *a.lostWrite {
 		if o.mayHaveDropped(a.ticket.ID.Number) {
@@ -162,7 +162,7 @@
 		}
 		a.lostWrite = nil // its condition can no longer be met, and it did not take effect
 	}
-	if result := a.lostRace(o); result != nil {
+	if result := a.conflict(o); result != nil {
 		return Finish{*result}
 	}
 	if a.base == nil {
@@ -171,23 +171,23 @@
 	return a.write(e, o)
 }
 
-// lostRace returns the result if another operator's ticket came first: a ticket
+// conflict returns the result if another operator's ticket came first: a ticket
 // with the same number, or one with a higher number or with changes to the same
 // objects that was applied since this ticket was first checked.
-func (a *Apply) lostRace(o *Object) *Result {
+func (a *Apply) conflict(o *Object) *Result {
 	number := a.ticket.ID.Number
 	if r := o.record(number); r != nil {
-		return &Result{Outcome: LostRace, Winner: *r, Reason: fmt.Sprintf("the number %d was taken", number)}
+		return &Result{Outcome: Conflict, ConflictingRecord: *r, Reason: fmt.Sprintf("the number %d was taken", number)}
 	}
 	if a.base == nil {
 		return nil
 	}
 	if o.Config.Ticket.Number >= number {
-		return &Result{Outcome: LostRace, Winner: o.latest(), Reason: fmt.Sprintf("a higher number than %d was taken", number)}
+		return &Result{Outcome: Conflict, ConflictingRecord: o.latest(), Reason: fmt.Sprintf("a higher number than %d was taken", number)}
 	}
 	for _, ref := range a.ticket.Touched() {
 		if !sameObject(a.base.Config, o.Config, ref) {
-			return &Result{Outcome: LostRace, Winner: o.changedBy(ref), Reason: fmt.Sprintf("%s was changed", ref)}
+			return &Result{Outcome: Conflict, ConflictingRecord: o.changedBy(ref), Reason: fmt.Sprintf("%s was changed", ref)}
 		}
 	}
 	return nil
--- a/coordination/ticket/apply_test.go
+++ b/coordination/ticket/apply_test.go
@@ -67,16 +67,16 @@
 		{"lost answer, no effect, retried", []Event{applied(t, before), WriteLost{}, applied(t, before), Written{}}, Applied, ""},
 		{"lost answer, store unreachable", []Event{applied(t, before), WriteLost{}, ReadFailed{}, GiveUp{"deadline"}}, Unknown, "deadline"},
 		{"lost answer, may still take effect", []Event{applied(t, before), WriteLost{}, applied(t, before), NotWritten{}, GiveUp{"deadline"}}, Unknown, "deadline"},
-		{"lost answer, another ticket in its place", []Event{applied(t, before), WriteLost{}, applied(t, before, newTicket(5, "brahim", "souss"))}, LostRace, "the number 5 was taken"},
-		{"lost answer, condition no longer met", []Event{applied(t), WriteLost{}, applied(t, before), NotWritten{}, GiveUp{"deadline"}}, NotDone, "deadline"},
-		{"store unreachable", []Event{ReadFailed{}, ReadFailed{}, GiveUp{"deadline"}}, NotDone, "deadline"},
-		{"not written", []Event{applied(t, before), NotWritten{}, ReadFailed{}, GiveUp{"deadline"}}, NotDone, "deadline"},
-		{"number taken", []Event{applied(t, newTicket(5, "brahim", "rif"))}, LostRace, "the number 5 was taken"},
+		{"lost answer, another ticket in its place", []Event{applied(t, before), WriteLost{}, applied(t, before, newTicket(5, "brahim", "souss"))}, Conflict, "the number 5 was taken"},
+		{"lost answer, condition no longer met", []Event{applied(t), WriteLost{}, applied(t, before), NotWritten{}, GiveUp{"deadline"}}, NotApplied, "deadline"},
+		{"store unreachable", []Event{ReadFailed{}, ReadFailed{}, GiveUp{"deadline"}}, NotApplied, "deadline"},
+		{"not written", []Event{applied(t, before), NotWritten{}, ReadFailed{}, GiveUp{"deadline"}}, NotApplied, "deadline"},
+		{"number taken", []Event{applied(t, newTicket(5, "brahim", "rif"))}, Conflict, "the number 5 was taken"},
 		{"number passed before", []Event{applied(t, before, newTicket(7, "brahim", "rif"))}, Invalid, ""},
 		{"conflict, lower number", []Event{applied(t), applied(t, before), Written{}}, Applied, ""},
-		{"conflict, same number", []Event{applied(t, before), applied(t, before, newTicket(5, "brahim", "rif"))}, LostRace, "the number 5 was taken"},
-		{"conflict, higher number", []Event{applied(t, before), applied(t, before, newTicket(6, "brahim", "souss"))}, LostRace, "a higher number than 5 was taken"},
-		{"conflict, same object", []Event{applied(t), applied(t, newTicket(4, "brahim", "rif"))}, LostRace, "data_centres/rif was changed"},
+		{"conflict, same number", []Event{applied(t, before), applied(t, before, newTicket(5, "brahim", "rif"))}, Conflict, "the number 5 was taken"},
+		{"conflict, higher number", []Event{applied(t, before), applied(t, before, newTicket(6, "brahim", "souss"))}, Conflict, "a higher number than 5 was taken"},
+		{"conflict, same object", []Event{applied(t), applied(t, newTicket(4, "brahim", "rif"))}, Conflict, "data_centres/rif was changed"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -89,8 +89,8 @@
 			if result.Outcome != test.want || result.Reason != test.reason {
 				t.Errorf("got outcome %v, reason %q", result.Outcome, result.Reason)
 			}
-			if result.Outcome == LostRace && result.Winner.Operator != "brahim" {
-				t.Errorf("the winner is %+v", result.Winner)
+			if result.Outcome == Conflict && result.ConflictingRecord.Operator != "brahim" {
+				t.Errorf("the conflicting record is %+v", result.ConflictingRecord)
 			}
 		})
 	}
@@ -231,7 +231,7 @@
 		case !done || f.Result.Outcome == Unknown:
 		case applied != (f.Result.Outcome == Applied):
 			t.Fatalf("%s got outcome %v; records %v", a.ticket.Operator, f.Result.Outcome, o.Records)
-		case f.Result.Outcome == LostRace && f.Result.Winner.Operator == a.ticket.Operator:
+		case f.Result.Outcome == Conflict && f.Result.ConflictingRecord.Operator == a.ticket.Operator:
 			t.Fatalf("%s lost the race against itself", a.ticket.Operator)
 		}
 	}
--- a/coordination/ticket/check.go
+++ b/coordination/ticket/check.go
@@ -53,7 +53,7 @@
 	if current == nil {
 		current = EmptyConfig()
 	}
-	problems = CheckAlone(t)
+	problems = CheckStandalone(t)
 	var f findings
 	checkNumber(&f, current, t)
 	checkRemovals(&f, current, t)
@@ -63,9 +63,9 @@
 	return merged, append(problems, attribute(f, t)...)
 }
 
-// CheckAlone reports the problems that do not depend on the current
+// CheckStandalone reports the problems that do not depend on the current
 // configuration.
-func CheckAlone(t *Ticket) []Problem {
+func CheckStandalone(t *Ticket) []Problem {
 	var f findings
 	checkHeader(&f, t)
 	checkObjects(&f, t)
--- a/docs/operators_test.go
+++ b/docs/operators_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("no example")
 	}
 	file := ticketfile.Parse("OPERATIONS.md", []byte(example))
-	if err := file.Err(ticket.CheckAlone(file.Ticket)); err != nil {
+	if err := file.Err(ticket.CheckStandalone(file.Ticket)); err != nil {
 		t.Error(err)
 	}
 }
--- a/protocol/groupapi/groupapi.go
+++ b/protocol/groupapi/groupapi.go
@@ -24,9 +24,9 @@
 	Server string `json:"server,omitempty"` // name of a server of the group, for PathFollow and PathSwitchover
 }
 
-// Answer is the body of a response. The response to a refused order has HTTP
+// Response is the body of a response. The response to a refused order has HTTP
 // status 409 and carries the reason and the server's status.
-type Answer struct {
+type Response struct {
 	Status  state.ServerStatus `json:"status"`
 	Refused string             `json:"refused,omitempty"` // reason; empty if the order was carried out
 }
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -13,7 +13,7 @@
 
 // Paths of the peer interface.
 const (
-	PathExchange = "/v1/exchange" // request: Exchange; response: ExchangeAnswer
+	PathExchange = "/v1/exchange" // request: Exchange; response: ExchangeResponse
 	PathConfig   = "/v1/config"   // request: ConfigPush; response: empty object
 	PathCancel   = "/v1/cancel"   // request: Cancel; response: empty object
 )
@@ -42,9 +42,9 @@
 	Age           Age                `json:"age_ms"` // since a message from the VM was last received
 }
 
-// Heard summarises the sender's membership entries for the VMs that the
+// MembershipDigest summarises the sender's membership entries for the VMs that the
 // configuration lists in a data centre. membership.Digest explains the fields.
-type Heard struct {
+type MembershipDigest struct {
 	DataCentre string         `json:"dc"`
 	List       uint32         `json:"list"`
 	Entries    uint64         `json:"entries"`
@@ -81,24 +81,24 @@
 
 // Exchange is the periodic message between two VMs.
 type Exchange struct {
-	Sender  Sender              `json:"sender"`
-	Config  ConfigDigest        `json:"config"`
-	Want    bool                `json:"want,omitempty"` // requests a snapshot if the receiver has a higher ticket number
-	Heard   []Heard             `json:"heard,omitempty"`
-	Lease   *lease.Query        `json:"lease,omitempty"`
-	Agreed  uint64              `json:"agreed,omitempty"` // highest ticket known to be applied by all VMs
-	Loans   []share.LoanRequest `json:"loans,omitempty"`
-	Groups  []GroupView         `json:"groups,omitempty"`
-	Members []Member            `json:"members,omitempty"`
+	Sender       Sender              `json:"sender"`
+	Config       ConfigDigest        `json:"config"`
+	WantSnapshot bool                `json:"want,omitempty"` // requests a snapshot if the receiver has a higher ticket number
+	Heard        []MembershipDigest  `json:"heard,omitempty"`
+	Lease        *lease.Query        `json:"lease,omitempty"`
+	Agreed       uint64              `json:"agreed,omitempty"` // highest ticket known to be applied by all VMs
+	Loans        []share.LoanRequest `json:"loans,omitempty"`
+	Groups       []GroupView         `json:"groups,omitempty"`
+	Members      []Member            `json:"members,omitempty"`
 }
 
-// ExchangeAnswer is the response to an Exchange. Snapshot is set if the request
+// ExchangeResponse is the response to an Exchange. Snapshot is set if the request
 // has Want and the responding VM has a higher ticket number. It is the encoded
 // configuration, compressed with gzip.
-type ExchangeAnswer struct {
+type ExchangeResponse struct {
 	Sender   Sender             `json:"sender"`
 	Config   ConfigDigest       `json:"config"`
-	Heard    []Heard            `json:"heard,omitempty"`
+	Heard    []MembershipDigest `json:"heard,omitempty"`
 	Lease    *lease.Answer      `json:"lease,omitempty"`
 	Agreed   uint64             `json:"agreed,omitempty"`
 	Loans    []share.LoanAnswer `json:"loans,omitempty"`
--- a/protocol/storeapi/storeapi.go
+++ b/protocol/storeapi/storeapi.go
@@ -5,7 +5,8 @@
 //	PUT  /v1/objects/{name}                         conditional update with a Put as the body; 409 with the object if its version differs
 //	GET  /v1/vms                                    the platform's list of VMs, which may be out of date
 //
-// A name consists of path segments. A value is any JSON of at most MaxValue bytes.
+// A name consists of path segments. A value is any JSON of at most MaxValueBytes
+// bytes.
 package storeapi
 
 import (
@@ -19,8 +20,8 @@
 	PathVMs     = "/v1/vms"
 )
 
-// MaxValue is the size limit of an object's value in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the size limit of an object's value in bytes.
+const MaxValueBytes = 1 << 20
 
 // MaxWait is the upper limit of the wait parameter of a long poll.
 const MaxWait = 30 * time.Second
--- a/protocol/ticketfile/size_test.go
+++ b/protocol/ticketfile/size_test.go
@@ -86,5 +86,5 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("object %d bytes of %d, configuration %d bytes, with gzip %d bytes", len(object), storeapi.MaxValue, len(config), compressed.Len())
+	t.Logf("object %d bytes of %d, configuration %d bytes, with gzip %d bytes", len(object), storeapi.MaxValueBytes, len(config), compressed.Len())
 }
--- a/protocol/ticketfile/stored.go
+++ b/protocol/ticketfile/stored.go
@@ -84,8 +84,8 @@
 }
 
 func checkSize(data []byte) ([]byte, error) {
-	if len(data) > storeapi.MaxValue {
-		return nil, eris.Errorf("the configuration takes %d bytes; the store holds at most %d", len(data), storeapi.MaxValue)
+	if len(data) > storeapi.MaxValueBytes {
+		return nil, eris.Errorf("the configuration takes %d bytes; the store holds at most %d", len(data), storeapi.MaxValueBytes)
 	}
 	return data, nil
 }
--- a/protocol/ticketfile/ticketfile_test.go
+++ b/protocol/ticketfile/ticketfile_test.go
@@ -240,7 +240,7 @@
 // Guards against encoding a value that the store would refuse.
 func TestSizeLimit(t *testing.T) {
 	config := ticket.EmptyConfig()
-	config.DataCentres["big"] = &state.DataCentre{Name: "big", Region: strings.Repeat("x", storeapi.MaxValue)}
+	config.DataCentres["big"] = &state.DataCentre{Name: "big", Region: strings.Repeat("x", storeapi.MaxValueBytes)}
 	if _, err := EncodeConfig(config); err == nil || !strings.Contains(err.Error(), "the store holds at most 1048576") {
 		t.Errorf("got error %v", err)
 	}
--- a/protocol/token/token.go
+++ b/protocol/token/token.go
@@ -24,9 +24,9 @@
 
 // Verdicts.
 const (
-	Valid   Verdict = iota
-	Invalid         // malformed, or not signed with the fleet secret
-	Foreign         // token of another customer
+	Valid         Verdict = iota
+	Invalid               // malformed, or not signed with the fleet secret
+	OtherCustomer         // token of another customer
 )
 
 // body is the signed part of a token.
@@ -80,7 +80,7 @@
 		return nil, Invalid
 	}
 	if b.Customer != customer {
-		return nil, Foreign
+		return nil, OtherCustomer
 	}
 	t := make(state.Token, len(b.Points))
 	for group, p := range b.Points {
--- a/protocol/token/token_test.go
+++ b/protocol/token/token_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"own token", "bindery", good, Valid},
 		{"no writes", "bindery", "", Valid},
-		{"token of another customer", "archive", good, Foreign},
+		{"token of another customer", "archive", good, OtherCustomer},
 		{"signed by another fleet", "bindery", Encode([]byte("other"), "bindery", points), Invalid},
 		{"signature cut off", "bindery", good[:len(good)-4], Invalid},
 		{"body changed", "bindery", "A" + good[1:], Invalid},
--- a/standin/dbgroup/control.go
+++ b/standin/dbgroup/control.go
@@ -37,7 +37,7 @@
 		if !ok {
 			return
 		}
-		writeAnswer(w, s.executeOrder(r.Context(), order, execute))
+		writeResponse(w, s.executeOrder(r.Context(), order, execute))
 	}
 }
 
@@ -50,7 +50,7 @@
 	return order, true
 }
 
-func writeAnswer(w http.ResponseWriter, answer groupapi.Answer) {
+func writeResponse(w http.ResponseWriter, answer groupapi.Response) {
 	w.Header().Set("Content-Type", "application/json")
 	if answer.Refused != "" {
 		w.WriteHeader(http.StatusConflict)
@@ -61,16 +61,16 @@
 // executeOrder executes an order on a worker once the server is not paused. If
 // the request is cancelled or the server stops first, it aborts the connection,
 // because a handler that returned would send status 200.
-func (s *Server) executeOrder(ctx context.Context, order groupapi.Order, execute func(groupapi.Order) string) groupapi.Answer {
+func (s *Server) executeOrder(ctx context.Context, order groupapi.Order, execute func(groupapi.Order) string) groupapi.Response {
 	select {
 	case <-s.sessions.untilResumed():
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
-	answered := make(chan groupapi.Answer, 1)
+	answered := make(chan groupapi.Response, 1)
 	s.queue.PostAlways(func() {
 		refusal := execute(order)
-		answered <- groupapi.Answer{Refused: refusal, Status: s.node.status()}
+		answered <- groupapi.Response{Refused: refusal, Status: s.node.status()}
 	})
 	select {
 	case answer := <-answered:
@@ -138,7 +138,7 @@
 			s.awaitChange(r.Context(), changed)
 		}
 	}
-	writeAnswer(w, answer)
+	writeResponse(w, answer)
 }
 
 // awaitChange waits for a change. If the request is cancelled first, it aborts the
--- a/standin/dbgroup/replication_test.go
+++ b/standin/dbgroup/replication_test.go
@@ -17,7 +17,7 @@
 
 // order sends an order to the control interface of a server and returns its
 // answer. It returns an error if there is no answer.
-func (env *testEnv) order(ctx context.Context, server, path string, o groupapi.Order) (groupapi.Answer, error) {
+func (env *testEnv) order(ctx context.Context, server, path string, o groupapi.Order) (groupapi.Response, error) {
 	env.t.Helper()
 	transport := &http.Transport{
 		DisableKeepAlives: true,
@@ -36,10 +36,10 @@
 	}
 	resp, err := transport.RoundTrip(r)
 	if err != nil {
-		return groupapi.Answer{}, err
+		return groupapi.Response{}, err
 	}
 	defer resp.Body.Close()
-	var a groupapi.Answer
+	var a groupapi.Response
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		env.t.Errorf("%s: status %d without an answer: %v", path, resp.StatusCode, err)
 		return a, err
@@ -244,7 +244,7 @@
 		env.mustExec(writer, "BEGIN; APPEND log '1'")
 		env.group.Server("b").HoldReplication(true)
 
-		answered := make(chan groupapi.Answer)
+		answered := make(chan groupapi.Response)
 		go func() {
 			a, _ := env.order(context.Background(), "a", groupapi.PathSwitchover, groupapi.Order{Term: 1, Server: "b"})
 			answered <- a
--- a/standin/fleet/platform.go
+++ b/standin/fleet/platform.go
@@ -77,12 +77,12 @@
 	return f.Change(func(c *state.Config) { c.DataCentres[dc].State = s })
 }
 
-// seeds returns the first VM of each data centre, as the partners that VMs contact when
-// they start.
-func (f *Fleet) seeds() []membership.Partner {
-	var seeds []membership.Partner
+// seeds returns the first VM of each data centre, as the peers that VMs contact
+// when they start.
+func (f *Fleet) seeds() []membership.Peer {
+	var seeds []membership.Peer
 	for i := range min(len(f.Profile.DataCentres), f.Profile.VMs) {
-		seeds = append(seeds, membership.Partner{
+		seeds = append(seeds, membership.Peer{
 			Name:       VMName(i),
 			DataCentre: f.Profile.DataCentreOf(i),
 			Address:    address(vmHost(i), peerPort),
--- a/standin/store/http.go
+++ b/standin/store/http.go
@@ -188,7 +188,7 @@
 // readPut decodes a conditional update. The reason is empty if the update is valid;
 // otherwise status and reason are the answer.
 func readPut(w http.ResponseWriter, r *http.Request) (put storeapi.Put, status int, reason string) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, storeapi.MaxValue+putOverhead))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, storeapi.MaxValueBytes+putOverhead))
 	if err != nil {
 		return put, http.StatusRequestEntityTooLarge, err.Error()
 	}
@@ -198,7 +198,7 @@
 	switch {
 	case len(put.Value) == 0:
 		return put, http.StatusBadRequest, "the value is missing"
-	case len(put.Value) > storeapi.MaxValue:
+	case len(put.Value) > storeapi.MaxValueBytes:
 		return put, http.StatusRequestEntityTooLarge, "the value is too large"
 	}
 	return put, http.StatusOK, ""
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -119,7 +119,7 @@
 		if o := f.mustPut(1, `3`, http.StatusOK); o.Version != 2 || string(o.Value) != `3` {
 			t.Fatalf("updated to %+v", o)
 		}
-		big := `"` + string(bytes.Repeat([]byte("x"), storeapi.MaxValue)) + `"`
+		big := `"` + string(bytes.Repeat([]byte("x"), storeapi.MaxValueBytes)) + `"`
 		f.mustPut(2, big, http.StatusRequestEntityTooLarge)
 		if got := f.store.Calls(); got != (Calls{Get: 1, Put: 5}) {
 			t.Fatalf("calls %+v", got)
--- a/transport/exchange/config.go
+++ b/transport/exchange/config.go
@@ -39,9 +39,9 @@
 	DecodeStored func([]byte) (*state.Config, error)
 }
 
-// configPart is the Part that distributes the configuration. Only events of the
-// exchange's queue may use its fields, unless stated otherwise.
-type configPart struct {
+// configExtension is the Extension that distributes the configuration. Only
+// events of the exchange's queue may use its fields, unless stated otherwise.
+type configExtension struct {
 	e       *Exchange
 	options ConfigOptions
 
@@ -76,31 +76,31 @@
 	cutOff         storeStatus = "this VM is cut off from the store"
 )
 
-func newConfigPart(e *Exchange, o ConfigOptions) *configPart {
+func newConfigExtension(e *Exchange, o ConfigOptions) *configExtension {
 	if o.DecodeStored == nil {
 		o.DecodeStored = o.Decode
 	}
-	return &configPart{e: e, options: o, storeStatus: storeConfirmed}
+	return &configExtension{e: e, options: o, storeStatus: storeConfirmed}
 }
 
-// Fill implements Part.
-func (p *configPart) Fill(to string, m *peerapi.Exchange) {
+// AddSections implements Extension.
+func (p *configExtension) AddSections(to string, m *peerapi.Exchange) {
 	m.Config = p.digest()
-	m.Want = p.requestedFrom != "" && p.requestedFrom == to
+	m.WantSnapshot = p.requestedFrom != "" && p.requestedFrom == to
 }
 
-// Handle implements Part.
-func (p *configPart) Handle(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleRequest implements Extension.
+func (p *configExtension) HandleRequest(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	current := p.compareTicket(from.Name, m.Config)
 	a.Config = p.digest()
-	if m.Want && m.Config.Number < current.Number && p.snapshot.ticket == current {
+	if m.WantSnapshot && m.Config.Number < current.Number && p.snapshot.ticket == current {
 		a.Config.Digest = current.Digest
 		a.Snapshot = p.snapshot.data
 	}
 }
 
-// HandleAnswer implements Part.
-func (p *configPart) HandleAnswer(from peerapi.Sender, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleResponse implements Extension.
+func (p *configExtension) HandleResponse(from peerapi.Sender, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	p.requestEnded(from.Name, m)
 	current := p.compareTicket(from.Name, a.Config)
 	age := time.Duration(a.Config.ConfirmedAge)
@@ -108,7 +108,7 @@
 	if at, valid := membership.Confirmation(same, age, sentAt); valid {
 		p.e.tables.Config.Confirm(at)
 	}
-	report := membership.Report{Reached: age > 0 && age <= membership.MissedAfter, Missed: a.Config.StoreMissed}
+	report := membership.StoreReport{Reached: age > 0 && age <= membership.StoreMissedAfter, Missed: a.Config.StoreMissed}
 	p.e.tables.Members.With(func(ms *state.Members) {
 		if m := ms.ByName[from.Name]; m != nil {
 			report.Record(ms, m.DataCentre, sentAt)
@@ -119,15 +119,15 @@
 // requestEnded is called when an exchange with message m ended, with or without
 // a response. If m requested a snapshot, the next request may be sent after
 // snapshotRetryInterval.
-func (p *configPart) requestEnded(name string, m *peerapi.Exchange) {
-	if m.Want && p.requestedFrom == name {
+func (p *configExtension) requestEnded(name string, m *peerapi.Exchange) {
+	if m.WantSnapshot && p.requestedFrom == name {
 		p.requestedFrom = ""
 		p.nextRequestAt = p.e.now().Add(snapshotRetryInterval)
 	}
 }
 
 // digest returns the digest of the configuration in force.
-func (p *configPart) digest() peerapi.ConfigDigest {
+func (p *configExtension) digest() peerapi.ConfigDigest {
 	e := p.e
 	c, freshness, applied, now := e.tables.Config.Current(), e.tables.Config.Freshness(), e.options.Applied(), e.now()
 	if c == nil {
@@ -143,7 +143,7 @@
 		d.ConfirmedAge = peerapi.AgeOf(access.Elapsed(freshness.ConfirmedAt, now))
 	}
 	e.tables.Members.With(func(ms *state.Members) {
-		d.StoreMissed = membership.Missed(c, ms, e.self, freshness, now)
+		d.StoreMissed = membership.StoreMissed(c, ms, e.self, freshness, now)
 	})
 	return d
 }
@@ -151,7 +151,7 @@
 // compareTicket compares another VM's ticket with the current one, which it
 // returns. It requests the configuration if the other ticket has a higher number,
 // and reports a conflict if it has the same number and another digest.
-func (p *configPart) compareTicket(name string, d peerapi.ConfigDigest) state.TicketID {
+func (p *configExtension) compareTicket(name string, d peerapi.ConfigDigest) state.TicketID {
 	current := ticketOf(p.e.tables.Config.Current())
 	switch {
 	case d.Number > current.Number:
@@ -165,7 +165,7 @@
 // requestSnapshot requests a snapshot from a VM, unless another request has been
 // pending for less than snapshotRequestTimeout or snapshotRetryInterval has not
 // elapsed.
-func (p *configPart) requestSnapshot(name string) {
+func (p *configExtension) requestSnapshot(name string) {
 	now := p.e.now()
 	waiting := p.requestedFrom != "" && now.Sub(p.requestedAt) < snapshotRequestTimeout
 	if waiting || now.Before(p.nextRequestAt) {
@@ -180,7 +180,7 @@
 // reportConflict counts and logs a ticket that must not exist alongside the
 // current one: one with the same number and another digest, or an older one in
 // the store. It logs each conflict once.
-func (p *configPart) reportConflict(other, current state.TicketID, source string) {
+func (p *configExtension) reportConflict(other, current state.TicketID, source string) {
 	p.e.metrics.conflicts.Inc(1)
 	if p.conflict == other {
 		return
@@ -192,7 +192,7 @@
 
 // activate puts a configuration in force if its ticket has a higher number than
 // the current one. If data is nil, the snapshot is encoded afterwards.
-func (p *configPart) activate(c *state.Config, data []byte, source string) {
+func (p *configExtension) activate(c *state.Config, data []byte, source string) {
 	if !p.e.tables.Config.Advance(c) {
 		return
 	}
@@ -208,7 +208,7 @@
 
 // startEncoding encodes the snapshot of a configuration in a task, because
 // encoding 1 MB takes tens of milliseconds.
-func (p *configPart) startEncoding(c *state.Config) {
+func (p *configExtension) startEncoding(c *state.Config) {
 	if p.encoding {
 		return
 	}
@@ -218,7 +218,7 @@
 	})
 }
 
-func (p *configPart) finishEncoding(s snapshot, err error) {
+func (p *configExtension) finishEncoding(s snapshot, err error) {
 	p.encoding = false
 	c := p.e.tables.Config.Current()
 	switch {
@@ -234,14 +234,14 @@
 
 // publish stores the snapshot for VMs that request it and, if this VM is a relay,
 // pushes it.
-func (p *configPart) publish(s snapshot) {
+func (p *configExtension) publish(s snapshot) {
 	p.snapshot = s
 	if p.isRelay {
 		p.pushSnapshot()
 	}
 }
 
-func (p *configPart) marshalSnapshot(c *state.Config) ([]byte, error) {
+func (p *configExtension) marshalSnapshot(c *state.Config) ([]byte, error) {
 	encoded, err := p.options.Encode(c)
 	if err != nil {
 		return nil, err
@@ -259,7 +259,7 @@
 
 // decodeSnapshot decodes a snapshot and verifies that it has the announced
 // ticket. It may be called from any goroutine.
-func (p *configPart) decodeSnapshot(d peerapi.ConfigDigest, data []byte) (*state.Config, error) {
+func (p *configExtension) decodeSnapshot(d peerapi.ConfigDigest, data []byte) (*state.Config, error) {
 	c, err := p.unmarshalSnapshot(data)
 	if err != nil {
 		p.e.metrics.refused.Inc(1)
@@ -273,7 +273,7 @@
 	return c, nil
 }
 
-func (p *configPart) unmarshalSnapshot(data []byte) (*state.Config, error) {
+func (p *configExtension) unmarshalSnapshot(data []byte) (*state.Config, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, eris.Wrap(err, "decompress snapshot")
--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -39,8 +39,8 @@
 	roundJitter = 50 * time.Millisecond
 )
 
-// Options configure an Exchange. Listen, Seeds, Parts, Applied, Cancel, Logger,
-// Scope, Tracer and Now are optional.
+// Options configure an Exchange. Listen, Seeds, Extensions, Applied, Cancel,
+// Logger, Scope, Tracer and Now are optional.
 type Options struct {
 	Pool    *pool.Pool
 	Tables  *state.Tables
@@ -49,14 +49,14 @@
 	Listen  string // address to listen on; Address if empty
 	Network network.Network
 	Secret  []byte // shared by the fleet
-	Seeds   []membership.Partner
+	Seeds   []membership.Peer
 	// Voters returns the names of the VMs that vote on this VM's incarnation.
 	Voters func() []string
 	// Applied returns the number of the highest ticket that is fully applied. If
 	// it is nil, a ticket counts as applied once it is in force.
-	Applied func() uint64
-	Parts   []Part
-	Config  ConfigOptions
+	Applied    func() uint64
+	Extensions []Extension
+	Config     ConfigOptions
 	// Cancel handles a client's cancel request that another VM has forwarded. It
 	// must not block.
 	Cancel func(session uint64, secret uint32)
@@ -68,17 +68,17 @@
 
 // Exchange runs the gossip protocol of one VM. Create it with New.
 type Exchange struct {
-	options Options
-	tables  *state.Tables
-	self    state.Self
-	now     func() time.Time
-	logger  log.Interface
-	metrics *metrics
-	queue   *pool.Queue
-	client  *peer.Client
-	tasks   *taskGroup
-	parts   []Part
-	config  *configPart
+	options    Options
+	tables     *state.Tables
+	self       state.Self
+	now        func() time.Time
+	logger     log.Interface
+	metrics    *metrics
+	queue      *pool.Queue
+	client     *peer.Client
+	tasks      *taskGroup
+	extensions []Extension
+	config     *configExtension
 
 	running      context.Context // done when Run ends
 	stop         func()          // ends running
@@ -88,11 +88,11 @@
 	// Only events of the queue may use the fields below.
 	sequence          uint64
 	state             state.ServiceState
-	seeds             []membership.Partner
+	seeds             []membership.Peer
 	schedule          membership.Schedule
-	responseEntries   membership.Selector // selects the member entries of responses
-	requestEntries    membership.Selector // selects the member entries of requests
-	topics            membership.Topics
+	responseEntries   membership.EntrySelector // selects the member entries of responses
+	requestEntries    membership.EntrySelector // selects the member entries of requests
+	digestSelector    membership.DigestSelector
 	joining           bool            // this VM has not heard of every listed VM yet
 	inFlight          map[string]bool // VMs with a running exchange
 	resend            map[string]bool // VMs to which to send again after the running exchange
@@ -129,8 +129,8 @@
 	}
 	e.running, e.stop = context.WithCancel(context.Background())
 	e.client = peer.NewClient(e.peerOptions())
-	e.config = newConfigPart(e, o.Config)
-	e.parts = append([]Part{e.config}, o.Parts...)
+	e.config = newConfigExtension(e, o.Config)
+	e.extensions = append([]Extension{e.config}, o.Extensions...)
 	return e, nil
 }
 
@@ -214,9 +214,9 @@
 	}
 }
 
-// Send starts exchanges with the named VMs without waiting for the next regular
-// round. Parts call it when they have urgent data.
-func (e *Exchange) Send(names ...string) {
+// SendNow starts exchanges with the named VMs without waiting for the next regular
+// round. Extensions call it when they have urgent data.
+func (e *Exchange) SendNow(names ...string) {
 	e.queue.Post(func() {
 		for _, name := range names {
 			e.sendTo(name)
@@ -229,8 +229,8 @@
 	e.queue.PostAlways(func() { e.state = s })
 }
 
-// Hint replaces the seeds, the VMs named by the platform or in the settings.
-func (e *Exchange) Hint(seeds []membership.Partner) {
+// SetSeeds replaces the seeds, the VMs named by the platform or in the settings.
+func (e *Exchange) SetSeeds(seeds []membership.Peer) {
 	e.queue.PostAlways(func() { e.seeds = seeds })
 }
 
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -112,7 +112,7 @@
 		f.store.setReached(inDataCentres("a", "b", "c"))
 		t.Logf("confirmed after %v", f.within(5*time.Second, "confirmed", func(v *vm) bool {
 			freshness := v.tables.Config.Freshness()
-			return !freshness.StoreDown && time.Since(freshness.ConfirmedAt) < membership.MissedAfter
+			return !freshness.StoreDown && time.Since(freshness.ConfirmedAt) < membership.StoreMissedAfter
 		}))
 	})
 }
--- a/transport/exchange/fleet_test.go
+++ b/transport/exchange/fleet_test.go
@@ -32,25 +32,25 @@
 	m.Run()
 }
 
-// leasePart is a Part that adds the lease sections, so that the measured traffic
-// includes them.
-type leasePart struct {
+// leaseExtension is an Extension that adds the lease sections, so that the
+// measured traffic includes them.
+type leaseExtension struct {
 	number uint64
 	voters []string
 }
 
-func (l *leasePart) Fill(to string, m *peerapi.Exchange) {
+func (l *leaseExtension) AddSections(to string, m *peerapi.Exchange) {
 	l.number++
 	if slices.Contains(l.voters, to) {
 		m.Lease = &lease.Query{Number: l.number, Incarnation: m.Sender.Incarnation}
 	}
 }
-func (l *leasePart) Handle(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+func (l *leaseExtension) HandleRequest(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	if m.Lease != nil {
 		a.Lease = &lease.Answer{Number: m.Lease.Number, Confirmed: true, Highest: m.Lease.Incarnation}
 	}
 }
-func (l *leasePart) HandleAnswer(peerapi.Sender, time.Time, *peerapi.Exchange, *peerapi.ExchangeAnswer) {
+func (l *leaseExtension) HandleResponse(peerapi.Sender, time.Time, *peerapi.Exchange, *peerapi.ExchangeResponse) {
 }
 
 // vm is one running VM.
@@ -188,17 +188,17 @@
 	f.t.Helper()
 	self := state.Self{Name: name, DataCentre: dataCentre(name), Incarnation: inc}
 	v := &vm{name: name, tables: state.NewTables(self), scope: tally.NewTestScope("", nil), canceled: make(chan uint64, 1)}
-	var seeds []membership.Partner
+	var seeds []membership.Peer
 	for _, n := range f.names() {
-		seeds = append(seeds, membership.Partner{Name: n, DataCentre: dataCentre(n), Address: n + ":1"})
+		seeds = append(seeds, membership.Peer{Name: n, DataCentre: dataCentre(n), Address: n + ":1"})
 	}
 	workers, voters := pool.New(2), f.voters(name)
 	e, err := New(Options{
 		Pool: workers, Tables: v.tables, Self: self, Address: name + ":1",
 		Network: vmNetwork{f.network, name}, Secret: []byte("secret"), Seeds: seeds,
-		Voters: func() []string { return voters },
-		Cancel: func(session uint64, _ uint32) { v.canceled <- session },
-		Parts:  []Part{&leasePart{voters: voters}}, Scope: v.scope,
+		Voters:     func() []string { return voters },
+		Cancel:     func(session uint64, _ uint32) { v.canceled <- session },
+		Extensions: []Extension{&leaseExtension{voters: voters}}, Scope: v.scope,
 		Config: ConfigOptions{
 			Encode: func(c *state.Config) ([]byte, error) {
 				if f.encodeFails {
--- a/transport/exchange/handler.go
+++ b/transport/exchange/handler.go
@@ -16,9 +16,9 @@
 var errOverloaded = eris.New("queue is full or closed")
 
 // Exchange implements peer.Handler.
-func (h *handler) Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeAnswer, error) {
+func (h *handler) Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeResponse, error) {
 	e := (*Exchange)(h)
-	ready := make(chan *peerapi.ExchangeAnswer, 1)
+	ready := make(chan *peerapi.ExchangeResponse, 1)
 	if !e.queue.Post(func() { ready <- e.handleExchange(m) }) {
 		e.metrics.overload.Inc(1)
 		return nil, errOverloaded
--- a/transport/exchange/message.go
+++ b/transport/exchange/message.go
@@ -49,14 +49,14 @@
 	return sender
 }
 
-// newMessage returns the next message to a partner.
-func (e *Exchange) newMessage(p membership.Partner) *peerapi.Exchange {
+// newMessage returns the next message to a peer.
+func (e *Exchange) newMessage(p membership.Peer) *peerapi.Exchange {
 	now, c, applied := e.now(), e.tables.Config.Current(), e.options.Applied()
 	m := &peerapi.Exchange{}
 	e.tables.Members.With(func(ms *state.Members) {
 		m.Sender = peerapi.SenderOf(e.refreshSelf(ms, c, applied, now).Shorten(c))
-		for _, dc := range e.topics.Request(c, ms, e.self, p, e.joining) {
-			m.Heard = append(m.Heard, peerapi.Heard(membership.DigestOf(ms, c, dc, now)))
+		for _, dc := range e.digestSelector.Request(c, ms, e.self, p, e.joining) {
+			m.Heard = append(m.Heard, peerapi.MembershipDigest(membership.NewDigest(ms, c, dc, now)))
 		}
 		if p.Brief {
 			return
@@ -66,10 +66,10 @@
 		})
 		m.Members = toMembers(entries)
 	})
-	for _, part := range e.parts {
-		part.Fill(p.Name, m)
+	for _, x := range e.extensions {
+		x.AddSections(p.Name, m)
 	}
-	if p.Brief && !m.Want {
+	if p.Brief && !m.WantSnapshot {
 		m.Config = peerapi.ConfigDigest{Number: m.Config.Number}
 	}
 	return m
@@ -77,26 +77,26 @@
 
 // handleExchange is the event for a message from another VM. It returns the
 // response.
-func (e *Exchange) handleExchange(m *peerapi.Exchange) *peerapi.ExchangeAnswer {
+func (e *Exchange) handleExchange(m *peerapi.Exchange) *peerapi.ExchangeResponse {
 	now, c, applied := e.now(), e.tables.Config.Current(), e.options.Applied()
 	senderConfig := c // the configuration from which the sender can complete shortened entries
 	if m.Config.Number == 0 {
 		senderConfig = nil
 	}
-	a := &peerapi.ExchangeAnswer{}
+	a := &peerapi.ExchangeResponse{}
 	e.tables.Members.With(func(ms *state.Members) {
 		differing := e.merge(ms, c, m.Sender, m.Config, m.Members, m.Heard, now)
 		a.Sender = peerapi.SenderOf(e.refreshSelf(ms, c, applied, now).Shorten(senderConfig))
 		a.Sender.Name = ""
-		for _, dc := range membership.AnswerTopics(c, e.self, heardDataCentres(m)) {
-			a.Heard = append(a.Heard, peerapi.Heard(membership.DigestOf(ms, c, dc, now)))
+		for _, dc := range membership.ResponseDataCentres(c, e.self, heardDataCentres(m)) {
+			a.Heard = append(a.Heard, peerapi.MembershipDigest(membership.NewDigest(ms, c, dc, now)))
 		}
 		if m.Config.Number == 0 || len(differing) > 0 {
 			a.Members = e.selectMembers(ms, senderConfig, m, differing, now)
 		}
 	})
-	for _, part := range e.parts {
-		part.Handle(m.Sender, m, a)
+	for _, x := range e.extensions {
+		x.HandleRequest(m.Sender, m, a)
 	}
 	if m.Config.Brief() {
 		a.Config = peerapi.ConfigDigest{Number: a.Config.Number}
@@ -116,10 +116,10 @@
 	}))
 }
 
-// mergeAnswer merges the member data of a response. Ages are relative to the time
+// mergeResponse merges the member data of a response. Ages are relative to the time
 // at which the request was sent, so that members do not appear to have been heard
 // of more recently than they were.
-func (e *Exchange) mergeAnswer(sentAt time.Time, a *peerapi.ExchangeAnswer) {
+func (e *Exchange) mergeResponse(sentAt time.Time, a *peerapi.ExchangeResponse) {
 	c := e.tables.Config.Current()
 	e.tables.Members.With(func(ms *state.Members) {
 		e.merge(ms, c, a.Sender, a.Config, a.Members, a.Heard, sentAt)
@@ -130,7 +130,7 @@
 // time at. It returns the data centres about which the sender's entries differ.
 // Digests have no sequence numbers, so they are ignored unless the message is the
 // latest one of its sender.
-func (e *Exchange) merge(ms *state.Members, c *state.Config, from peerapi.Sender, config peerapi.ConfigDigest, entries []peerapi.Member, heard []peerapi.Heard, at time.Time) map[string]bool {
+func (e *Exchange) merge(ms *state.Members, c *state.Config, from peerapi.Sender, config peerapi.ConfigDigest, entries []peerapi.Member, heard []peerapi.MembershipDigest, at time.Time) map[string]bool {
 	now := e.now()
 	latest := membership.Merge(ms, c, from.Entry(config.Applied), at, now) != membership.Unchanged
 	for _, entry := range entries {
--- a/transport/exchange/relay.go
+++ b/transport/exchange/relay.go
@@ -22,7 +22,7 @@
 
 // runRound updates the relay role, the status of the store and the snapshot in
 // each regular round.
-func (p *configPart) runRound(relays []string, now time.Time) {
+func (p *configExtension) runRound(relays []string, now time.Time) {
 	p.setRelay(slices.Contains(relays, p.e.self.Name))
 	p.updateStoreStatus(now)
 	if c := p.e.tables.Config.Current(); c != nil && p.snapshot.ticket != c.Ticket {
@@ -31,7 +31,7 @@
 }
 
 // setRelay sets the relay role and starts or stops the watch of the store.
-func (p *configPart) setRelay(relay bool) {
+func (p *configExtension) setRelay(relay bool) {
 	setBoolGauge(p.e.metrics.relay, relay)
 	if relay != p.isRelay {
 		p.isRelay = relay
@@ -56,7 +56,7 @@
 // store is down for all VMs. Time during which it is down for all VMs counts as
 // confirmed, so that a VM that is cut off afterwards may serve for the full time
 // that its customers accept.
-func (p *configPart) updateStoreStatus(now time.Time) {
+func (p *configExtension) updateStoreStatus(now time.Time) {
 	e := p.e
 	c, freshness := e.tables.Config.Current(), e.tables.Config.Freshness()
 	down, until := false, time.Time{}
@@ -66,7 +66,7 @@
 	if down {
 		e.tables.Config.Confirm(until)
 	}
-	reached := p.isRelay && !p.reachedAt.IsZero() && now.Sub(p.reachedAt) <= membership.MissedAfter
+	reached := p.isRelay && !p.reachedAt.IsZero() && now.Sub(p.reachedAt) <= membership.StoreMissedAfter
 	e.tables.Config.SetStore(reached, down)
 	setBoolGauge(e.metrics.storeDown, down)
 	if c == nil || freshness.ConfirmedAt.IsZero() {
@@ -77,7 +77,7 @@
 	p.logStoreStatus(down, age > access.MaxConfirmationAge)
 }
 
-func (p *configPart) logStoreStatus(down, old bool) {
+func (p *configExtension) logStoreStatus(down, old bool) {
 	status := storeConfirmed
 	switch {
 	case down:
@@ -99,7 +99,7 @@
 // pushSnapshot sends the snapshot to the VMs of this data centre. It also starts
 // exchanges with the relays of the other data centres, in case only this data
 // centre reaches the store.
-func (p *configPart) pushSnapshot() {
+func (p *configExtension) pushSnapshot() {
 	e, now := p.e, p.e.now()
 	number := p.snapshot.ticket.Number
 	var names, remote []string
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p *configPart) newPushMessage() *peerapi.ConfigPush {
+func (p *configExtension) newPushMessage() *peerapi.ConfigPush {
 	m := &peerapi.ConfigPush{Sender: p.e.nextSender(), Config: p.digest(), Snapshot: p.snapshot.data}
 	m.Config.Digest = p.snapshot.ticket.Digest
 	return m
@@ -136,7 +136,7 @@
 
 // sendPushes sends pushes concurrently. It runs in its own goroutine. A VM whose
 // push fails receives the configuration through the regular exchange.
-func (p *configPart) sendPushes(targets map[peer.Target]*peerapi.ConfigPush) {
+func (p *configExtension) sendPushes(targets map[peer.Target]*peerapi.ConfigPush) {
 	var g errgroup.Group
 	g.SetLimit(maxParallelPushes)
 	for target, m := range targets {
--- a/transport/exchange/round.go
+++ b/transport/exchange/round.go
@@ -12,7 +12,7 @@
 )
 
 // runRound is the event of a regular round. It updates the liveness of the
-// members and starts exchanges with the partners of this round.
+// members and starts exchanges with the peers of this round.
 func (e *Exchange) runRound() {
 	e.roundPending.Store(false)
 	now := e.now()
@@ -20,22 +20,22 @@
 	applied := e.options.Applied()
 	c, freshness := e.tables.Config.Current(), e.tables.Config.Freshness()
 	var changes []membership.Transition
-	var partners []membership.Partner
+	var peers []membership.Peer
 	var relays []string
 	e.tables.Members.With(func(ms *state.Members) {
 		e.refreshSelf(ms, c, applied, now)
-		changes = membership.Sweep(ms, c, e.self, now)
+		changes = membership.UpdateLiveness(ms, c, e.self, now)
 		relays = membership.Relays(ms, e.self, e.self.DataCentre, now)
-		if e.joining && (membership.Complete(c, ms) || now.Sub(e.started) > membership.JoinPhase) {
+		if e.joining && (membership.HasAllEntries(c, ms) || now.Sub(e.started) > membership.MaxJoinTime) {
 			e.joining = false
 		}
-		partners = e.schedule.Partners(membership.Round{
+		peers = e.schedule.Peers(membership.Round{
 			Self:    e.self,
 			Config:  c,
 			Members: ms,
 			Voters:  voters,
 			Seeds:   e.seeds,
-			Missed:  membership.Missed(c, ms, e.self, freshness, now),
+			Missed:  membership.StoreMissed(c, ms, e.self, freshness, now),
 			Joining: e.joining,
 			Random:  rand.IntN,
 			Now:     now,
@@ -45,7 +45,7 @@
 		e.logger.WithField("vm", t.Name).Infof("peer: VM is %s", t.To)
 	}
 	e.config.runRound(relays, now)
-	for _, p := range partners {
+	for _, p := range peers {
 		e.send(p)
 	}
 }
@@ -61,7 +61,7 @@
 	if dataCentre != e.self.DataCentre {
 		kind = membership.Remote
 	}
-	e.send(membership.Partner{Name: name, DataCentre: dataCentre, Address: target.Address, Kind: kind})
+	e.send(membership.Peer{Name: name, DataCentre: dataCentre, Address: target.Address, Kind: kind})
 	return true
 }
 
@@ -87,7 +87,7 @@
 
 // send starts an exchange. If one with the same VM is still running, the new one
 // starts after it.
-func (e *Exchange) send(p membership.Partner) {
+func (e *Exchange) send(p membership.Peer) {
 	if e.inFlight[p.Name] {
 		e.resend[p.Name] = true
 		e.metrics.postponed.Inc(1)
@@ -95,7 +95,7 @@
 	}
 	m := e.newMessage(p)
 	timeout := exchangeTimeout
-	if m.Want {
+	if m.WantSnapshot {
 		timeout = snapshotTimeout
 	}
 	started := e.tasks.start(func() { e.runExchange(p, m, timeout) })
@@ -109,7 +109,7 @@
 
 // runExchange sends a message and queues the result as an event. It runs in its
 // own goroutine.
-func (e *Exchange) runExchange(p membership.Partner, m *peerapi.Exchange, timeout time.Duration) {
+func (e *Exchange) runExchange(p membership.Peer, m *peerapi.Exchange, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(e.running, timeout)
 	defer cancel()
 	sentAt := e.now()
@@ -122,7 +122,7 @@
 }
 
 // handleResult is the event for an exchange that ended.
-func (e *Exchange) handleResult(p membership.Partner, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeAnswer, received *state.Config, err error) {
+func (e *Exchange) handleResult(p membership.Peer, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeResponse, received *state.Config, err error) {
 	delete(e.inFlight, p.Name)
 	if err != nil {
 		e.metrics.failed.Inc(1)
@@ -130,12 +130,12 @@
 		e.config.requestEnded(p.Name, m)
 	} else {
 		e.metrics.done.Inc(1)
-		e.mergeAnswer(sentAt, a)
+		e.mergeResponse(sentAt, a)
 		if received != nil {
 			e.config.activate(received, a.Snapshot, p.Name)
 		}
-		for _, part := range e.parts {
-			part.HandleAnswer(a.Sender, sentAt, m, a)
+		for _, x := range e.extensions {
+			x.HandleResponse(a.Sender, sentAt, m, a)
 		}
 	}
 	if e.resend[p.Name] {
--- a/transport/exchange/watch.go
+++ b/transport/exchange/watch.go
@@ -45,7 +45,7 @@
 
 // watch watches the store's object until ctx is done. It runs in its own
 // goroutine.
-func (p *configPart) watch(ctx context.Context, after uint64) {
+func (p *configExtension) watch(ctx context.Context, after uint64) {
 	wait, margin := time.Duration(0), minTimeoutMargin // without a wait, the first response confirms at once
 	for ctx.Err() == nil {
 		started := p.e.now()
@@ -71,7 +71,7 @@
 // callStore makes one call to the store. If the object did not change, it was
 // current until the wait ended. If it changed, the returned version is only known
 // to have been current when the call was sent.
-func (p *configPart) callStore(ctx context.Context, after uint64, wait, margin time.Duration) (storeResponse, error) {
+func (p *configExtension) callStore(ctx context.Context, after uint64, wait, margin time.Duration) (storeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
 	sentAt := p.e.now()
@@ -97,7 +97,7 @@
 // configuration in force only if the store has the same ticket: a store that has
 // reverted to an older ticket may accept a revocation under a number that this VM
 // ignores.
-func (p *configPart) handleStoreResponse(response storeResponse) {
+func (p *configExtension) handleStoreResponse(response storeResponse) {
 	p.reachedAt = p.e.now()
 	if response.config != nil {
 		p.storedVersion, p.storedTicket = response.version, response.config.Ticket
@@ -116,7 +116,7 @@
 	p.storeBehind = behind
 }
 
-func (p *configPart) handleStoreError(err error) {
+func (p *configExtension) handleStoreError(err error) {
 	p.e.metrics.storeFailed.Inc(1)
 	p.e.logger.WithError(err).Debug("peer: store call failed")
 }
--- a/transport/groupctl/http.go
+++ b/transport/groupctl/http.go
@@ -211,7 +211,7 @@
 	if len(body) > maxResponseBytes {
 		return state.ServerStatus{}, eris.Errorf("response exceeds %d bytes", maxResponseBytes)
 	}
-	var response groupapi.Answer
+	var response groupapi.Response
 	if err := json.Unmarshal(body, &response); err != nil {
 		return state.ServerStatus{}, eris.Wrap(err, "decode response")
 	}
--- a/transport/groupctl/http_test.go
+++ b/transport/groupctl/http_test.go
@@ -40,7 +40,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		a := groupapi.Answer{Status: state.ServerStatus{Server: "a", AdoptedTerm: o.Term}}
+		a := groupapi.Response{Status: state.ServerStatus{Server: "a", AdoptedTerm: o.Term}}
 		switch {
 		case r.URL.Path == groupapi.PathPromote:
 			<-r.Context().Done()
--- a/transport/groups/views.go
+++ b/transport/groups/views.go
@@ -43,12 +43,12 @@
 	v.pendingUpdates[g.Group] = updateRepeats
 }
 
-// Fill adds views to an outgoing message.
-func (v *Views) Fill(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
+// AddSections adds views to an outgoing message.
+func (v *Views) AddSections(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
 
-// Handle merges the views of another VM, and adds this VM's view to the answer
-// wherever it is newer.
-func (v *Views) Handle(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleRequest merges the views of another VM, and adds this VM's view to the
+// answer wherever it is newer.
+func (v *Views) HandleRequest(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range m.Groups {
 		if local, newer := v.merge(remote); newer {
 			a.Groups = append(a.Groups, local)
@@ -56,8 +56,8 @@
 	}
 }
 
-// HandleAnswer merges the views in an answer.
-func (v *Views) HandleAnswer(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleResponse merges the views in an answer.
+func (v *Views) HandleResponse(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range a.Groups {
 		v.merge(remote)
 	}
--- a/transport/limits/limits.go
+++ b/transport/limits/limits.go
@@ -260,8 +260,8 @@
 	l.timer.Reset(delay)
 }
 
-// Fill adds the lease query and the loan requests to a message.
-func (l *Limits) Fill(to string, m *peerapi.Exchange) {
+// AddSections adds the lease query and the loan requests to a message.
+func (l *Limits) AddSections(to string, m *peerapi.Exchange) {
 	if q, ok := lease.QueryTo(l.Tables, to, time.Now()); ok {
 		m.Lease = &q
 	}
@@ -272,8 +272,8 @@
 	l.mu.Unlock()
 }
 
-// Handle answers the lease query and the loan requests of another VM.
-func (l *Limits) Handle(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleRequest answers the lease query and the loan requests of another VM.
+func (l *Limits) HandleRequest(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	now := time.Now()
 	lease.ObserveIncarnation(l.Tables, from.Name, from.Incarnation)
 	if m.Lease != nil {
@@ -297,8 +297,8 @@
 	a.Agreed = l.Tables.Shares.Agreed()
 }
 
-// HandleAnswer handles the answers to lease queries and loan requests.
-func (l *Limits) HandleAnswer(from peerapi.Sender, sentAt time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeAnswer) {
+// HandleResponse handles the answers to lease queries and loan requests.
+func (l *Limits) HandleResponse(from peerapi.Sender, sentAt time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	now := time.Now()
 	if a.Lease != nil {
 		lease.Receive(l.Tables, from.Name, *a.Lease, now)
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -77,8 +77,8 @@
 // Exchange sends an exchange message and returns the response. The context must
 // have a deadline. After an error it is unknown whether the receiver handled the
 // message.
-func (c *Client) Exchange(ctx context.Context, to Target, m *peerapi.Exchange) (*peerapi.ExchangeAnswer, error) {
-	a := new(peerapi.ExchangeAnswer)
+func (c *Client) Exchange(ctx context.Context, to Target, m *peerapi.Exchange) (*peerapi.ExchangeResponse, error) {
+	a := new(peerapi.ExchangeResponse)
 	if err := c.call(ctx, to, peerapi.PathExchange, maxSnapshotBody, m, a); err != nil {
 		return nil, err
 	}
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -62,9 +62,9 @@
 // handler counts the messages that it handles.
 type handler struct{ handled int }
 
-func (h *handler) Exchange(context.Context, *peerapi.Exchange) (*peerapi.ExchangeAnswer, error) {
+func (h *handler) Exchange(context.Context, *peerapi.Exchange) (*peerapi.ExchangeResponse, error) {
 	h.handled++
-	return &peerapi.ExchangeAnswer{Sender: peerapi.Sender{Name: "b", Incarnation: 1, Sequence: uint64(h.handled)}}, nil
+	return &peerapi.ExchangeResponse{Sender: peerapi.Sender{Name: "b", Incarnation: 1, Sequence: uint64(h.handled)}}, nil
 }
 func (h *handler) Config(context.Context, *peerapi.ConfigPush) error { return errors.New("busy") }
 func (h *handler) Cancel(context.Context, *peerapi.Cancel) error     { h.handled++; return nil }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -73,7 +73,7 @@
 // Handler handles authenticated messages. If it returns an error, the response
 // has status 503 and does not contain the error.
 type Handler interface {
-	Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeAnswer, error)
+	Exchange(ctx context.Context, m *peerapi.Exchange) (*peerapi.ExchangeResponse, error)
 	Config(ctx context.Context, m *peerapi.ConfigPush) error
 	Cancel(ctx context.Context, m *peerapi.Cancel) error
 }
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -210,8 +210,8 @@
 		Owner: c.st.ID, Variables: c.st.Variables, ReadOnly: e.ReadOnly, InTransaction: c.st.InTransaction,
 		Lookup: func(name string) *pgproto3.Parse { return c.statements[name] },
 	}
-	if e.Opening != nil {
-		preparation.Opening = e.Opening.(*pgwire.Batch)
+	if e.BeginPayload != nil {
+		preparation.Opening = e.BeginPayload.(*pgwire.Batch)
 	}
 	ok := s.backends.Send(e.Conn, c, e.Request, c.batch, func(pc *pgwire.ConnectionState) pgwire.Prepared {
 		return pc.Prepare(preparation, c.batch)
--- a/transport/sessions/settings.go
+++ b/transport/sessions/settings.go
@@ -84,7 +84,7 @@
 	switch validity {
 	case token.Invalid:
 		return session.Refused(session.TokenInvalid)
-	case token.Foreign:
+	case token.OtherCustomer:
 		return session.Refused(session.TokenForeign)
 	}
 	c.update(func(s *state.Session) {
--- a/transport/store/client.go
+++ b/transport/store/client.go
@@ -33,7 +33,7 @@
 	maxIdleConns = 2
 	// maxBody is the maximum size of a response in bytes. It exceeds the size of a
 	// value because JSON may escape characters.
-	maxBody = 2 * storeapi.MaxValue
+	maxBody = 2 * storeapi.MaxValueBytes
 )
 
 // Options configure a client. Network and Address are required.
