--- a/cmd/chestnutbench/bench/bench.go
+++ b/cmd/chestnutbench/bench/bench.go
@@ -18,41 +18,42 @@
 // Exit statuses.
 const (
 	exitOK     = 0
-	exitBroken = 1 // a check is broken, or the run failed
+	exitFailed = 1 // a check found violations, or the run failed
 	exitUsage  = 2
 )
 
-// Names of the scenarios that do not load a whole fleet.
+// Scenarios without a load on the whole fleet.
 const (
 	scenarioOverhead = "overhead"
 	scenarioScale    = "scale"
 )
 
-// options are the command line.
+// options holds the parsed flags.
 type options struct {
-	profile  string
-	scenario string
-	compare  bool
-	duration time.Duration
-	seed     uint64
-	json     bool
-	verbose  bool
-	vms      []int
-	groups   []int
-	conns    []int
-
-	cpuProfile string // file; empty for none
+	profile         string
+	scenario        string
+	compare         bool
+	duration        time.Duration
+	seed            uint64
+	json            bool
+	verbose         bool
+	vms             []int
+	groups          []int
+	idleConnections []int
+
+	cpuProfile string // file name; empty disables profiling
 }
 
-// Default durations.
+// Defaults of the flags.
 const (
 	defaultDuration = 20 * time.Second
 	defaultSeed     = 1
 )
 
-// Main runs the tool and returns the exit status.
+// Main parses the flags in args, runs the scenario and returns the exit status of
+// the process. Results go to stdout; progress and errors go to stderr.
 func Main(args []string, stdout, stderr io.Writer) int {
-	o, err := parse(args, stderr)
+	o, err := parseOptions(args, stderr)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		return exitOK
@@ -60,44 +61,44 @@
 		fmt.Fprintln(stderr, "chestnutbench:", err)
 		return exitUsage
 	}
-	stop, err := startProfile(o.cpuProfile)
+	stop, err := startCPUProfile(o.cpuProfile)
 	if err != nil {
-		return finish(stderr, err)
+		return exitStatus(stderr, err)
 	}
 	defer stop()
 	switch o.scenario {
 	case scenarioOverhead:
-		return finish(stderr, runOverhead(o, stdout, stderr))
+		return exitStatus(stderr, runOverhead(o, stdout, stderr))
 	case scenarioScale:
-		return finish(stderr, runScale(o, stdout, stderr))
+		return exitStatus(stderr, runScale(o, stdout, stderr))
 	}
-	return loadFleet(o, stdout, stderr)
+	return runScenario(o, stdout, stderr)
 }
 
-func finish(stderr io.Writer, err error) int {
+func exitStatus(stderr io.Writer, err error) int {
 	if err != nil {
 		fmt.Fprintln(stderr, "chestnutbench:", err)
-		return exitBroken
+		return exitFailed
 	}
 	return exitOK
 }
 
-func parse(args []string, stderr io.Writer) (*options, error) {
+func parseOptions(args []string, stderr io.Writer) (*options, error) {
 	o := &options{}
 	set := flag.NewFlagSet("chestnutbench", flag.ContinueOnError)
 	set.SetOutput(stderr)
 	set.StringVar(&o.profile, "profile", "fes", "installation: fes or peachtree")
-	set.StringVar(&o.scenario, "scenario", "steady", "what happens; see the list above")
+	set.StringVar(&o.scenario, "scenario", "steady", "load and faults; see the list above")
 	set.BoolVar(&o.compare, "compare", false, "also run the baselines, with the same load and seed")
 	set.DurationVar(&o.duration, "duration", 0, "length of a run (default 20s; with overhead and scale, of each measurement, default 4s)")
-	set.Uint64Var(&o.seed, "seed", defaultSeed, "seed of arrivals, mix and moves")
+	set.Uint64Var(&o.seed, "seed", defaultSeed, "seed of arrivals, job mix and session moves")
 	set.BoolVar(&o.json, "json", false, "print the results as JSON instead of tables")
 	set.StringVar(&o.cpuProfile, "cpuprofile", "", "write a CPU profile of the whole command to `file`")
-	set.BoolVar(&o.verbose, "v", false, "show the VMs' warnings")
+	set.BoolVar(&o.verbose, "v", false, "print the warnings that VMs log")
 	vms := set.String("vms", "4,8,16", "with scale: numbers of VMs")
 	groups := set.String("groups", "3,10,30", "with scale: numbers of database groups")
 	conns := set.String("connections", "1000,5000", "with overhead: numbers of idle connections")
-	set.Usage = func() { usage(set) }
+	set.Usage = func() { printUsage(set) }
 	if err := set.Parse(args); err != nil {
 		return nil, err
 	}
@@ -107,29 +108,29 @@
 	for _, list := range []struct {
 		text string
 		into *[]int
-	}{{*vms, &o.vms}, {*groups, &o.groups}, {*conns, &o.conns}} {
-		numbers, err := parseNumbers(list.text)
+	}{{*vms, &o.vms}, {*groups, &o.groups}, {*conns, &o.idleConnections}} {
+		numbers, err := parsePositiveNumbers(list.text)
 		if err != nil {
 			return nil, err
 		}
 		*list.into = numbers
 	}
-	return o, o.check()
+	return o, o.validate()
 }
 
-func parseNumbers(text string) ([]int, error) {
-	var all []int
+func parsePositiveNumbers(text string) ([]int, error) {
+	var numbers []int
 	for field := range strings.SplitSeq(text, ",") {
 		n, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || n < 1 {
-			return nil, fmt.Errorf("%q is not a list of positive numbers", text)
+			return nil, fmt.Errorf("%q is not a comma-separated list of positive integers", text)
 		}
-		all = append(all, n)
+		numbers = append(numbers, n)
 	}
-	return all, nil
+	return numbers, nil
 }
 
-func (o *options) check() error {
+func (o *options) validate() error {
 	if o.duration < 0 {
 		return errors.New("-duration must not be negative")
 	}
@@ -150,40 +151,42 @@
 	case "peachtree":
 		return fleet.Peachtree(), nil
 	}
-	return fleet.Profile{}, fmt.Errorf("there is no profile %q", name)
+	return fleet.Profile{}, fmt.Errorf("profile %q does not exist; use fes or peachtree", name)
 }
 
-// Report is the result of all runs of a command.
+// Report holds the results of a scenario on each variant of the fleet. -json
+// writes it under these field names.
 type Report struct {
 	Profile  string
 	Scenario string
 	Seed     uint64
 	Duration time.Duration
-	Machine  Machine // at the start
-	Results  []*Result
+	Machine  Machine   // state at the start
+	Results  []*Result // one per variant
 }
 
-// loadFleet runs a scenario on the whole fleet, and on the baselines.
-func loadFleet(o *options, stdout, stderr io.Writer) int {
+// runScenario runs a scenario on the whole fleet and, with -compare, on the
+// baselines, and prints the report.
+func runScenario(o *options, stdout, stderr io.Writer) int {
 	s, err := findScenario(o.scenario)
 	if err != nil {
-		return finish(stderr, err)
+		return exitStatus(stderr, err)
 	}
-	rep, err := runVariants(o, s, stderr)
+	report, err := runVariants(o, s, stderr)
 	if err != nil {
-		return finish(stderr, err)
+		return exitStatus(stderr, err)
 	}
 	if o.json {
-		err = writeJSON(stdout, rep)
+		err = writeJSON(stdout, report)
 	} else {
-		err = rep.print(stdout)
+		err = report.print(stdout)
 	}
 	if err != nil {
-		return finish(stderr, err)
+		return exitStatus(stderr, err)
 	}
-	for _, r := range rep.Results {
+	for _, r := range report.Results {
 		if r.Broken() {
-			return exitBroken
+			return exitFailed
 		}
 	}
 	return exitOK
@@ -194,34 +197,34 @@
 	if err != nil {
 		return nil, err
 	}
-	rep := &Report{
+	report := &Report{
 		Profile: o.profile, Scenario: s.name, Seed: o.seed, Duration: o.duration,
-		Machine: machineNow(),
+		Machine: currentMachine(),
 	}
-	if rep.Duration == 0 {
-		rep.Duration = defaultDuration
+	if report.Duration == 0 {
+		report.Duration = defaultDuration
 	}
-	variants := []variant{asIs}
+	variants := []variant{unmodified}
 	if o.compare {
 		variants = append(variants, baselines...)
 	}
 	for _, v := range variants {
 		fmt.Fprintf(stderr, "%s, %s, %s\n", p.Name, s.name, v.name)
-		l := loadOf(p)
+		l := steadyLoad(p)
 		if s.adjust != nil {
 			s.adjust(&l)
 		}
-		run := newRun(s, p, l, o.seed, rep.Duration, stderr)
+		run := newRun(s, p, l, o.seed, report.Duration, stderr)
 		if o.verbose {
-			run.warnings.show = text.New(stderr)
+			run.warnings.forward = text.New(stderr)
 		}
 		res, err := run.execute(v)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", v.name, err)
 		}
-		rep.Results = append(rep.Results, res)
+		report.Results = append(report.Results, res)
 	}
-	return rep, nil
+	return report, nil
 }
 
 func writeJSON(w io.Writer, v any) error {
--- a/cmd/chestnutbench/bench/bench_test.go
+++ b/cmd/chestnutbench/bench/bench_test.go
@@ -16,12 +16,12 @@
 	os.Exit(m.Run())
 }
 
-// testUse is the load in tests relative to the customers' rates. The assertions
-// on the lock order make each request expensive.
-const testUse = 0.1
+// testUtilisation is the load in tests relative to the customers' rates. It is low
+// because the lock-order checks make each request expensive.
+const testUtilisation = 0.1
 
-// Guards against a tool that cannot run, measures nothing, or finds broken
-// promises in a healthy fleet.
+// Guards against a run that fails, measures nothing, or reports violations in a
+// healthy fleet.
 func TestShortRun(t *testing.T) {
 	for _, p := range []fleet.Profile{fleet.Fes(), fleet.Peachtree()} {
 		t.Run(p.Name, func(t *testing.T) {
@@ -30,9 +30,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				l := loadOf(p)
-				l.moveShare, l.utilise = roamMoves, testUse
-				res, err := newRun(s, p, l, 1, time.Second, io.Discard).execute(asIs)
+				l := steadyLoad(p)
+				l.moveShare, l.utilisation = roamMoveShare, testUtilisation
+				res, err := newRun(s, p, l, 1, time.Second, io.Discard).execute(unmodified)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -55,13 +55,13 @@
 	}
 	for _, c := range res.Checks {
 		if c.NotChecked == "" && c.Breaks > 0 {
-			t.Errorf("check %s: %d breaks, first %s", c.Name, c.Breaks, c.First)
+			t.Errorf("check %q: %d violations, for example %s", c.Name, c.Breaks, c.First)
 		}
 	}
 }
 
-// Guards against a failover gap that is not measured, and against lost or
-// doubled writes that go unnoticed because the check does not run.
+// Guards against a failover gap that is not measured, and against lost or duplicated
+// writes that go unnoticed because the check does not run.
 func TestShortFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := findScenario("failover")
@@ -69,17 +69,17 @@
 			t.Fatal(err)
 		}
 		p := fleet.Fes()
-		l := loadOf(p)
-		l.utilise = testUse
-		res, err := newRun(s, p, l, 1, 2*faultInterval, io.Discard).execute(asIs)
+		l := steadyLoad(p)
+		l.utilisation = testUtilisation
+		res, err := newRun(s, p, l, 1, 2*faultInterval, io.Discard).execute(unmodified)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if res.Failover == nil || res.Failover.Failovers != 2 || res.Failover.Unended != 0 {
-			t.Fatalf("failovers: %+v, want 2 that ended", res.Failover)
+			t.Fatalf("failovers: %+v, want 2, both followed by a write", res.Failover)
 		}
 		if res.Failover.P50 <= 0 {
-			t.Errorf("gap %v, want more than 0", res.Failover.P50)
+			t.Errorf("median failover gap %v, want more than 0", res.Failover.P50)
 		}
 		if res.Broken() {
 			t.Errorf("checks: %+v", res.Checks)
--- a/cmd/chestnutbench/bench/client.go
+++ b/cmd/chestnutbench/bench/client.go
@@ -14,55 +14,57 @@
 )
 
 const (
-	// clientGrace is how long a client waits beyond the route's deadline.
-	clientGrace = 2 * time.Second
-	// connectTimeout bounds one attempt to connect.
+	// clientTimeoutMargin is how long a client waits beyond the route's deadline
+	// before it times out.
+	clientTimeoutMargin = 2 * time.Second
+	// connectTimeout limits one attempt to connect or disconnect.
 	connectTimeout = 2 * time.Second
-	// queuePatience is the part of the deadline after which a job that waits for
-	// a free session is given up. Without it, all jobs of an overloaded customer
-	// would be sent too late to be answered in time.
-	queuePatience = 2
-	// maxRepeats bounds the repetitions of a request that was refused.
-	maxRepeats = 5
-	// minRepeatDelay is the wait before the first repetition of a refused request
-	// without a hint; it doubles.
-	minRepeatDelay = 20 * time.Millisecond
-	// refusedKeyDelay is the wait before the next login with a refused key.
-	refusedKeyDelay = 500 * time.Millisecond
+	// queueTimeoutDivisor sets how long a job may wait for a free session: the
+	// deadline divided by this number. Without the limit, all jobs of an overloaded
+	// customer would be sent too late to be answered in time.
+	queueTimeoutDivisor = 2
+	// maxRetries limits the retries of a refused request.
+	maxRetries = 5
+	// minRetryDelay is the delay before the first retry of a request that was
+	// refused without a retry hint. It doubles with each retry.
+	minRetryDelay = 20 * time.Millisecond
+	// refusedKeyRetryDelay is the delay before the next login after the API key was
+	// refused.
+	refusedKeyRetryDelay = 500 * time.Millisecond
 )
 
-// client is one session of a customer on a route. It keeps its connection, and
+// client is one session of a customer on a route. It keeps its connection and
 // moves between VMs with its session token.
 type client struct {
-	run      *run
-	name     string
-	customer string
-	route    string
-	group    string
-	limit    *limit
-	rng      *rand.Rand
+	run       *run
+	name      string
+	customer  string
+	route     string
+	group     string
+	rateLimit *rateLimit
+	rng       *rand.Rand
 
 	conn  *pgx.Conn
 	token string
 
-	writes   int // written so far; makes values unique
-	own      ownKey
-	inserted string // key that the session inserted last; acknowledged
+	valueCount int // values generated so far; makes values unique
+	own        ownKey
+	inserted   string // key of the last acknowledged insert
 }
 
 // ownKey is a key that only this session writes.
 type ownKey struct {
 	key          string
-	version      int // sent last
-	acknowledged int // highest acknowledged; zero if none
+	version      int // last version sent
+	acknowledged int // highest version acknowledged; zero if none
 }
 
-// work takes jobs until the queue is closed.
-func (c *client) work(jobs <-chan job) {
-	_ = c.connected(time.Now().Add(c.run.profile.Deadline))
+// processJobs executes jobs until the queue is closed.
+func (c *client) processJobs(jobs <-chan job) {
+	_ = c.ensureConnected(time.Now().Add(c.run.profile.Deadline))
 	for j := range jobs {
-		o, served := c.do(j)
-		c.run.collector.job(c.customer, j, time.Now(), c.run.profile.Deadline, o, served)
+		o, sent := c.execute(j)
+		c.run.collector.recordJob(c.customer, j, time.Now(), c.run.profile.Deadline, o, sent)
 		if c.rng.Float64() < c.run.load.moveShare {
 			c.move()
 		}
@@ -70,10 +72,11 @@
 	c.disconnect()
 }
 
-// move continues the session on another connection, usually to another VM.
+// move disconnects, so that the session continues on a new connection, usually to
+// another VM.
 func (c *client) move() {
 	c.disconnect()
-	c.run.collector.moved()
+	c.run.collector.recordMove()
 }
 
 func (c *client) disconnect() {
@@ -86,36 +89,37 @@
 	c.conn = nil
 }
 
-// connected connects if needed. It reports false if that takes longer than the
-// deadline.
-func (c *client) connected(deadline time.Time) bool {
+// ensureConnected connects if the session has no connection, and retries until
+// the deadline. It reports whether there is a connection.
+func (c *client) ensureConnected(deadline time.Time) bool {
 	for c.conn == nil {
 		if !time.Now().Before(deadline) {
 			return false
 		}
 		if err := c.connect(); err != nil {
-			o := outcomeOfConnect(err)
-			c.run.collector.request(o, false)
+			o := classifyConnectError(err)
+			c.run.collector.recordRequest(o, false)
 			time.Sleep(reconnectDelay(o))
 		}
 	}
 	return true
 }
 
-// reconnectDelay is the wait after a failed login. A refused key is not tried
-// again soon.
+// reconnectDelay returns the delay after a failed login. It is longer if the API
+// key was refused.
 func reconnectDelay(o outcome) time.Duration {
-	if o.code == codeKey {
-		return refusedKeyDelay
+	if o.code == codeKeyRefused {
+		return refusedKeyRetryDelay
 	}
-	return minRepeatDelay
+	return minRetryDelay
 }
 
-// outcomeOfConnect classifies a failed login. No request was cut by it.
-func outcomeOfConnect(err error) outcome {
-	o := outcomeOf(err)
-	if o.verdict == cut {
-		o.verdict, o.code = failed, "connect"
+// classifyConnectError classifies a failed login. A lost connection counts as an
+// error and not as an interruption, because no request was under way.
+func classifyConnectError(err error) outcome {
+	o := classifyError(err)
+	if o.status == connectionLost {
+		o.status, o.code = failed, "connect"
 	}
 	return o
 }
@@ -134,46 +138,47 @@
 	return err
 }
 
-// do carries out a job. It reports false if the client had no session or no
-// connection in time.
-func (c *client) do(j job) (outcome, bool) {
+// execute executes a job. It reports false if the job was not sent, because it
+// waited too long for a free session or for a connection.
+func (c *client) execute(j job) (outcome, bool) {
 	deadline := j.arrived.Add(c.run.profile.Deadline)
-	if time.Since(j.arrived) > c.run.profile.Deadline/queuePatience || !c.connected(deadline) {
+	if time.Since(j.arrived) > c.run.profile.Deadline/queueTimeoutDivisor || !c.ensureConnected(deadline) {
 		return outcome{}, false
 	}
 	switch j.kind {
-	case readOwn:
+	case jobReadOwn:
 		return c.readOwn(deadline), true
-	case insertUnique:
+	case jobInsert:
 		return c.insert(deadline), true
-	case appendLog:
+	case jobAppend:
 		return c.append(deadline), true
-	case updateOwn:
+	case jobUpdate:
 		return c.update(deadline), true
-	case transaction:
+	case jobTransaction:
 		return c.transaction(deadline), true
 	default:
-		return c.readAny(deadline, j.kind == view), true
+		return c.readAny(deadline, j.kind == jobView), true
 	}
 }
 
-// request is one request and its end.
-type request struct {
+// response is the outcome of one request and the data that it returned.
+type response struct {
 	outcome
 	sent  time.Time
-	value string // in the first column of the last row
+	value string // first column of the last row
 	rows  int
-	tag   string // of the last statement
+	tag   string // command tag of the last statement
 }
 
-// repeat sends a request, and sends it again as long as it is refused as "not
-// run" and the deadline allows. A request of a transaction is repeated on the
-// transaction's connection only.
-func (c *client) repeat(sql string, deadline time.Time, inTransaction bool) request {
-	delay := minRepeatDelay
-	for n := 0; ; n++ {
-		r := c.send(sql)
-		if r.verdict != refused || r.code == codeKey || n >= maxRepeats || inTransaction && c.conn == nil {
+// sendWithRetry sends a request and retries it while it is refused as "not run",
+// up to maxRetries times and until the deadline. Requests with a refused API key
+// are not retried. A request within a transaction is retried only on the
+// transaction's connection.
+func (c *client) sendWithRetry(sql string, deadline time.Time, inTransaction bool) response {
+	delay := minRetryDelay
+	for retries := 0; ; retries++ {
+		r := c.sendMetered(sql)
+		if r.status != refused || r.code == codeKeyRefused || retries >= maxRetries || inTransaction && c.conn == nil {
 			return r
 		}
 		wait := max(r.retryAfter, delay)
@@ -182,39 +187,39 @@
 		}
 		time.Sleep(wait)
 		delay *= 2
-		if !c.connected(deadline) {
+		if !c.ensureConnected(deadline) {
 			return r
 		}
 	}
 }
 
-// send sends a request that counts against the customer's rate.
-func (c *client) send(sql string) request {
-	inside := c.limit.take(time.Now())
+// sendMetered sends a request that counts against the customer's rate limit.
+func (c *client) sendMetered(sql string) response {
+	withinRate := c.rateLimit.allow(time.Now())
 	r := c.exec(sql)
-	if r.verdict != refused {
-		c.limit.ran(span{r.sent, time.Now()})
-		c.run.collector.ran(c.customer, r.sent)
+	if r.status != refused {
+		c.rateLimit.recordExecution(span{r.sent, time.Now()})
+		c.run.collector.recordExecution(c.customer, r.sent)
 	}
-	c.run.collector.request(r.outcome, inside)
+	c.run.collector.recordRequest(r.outcome, withinRate)
 	return r
 }
 
-// sendFree sends the end of a transaction, which no rate limits.
-func (c *client) sendFree(sql string) request {
+// sendUnmetered sends a COMMIT or ROLLBACK, which no rate limit applies to.
+func (c *client) sendUnmetered(sql string) response {
 	r := c.exec(sql)
-	c.run.collector.request(r.outcome, false)
+	c.run.collector.recordRequest(r.outcome, false)
 	return r
 }
 
-func (c *client) exec(sql string) request {
-	ctx, cancel := context.WithTimeout(context.Background(), c.run.profile.Deadline+clientGrace)
+func (c *client) exec(sql string) response {
+	ctx, cancel := context.WithTimeout(context.Background(), c.run.profile.Deadline+clientTimeoutMargin)
 	defer cancel()
-	r := request{sent: time.Now()}
+	r := response{sent: time.Now()}
 	results, err := c.conn.PgConn().Exec(ctx, sql).ReadAll()
-	r.outcome = outcomeOf(err)
+	r.outcome = classifyError(err)
 	if n := len(results); n > 0 {
-		r.take(results[n-1])
+		r.readResult(results[n-1])
 	}
 	if t := fleet.Token(c.conn); t != "" {
 		c.token = t
@@ -225,7 +230,7 @@
 	return r
 }
 
-func (r *request) take(result *pgconn.Result) {
+func (r *response) readResult(result *pgconn.Result) {
 	r.tag = result.CommandTag.String()
 	r.rows = len(result.Rows)
 	if r.rows > 0 {
@@ -233,94 +238,98 @@
 	}
 }
 
-// nextValue returns a value that no other write has.
-func (c *client) nextValue() string {
-	c.writes++
-	return fmt.Sprintf("%s.%d", c.name, c.writes)
+// nextUniqueValue returns a value that no other write of the run uses.
+func (c *client) nextUniqueValue() string {
+	c.valueCount++
+	return fmt.Sprintf("%s.%d", c.name, c.valueCount)
 }
 
-// wrote notes the end of a write.
-func (c *client) wrote(value, key string, r request) {
-	w := write{group: c.group, value: value, fate: fateOf(r.outcome)}
-	c.run.ledger.record(w, key, r.sent, time.Now())
+// recordWrite records what the response tells about a write. The key is empty
+// if there is no key to read back.
+func (c *client) recordWrite(value, key string, r response) {
+	w := write{group: c.group, value: value, outcome: writeOutcomeOf(r.outcome)}
+	c.run.writes.record(w, key, r.sent, time.Now())
 }
 
-// fateOf says what the outcome of a write, or of the commit of a transaction,
-// tells about it. An error of the backend server means that it had no effect.
-func fateOf(o outcome) fate {
-	switch o.verdict {
+// writeOutcomeOf returns what the outcome of a write or of a COMMIT tells about
+// the write. After an error of the backend server the write had no effect.
+func writeOutcomeOf(o outcome) writeOutcome {
+	switch o.status {
 	case answered:
-		return fateAcknowledged
+		return writeAcknowledged
 	case refused, failed:
-		return fateNotRun
+		return writeNotRun
 	}
-	return fateUnknown
+	return writeUnknown
 }
 
 func (c *client) insert(deadline time.Time) outcome {
-	value := c.nextValue()
-	r := c.repeat(fmt.Sprintf("INSERT INTO kv VALUES ('%s', '%s')", value, value), deadline, false)
+	value := c.nextUniqueValue()
+	r := c.sendWithRetry(fmt.Sprintf("INSERT INTO kv VALUES ('%s', '%s')", value, value), deadline, false)
 	if r.code == codeDuplicateKey {
-		c.run.collector.violated(func(v *violations) { v.Doubled++ }, "insert found its own key: "+value)
+		c.run.collector.recordViolation(func(v *violations) { v.Duplicated++ }, "insert reported its own unique key as a duplicate: "+value)
 		return r.outcome
 	}
-	c.wrote(value, value, r)
-	if r.verdict == answered {
+	c.recordWrite(value, value, r)
+	if r.status == answered {
 		c.inserted = value
 	}
 	return r.outcome
 }
 
 func (c *client) append(deadline time.Time) outcome {
-	value := c.nextValue()
-	r := c.repeat(fmt.Sprintf("APPEND log '%s'", value), deadline, false)
-	c.wrote(value, "", r)
+	value := c.nextUniqueValue()
+	r := c.sendWithRetry(fmt.Sprintf("APPEND log '%s'", value), deadline, false)
+	c.recordWrite(value, "", r)
 	return r.outcome
 }
 
 // update writes the next version of the session's own key. After an unknown
-// outcome the session takes a new key, because the old write may still arrive.
+// outcome the session switches to a new key, because the old write may still take
+// effect later.
 func (c *client) update(deadline time.Time) outcome {
 	if c.own.key == "" {
-		c.own = ownKey{key: "own-" + c.nextValue()}
+		c.own = ownKey{key: "own-" + c.nextUniqueValue()}
 	}
 	c.own.version++
 	value := fmt.Sprintf("%s.v%d", c.own.key, c.own.version)
-	r := c.repeat(fmt.Sprintf("UPSERT kv ('%s', '%s')", c.own.key, value), deadline, false)
-	c.wrote(value, c.own.key, r)
-	switch fateOf(r.outcome) {
-	case fateAcknowledged:
+	r := c.sendWithRetry(fmt.Sprintf("UPSERT kv ('%s', '%s')", c.own.key, value), deadline, false)
+	c.recordWrite(value, c.own.key, r)
+	switch writeOutcomeOf(r.outcome) {
+	case writeAcknowledged:
 		c.own.acknowledged = c.own.version
-	case fateUnknown:
+	case writeUnknown:
 		c.own = ownKey{}
 	}
 	return r.outcome
 }
 
-// readOwn reads what the session wrote, and checks that it sees it.
+// readOwn reads a key that the session wrote, and checks that the read returns at
+// least the last acknowledged write.
 func (c *client) readOwn(deadline time.Time) outcome {
 	switch {
 	case c.own.acknowledged > 0 && (c.inserted == "" || c.rng.IntN(2) == 0):
-		r := c.repeat(selectKey(c.own.key), deadline, false)
-		if r.verdict == answered && versionOf(r.value) < c.own.acknowledged {
-			c.stale(fmt.Sprintf("read %q of %s, acknowledged version %d", r.value, c.own.key, c.own.acknowledged))
+		r := c.sendWithRetry(selectByKey(c.own.key), deadline, false)
+		if r.status == answered && versionOf(r.value) < c.own.acknowledged {
+			c.recordStaleRead(fmt.Sprintf("read %q of %s, acknowledged version %d", r.value, c.own.key, c.own.acknowledged))
 		}
 		return r.outcome
 	case c.inserted != "":
-		r := c.repeat(selectKey(c.inserted), deadline, false)
-		if r.verdict == answered && r.value != c.inserted {
-			c.stale("did not see its insert of " + c.inserted)
+		r := c.sendWithRetry(selectByKey(c.inserted), deadline, false)
+		if r.status == answered && r.value != c.inserted {
+			c.recordStaleRead("did not see its insert of " + c.inserted)
 		}
 		return r.outcome
 	}
 	return c.readAny(deadline, false)
 }
 
-func (c *client) stale(what string) {
-	c.run.collector.violated(func(v *violations) { v.StaleReads++ }, c.name+" "+what)
+func (c *client) recordStaleRead(description string) {
+	c.run.collector.recordViolation(func(v *violations) { v.StaleReads++ }, c.name+" "+description)
 }
 
-// versionOf returns the version in a value of an own key; zero if there is none.
+// versionOf returns the version in a value that update wrote, or zero if there is
+// none.
 func versionOf(value string) int {
 	_, text, found := strings.Cut(value, ".v")
 	n := 0
@@ -333,66 +342,67 @@
 	return n
 }
 
-func selectKey(key string) string { return "SELECT value FROM kv WHERE key = '" + key + "'" }
+func selectByKey(key string) string { return "SELECT value FROM kv WHERE key = '" + key + "'" }
 
-// readAny reads a key that some session wrote. A view must show a key that was
-// acknowledged longer ago than the route's bound.
+// readAny reads a key that any session wrote. With bounded staleness, the read
+// must see the key if its write was acknowledged longer ago than the bound.
 func (c *client) readAny(deadline time.Time, bounded bool) outcome {
-	key, found := c.run.ledger.pick(c.group, c.rng.IntN)
+	key, found := c.run.writes.pickKey(c.group, c.rng.IntN)
 	if !found {
-		return c.repeat("SELECT 1", deadline, false).outcome
+		return c.sendWithRetry("SELECT 1", deadline, false).outcome
 	}
-	r := c.repeat(selectKey(key.key), deadline, false)
-	old := r.sent.Sub(key.at) > c.run.profile.ViewStaleness
-	if bounded && old && r.verdict == answered && r.rows == 0 {
-		c.run.collector.violated(func(v *violations) { v.StaleViews++ },
-			fmt.Sprintf("%s did not see %s, acknowledged %v before", c.name, key.key, r.sent.Sub(key.at)))
+	r := c.sendWithRetry(selectByKey(key.key), deadline, false)
+	mustSee := r.sent.Sub(key.acknowledgedAt) > c.run.profile.ViewStaleness
+	if bounded && mustSee && r.status == answered && r.rows == 0 {
+		c.run.collector.recordViolation(func(v *violations) { v.StaleViews++ },
+			fmt.Sprintf("%s did not see %s, acknowledged %v before", c.name, key.key, r.sent.Sub(key.acknowledgedAt)))
 	}
 	return r.outcome
 }
 
-// transaction reads, inserts and commits.
+// transaction runs a read and an insert in an explicit transaction.
 func (c *client) transaction(deadline time.Time) outcome {
-	value := c.nextValue()
-	if r := c.repeat("BEGIN", deadline, false); r.verdict != answered {
+	value := c.nextUniqueValue()
+	if r := c.sendWithRetry("BEGIN", deadline, false); r.status != answered {
 		return r.outcome
 	}
 	statements := []string{
-		selectKey(value),
+		selectByKey(value),
 		fmt.Sprintf("INSERT INTO kv VALUES ('%s', '%s')", value, value),
 	}
 	for _, sql := range statements {
-		r := c.repeat(sql, deadline, true)
-		if r.verdict != answered {
-			c.noteCut(r.outcome)
+		r := c.sendWithRetry(sql, deadline, true)
+		if r.status != answered {
+			c.recordInterruption(r.outcome)
 			c.rollBack(value, r)
 			return r.outcome
 		}
 	}
-	r := c.sendFree("COMMIT")
-	c.noteCut(r.outcome)
-	if r.verdict == answered && r.tag != "COMMIT" {
-		r.verdict = failed
+	r := c.sendUnmetered("COMMIT")
+	c.recordInterruption(r.outcome)
+	if r.status == answered && r.tag != "COMMIT" {
+		r.status = failed
 	}
-	c.wrote(value, value, r)
-	if r.verdict == answered {
+	c.recordWrite(value, value, r)
+	if r.status == answered {
 		c.inserted = value
 	}
 	return r.outcome
 }
 
-// noteCut counts a connection that was closed within a transaction.
-func (c *client) noteCut(o outcome) {
+// recordInterruption records a violation if the connection was closed within a
+// transaction, before the request was sent.
+func (c *client) recordInterruption(o outcome) {
 	if o.code == codeClosed {
-		c.run.collector.violated(func(v *violations) { v.Cuts++ }, c.name+" was closed within a transaction")
+		c.run.collector.recordViolation(func(v *violations) { v.Interrupted++ }, c.name+": connection closed within a transaction")
 	}
 }
 
-// rollBack ends a transaction that was not committed.
-func (c *client) rollBack(value string, r request) {
-	r.verdict = refused
-	c.wrote(value, "", r)
+// rollBack ends a transaction without a commit and records its write as not run.
+func (c *client) rollBack(value string, r response) {
+	r.status = refused
+	c.recordWrite(value, "", r)
 	if c.conn != nil {
-		c.sendFree("ROLLBACK")
+		c.sendUnmetered("ROLLBACK")
 	}
 }
--- a/cmd/chestnutbench/bench/collector.go
+++ b/cmd/chestnutbench/bench/collector.go
@@ -12,115 +12,117 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Range of the latency histograms, in microseconds.
+// Range and precision of the latency histograms.
 const (
-	lowestLatency  = 1
-	highestLatency = int64(2 * time.Minute / time.Microsecond)
-	latencyDigits  = 3 // significant decimal digits
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(2 * time.Minute / time.Microsecond)
+	latencyPrecision = 3 // significant decimal digits
 )
 
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyPrecision)
 }
 
-// counts are the ends of the jobs of a customer or a phase. A job is a request
-// or a transaction; a job whose refused request was repeated counts once.
+// counts holds the jobs of a customer or a phase by result. A job is a request or
+// a transaction. Retries of a refused request don't count as further jobs.
 type counts struct {
-	Offered  int
-	InTime   int // answered before the deadline
-	Answered int
-	Failed   int // an error of the backend server
-	Refused  int
-	Unknown  int
-	Cut      int
-	Unserved int // given up by the client: no free session or no connection in time
+	Offered        int
+	InTime         int // answered before the deadline
+	Answered       int
+	Failed         int // error of the backend server
+	Refused        int
+	Unknown        int
+	ConnectionLost int
+	NotSent        int // no free session or no connection in time
 }
 
-// customerStats are the results of one customer.
+// customerStats holds the results of one customer.
 type customerStats struct {
 	counts
-	latency *hdrhistogram.Histogram // of answered jobs, from their arrival
+	latency *hdrhistogram.Histogram // of answered jobs, from their arrival, in microseconds
 }
 
-// phase is a part of a run.
+// phase is a named part of a run, for example the time with a data centre out of
+// service.
 type phase struct {
 	name  string
 	start time.Time
 	counts
 }
 
-// violations are broken promises that clients saw.
+// violations counts the violations of guarantees that clients observed.
 type violations struct {
-	StaleReads int
-	StaleViews int // older than the route's bound
-	Doubled    int // an insert of a unique key found its key
-	Cuts       int // requests and transactions that were cut short
-	Revoked    int // requests that ran although their key had been revoked
-	First      string
+	StaleReads         int
+	StaleViews         int // reads that were older than the route's bound
+	Duplicated         int // inserts that reported their own unique key as a duplicate
+	Interrupted        int // requests and transactions that did not complete
+	RunAfterRevocation int // requests that ran after their API key was revoked
+	Example            string
 }
 
-// collector gathers results.
+// collector collects results from all client workers.
 type collector struct {
-	offered, done atomic.Int64 // for the progress line
+	offered, finished atomic.Int64 // jobs, for the progress line
 
-	mu            lockrank.Mutex // guards the fields below
-	customers     map[string]*customerStats
-	kinds         map[kind]*hdrhistogram.Histogram // of answered jobs, from their arrival
-	phases        []*phase
-	codes         map[string]int // errors by SQLSTATE, or "cut" and "timeout"
-	insideRefused map[string]int // refusals of requests inside their rate, by SQLSTATE
-	requests      int            // requests sent, repetitions included
-	insideSent    int            // of these, inside the rate
-	moves         int
-	revoked       map[string]time.Time // when a customer's key was revoked
-	violations    violations
+	mu                 lockrank.Mutex // guards the fields below
+	customers          map[string]*customerStats
+	latencies          map[jobKind]*hdrhistogram.Histogram // of answered jobs, from their arrival, in microseconds
+	phases             []*phase
+	errorCodes         map[string]int // errors of requests and logins, by outcome.errorName
+	refusedWithinRate  map[string]int // refused requests within the rate limit, by SQLSTATE
+	requests           int            // requests sent, including retries
+	requestsWithinRate int            // of these, within the rate limit
+	moves              int
+	revoked            map[string]time.Time // time of the revocation, by customer
+	violations         violations
 }
 
 func newCollector(customers []string) *collector {
 	c := &collector{
-		mu:            lockrank.New(rankCollector),
-		customers:     make(map[string]*customerStats),
-		kinds:         make(map[kind]*hdrhistogram.Histogram),
-		codes:         make(map[string]int),
-		insideRefused: make(map[string]int),
-		revoked:       make(map[string]time.Time),
+		mu:                lockrank.New(rankCollector),
+		customers:         make(map[string]*customerStats),
+		latencies:         make(map[jobKind]*hdrhistogram.Histogram),
+		errorCodes:        make(map[string]int),
+		refusedWithinRate: make(map[string]int),
+		revoked:           make(map[string]time.Time),
 	}
 	for _, name := range customers {
-		c.customers[name] = &customerStats{latency: newHistogram()}
+		c.customers[name] = &customerStats{latency: newLatencyHistogram()}
 	}
 	return c
 }
 
-// startPhase assigns the jobs that arrive from now on to a new phase.
+// startPhase starts a phase. Jobs belong to the phase in which they arrive.
 func (c *collector) startPhase(name string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phases = append(c.phases, &phase{name: name, start: now})
 }
 
-// job records the end of a job.
-func (c *collector) job(customer string, j job, ended time.Time, deadline time.Duration, o outcome, served bool) {
-	c.done.Add(1)
-	took := ended.Sub(j.arrived)
+// recordJob records the result of a job. sent is false if the client had no
+// session or no connection for it in time.
+func (c *collector) recordJob(customer string, j job, ended time.Time, deadline time.Duration, o outcome, sent bool) {
+	c.finished.Add(1)
+	latency := ended.Sub(j.arrived)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.customers[customer]
-	s.add(o, served, took <= deadline)
+	s.add(o, sent, latency <= deadline)
 	if p := c.phaseAt(j.arrived); p != nil {
-		p.add(o, served, took <= deadline)
+		p.add(o, sent, latency <= deadline)
 	}
-	if o.verdict == answered {
-		v := min(took.Microseconds(), highestLatency)
+	if o.status == answered {
+		v := min(latency.Microseconds(), maxLatencyMicros)
 		_ = s.latency.RecordValue(v)
-		_ = c.kind(j.kind).RecordValue(v)
+		_ = c.latencyOf(j.kind).RecordValue(v)
 	}
 }
 
-func (c *collector) kind(k kind) *hdrhistogram.Histogram {
-	h := c.kinds[k]
+func (c *collector) latencyOf(k jobKind) *hdrhistogram.Histogram {
+	h := c.latencies[k]
 	if h == nil {
-		h = newHistogram()
-		c.kinds[k] = h
+		h = newLatencyHistogram()
+		c.latencies[k] = h
 	}
 	return h
 }
@@ -134,13 +136,13 @@
 	return nil
 }
 
-func (c *counts) add(o outcome, served, inTime bool) {
+func (c *counts) add(o outcome, sent, inTime bool) {
 	c.Offered++
-	if !served {
-		c.Unserved++
+	if !sent {
+		c.NotSent++
 		return
 	}
-	switch o.verdict {
+	switch o.status {
 	case answered:
 		c.Answered++
 		if inTime {
@@ -150,85 +152,88 @@
 		c.Failed++
 	case refused:
 		c.Refused++
-	case unknown, abandoned:
+	case unknown, timedOut:
 		c.Unknown++
-	case cut:
-		c.Cut++
+	case connectionLost:
+		c.ConnectionLost++
 	}
 }
 
-// request records the end of one request.
-func (c *collector) request(o outcome, inside bool) {
+// recordRequest records the outcome of one request.
+func (c *collector) recordRequest(o outcome, withinRate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
-	if inside {
-		c.insideSent++
+	if withinRate {
+		c.requestsWithinRate++
 	}
-	if o.verdict == answered {
+	if o.status == answered {
 		return
 	}
-	c.codes[o.name()]++
-	if inside && o.verdict == refused && o.code != codeClosed {
-		c.insideRefused[o.code]++
+	c.errorCodes[o.errorName()]++
+	if withinRate && o.status == refused && o.code != codeClosed {
+		c.refusedWithinRate[o.code]++
 	}
 	if o.interrupted() {
-		c.violations.Cuts++
-		c.violations.note(fmt.Sprint("interrupted: ", o.err))
+		c.violations.Interrupted++
+		c.violations.noteExample(fmt.Sprint("interrupted: ", o.err))
 	}
 }
 
-// name returns the SQLSTATE, or what happened in place of one.
-func (o outcome) name() string {
+// errorName returns the SQLSTATE or, without one, "timeout" or "cut" (connection
+// lost). Reports use these names.
+func (o outcome) errorName() string {
 	switch {
 	case o.code != "":
 		return o.code
-	case o.verdict == abandoned:
+	case o.status == timedOut:
 		return "timeout"
 	}
 	return "cut"
 }
 
-func (c *collector) moved() {
+func (c *collector) recordMove() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.moves++
 }
 
-// revoke notes that a customer's key was revoked.
-func (c *collector) revoke(customer string, now time.Time) {
+// recordRevocation records that a customer's API key was revoked.
+func (c *collector) recordRevocation(customer string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revoked[customer] = now
 }
 
-// ran notes that a request ran, which a revoked key must not achieve.
-func (c *collector) ran(customer string, sent time.Time) {
+// recordExecution records that a request ran. It is a violation if the customer's
+// API key was revoked more than revokeGrace before.
+func (c *collector) recordExecution(customer string, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at, ok := c.revoked[customer]; ok && sent.Sub(at) > revokeGrace {
-		c.violations.Revoked++
-		c.violations.note(fmt.Sprintf("%s ran a request %v after its key was revoked", customer, sent.Sub(at)))
+		c.violations.RunAfterRevocation++
+		c.violations.noteExample(fmt.Sprintf("%s ran a request %v after its API key was revoked", customer, sent.Sub(at)))
 	}
 }
 
-// revokedCustomers returns the customers whose keys were revoked.
+// revokedCustomers returns the customers whose API key was revoked.
 func (c *collector) revokedCustomers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Keys(c.revoked))
 }
 
-// violated records a broken promise.
-func (c *collector) violated(count func(v *violations), what string) {
+// recordViolation increments a count of violations. Only the first example of the
+// run is kept.
+func (c *collector) recordViolation(increment func(v *violations), example string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count(&c.violations)
-	c.violations.note(what)
+	increment(&c.violations)
+	c.violations.noteExample(example)
 }
 
-func (v *violations) note(what string) {
-	if v.First == "" {
-		v.First = what
+func (v *violations) noteExample(example string) {
+	if v.Example == "" {
+		v.Example = example
 	}
 }
--- a/cmd/chestnutbench/bench/doc.go
+++ b/cmd/chestnutbench/bench/doc.go
@@ -1,19 +1,20 @@
-// Package bench is the load and experiment tool behind cmd/chestnutbench.
+// Package bench implements cmd/chestnutbench: load generation, fault scenarios,
+// measurements and consistency checks.
 //
-// Arrivals are an open loop: one goroutine per customer draws them and queues
-// jobs. A fixed pool of client workers per customer takes the jobs; a worker is
-// one client session and waits for its connection, as a client does. Workers
-// record what happened in shared tables.
+// The load is an open loop. One goroutine per customer generates arrivals and
+// queues jobs; a fixed pool of workers per customer and route executes them. A
+// worker is one client session with at most one connection. Workers record
+// results in shared tables.
 //
-// Lock order: limit (one per customer), ledger, collector. No two limits are
-// locked at the same time, and no lock is held during a request.
+// Lock order: rateLimit (one per customer), writeHistory, collector. No two rate
+// limits are locked at the same time, and no lock is held during a request.
 package bench
 
 import "github.com/chestnutdyke/chestnutdyke/state/lockrank"
 
-// Ranks of this package's locks.
+// Ranks of this package's locks for the lock-order checks.
 const (
-	rankLimit     lockrank.Rank = 410
-	rankLedger    lockrank.Rank = 420
-	rankCollector lockrank.Rank = 430
+	rankRateLimit    lockrank.Rank = 410
+	rankWriteHistory lockrank.Rank = 420
+	rankCollector    lockrank.Rank = 430
 )
--- a/cmd/chestnutbench/bench/failover.go
+++ b/cmd/chestnutbench/bench/failover.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// faultInterval is the time from one fault to the next.
+	// faultInterval is the time from the start of one fault to the next.
 	faultInterval = 2500 * time.Millisecond
-	// faultLength is how long the failed primary stays away.
-	faultLength = 1500 * time.Millisecond
+	// faultDuration is how long the failed primary stays unavailable.
+	faultDuration = 1500 * time.Millisecond
 )
 
-// fault is the failure of a group's primary.
+// fault is an injected failure of a group's primary.
 type fault struct {
 	group string
-	kind  string
+	kind  string // "stop", "pause" or "cut off"
 	at    time.Time
 }
 
-// failoverGaps are the failures of primaries in a run.
-type failoverGaps struct{ faults []fault }
+// faultLog records the failures of primaries that a run injected.
+type faultLog struct{ faults []fault }
 
-// failPrimaries makes the primaries of the groups fail in turn: one crashes, the
-// next one stops answering without closing its connections.
+// failPrimaries lets the primaries of the groups fail in turn. They alternately
+// crash and stop answering without closing their connections.
 func failPrimaries(ctx context.Context, r *run) error {
 	groups := r.profile.Groups
 	for n := 0; ; n++ {
-		if !sleepUntil(ctx, time.Now().Add(faultInterval-faultLength)) {
+		if !sleepUntil(ctx, time.Now().Add(faultInterval-faultDuration)) {
 			return nil
 		}
 		deadline, ok := ctx.Deadline()
-		if ok && time.Until(deadline) < faultLength {
+		if ok && time.Until(deadline) < faultDuration {
 			return nil
 		}
-		name := groups[n%len(groups)]
-		primary := r.fleet.Groups[name].Primary()
+		group := groups[n%len(groups)]
+		primary := r.fleet.Groups[group].Primary()
 		if primary == nil {
 			continue
 		}
-		if err := r.failOnce(ctx, n, name, primary); err != nil {
+		if err := r.failPrimary(ctx, n, group, primary); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *run) failOnce(ctx context.Context, n int, group string, primary *dbgroup.Server) error {
+// failPrimary stops the primary if n is even and pauses it if n is odd, and brings
+// it back after faultDuration.
+func (r *run) failPrimary(ctx context.Context, n int, group string, primary *dbgroup.Server) error {
 	f := fault{group: group, kind: "stop", at: time.Now()}
 	if n%2 == 1 {
 		f.kind = "pause"
@@ -57,15 +59,15 @@
 	} else {
 		primary.Stop()
 	}
-	r.gaps.faults = append(r.gaps.faults, f)
-	sleepUntil(ctx, f.at.Add(faultLength))
+	r.faultLog.faults = append(r.faultLog.faults, f)
+	sleepUntil(ctx, f.at.Add(faultDuration))
 	if f.kind == "stop" {
 		return primary.Start()
 	}
 	return nil
 }
 
-// sleepUntil reports false if ctx ended before.
+// sleepUntil waits until the given time. It reports false if ctx ended before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -77,26 +79,28 @@
 	}
 }
 
-// FailoverGap is the time from the failures of primaries to the first write
-// that was sent and acknowledged after them.
+// FailoverGap summarises the failover gaps of a run. A gap is the time from the
+// failure of a primary to the acknowledgement of the first write of its group that
+// was sent after the failure.
 type FailoverGap struct {
-	Failovers int
-	Unended   int // no write was acknowledged until the end of the run
+	Failovers int // injected failures of primaries
+	Unended   int // failures without an acknowledged write until the end of the run
 	P50       time.Duration
 	P99       time.Duration
 	Worst     time.Duration
-	ByKind    map[string]time.Duration // worst
+	ByKind    map[string]time.Duration // worst gap by kind of fault
 }
 
-// measure returns nil if no primary failed.
-func (g *failoverGaps) measure(l *ledger) *FailoverGap {
-	if len(g.faults) == 0 {
+// failoverGap computes the gaps from the acknowledged writes. It returns nil if no
+// primary failed.
+func (l *faultLog) failoverGap(h *writeHistory) *FailoverGap {
+	if len(l.faults) == 0 {
 		return nil
 	}
-	m := &FailoverGap{Failovers: len(g.faults), ByKind: make(map[string]time.Duration)}
+	m := &FailoverGap{Failovers: len(l.faults), ByKind: make(map[string]time.Duration)}
 	var gaps []time.Duration
-	for _, f := range g.faults {
-		first, found := l.firstAck(f.group, f.at)
+	for _, f := range l.faults {
+		first, found := h.firstAcknowledgement(f.group, f.at)
 		if !found {
 			m.Unended++
 			continue
@@ -110,8 +114,8 @@
 	return m
 }
 
-// quantile returns the smallest value that is not exceeded by the given share
-// of the sorted values.
+// quantile returns the smallest value that at least the share q of the sorted
+// values does not exceed, or zero without values.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/cmd/chestnutbench/bench/idle.go
+++ b/cmd/chestnutbench/bench/idle_memory.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// memorySettle is left to goroutines that end after a login.
-	memorySettle = 500 * time.Millisecond
-	// loginTimeout bounds a login.
+	// memorySettleTime lets goroutines end that run only during a login.
+	memorySettleTime = 500 * time.Millisecond
+	// loginTimeout limits a login and the first statement.
 	loginTimeout = 10 * time.Second
 )
 
-// IdleMemory is what idle client connections cost. The client's end is a bare
-// socket without buffers, so nearly all of it is the VM's.
+// IdleMemory holds the cost of idle client connections. The client keeps only a
+// socket without buffers, so the VM accounts for nearly all of it.
 type IdleMemory struct {
 	Connections    int
-	BytesEach      uint64
-	GoroutinesEach float64
+	BytesEach      uint64  // heap and stacks per connection
+	GoroutinesEach float64 // goroutines per connection
 }
 
-// idleMemory opens connections, uses each once, and measures what they keep.
-func idleMemory(f *fleet.Fleet, n int) (*IdleMemory, error) {
-	time.Sleep(memorySettle)
+// measureIdleMemory opens n connections, runs one statement on each, and measures
+// the memory and goroutines that they keep.
+func measureIdleMemory(f *fleet.Fleet, n int) (*IdleMemory, error) {
+	time.Sleep(memorySettleTime)
 	before, goroutines := processMemory(), runtime.NumGoroutine()
 	conns := make([]net.Conn, 0, n)
 	defer func() {
@@ -38,13 +39,13 @@
 		}
 	}()
 	for range n {
-		c, err := bareClient(f)
+		c, err := openIdleConnection(f)
 		if err != nil {
 			return nil, fmt.Errorf("connection %d: %w", len(conns)+1, err)
 		}
 		conns = append(conns, c)
 	}
-	time.Sleep(memorySettle)
+	time.Sleep(memorySettleTime)
 	after := processMemory()
 	return &IdleMemory{
 		Connections:    n,
@@ -53,8 +54,8 @@
 	}, nil
 }
 
-// bareClient logs in, runs a statement and keeps the socket only.
-func bareClient(f *fleet.Fleet) (net.Conn, error) {
+// openIdleConnection logs in, runs a statement and returns the socket.
+func openIdleConnection(f *fleet.Fleet) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), loginTimeout)
 	defer cancel()
 	conn, err := f.DialVM(ctx, 0)
@@ -64,21 +65,21 @@
 	if err := conn.SetDeadline(time.Now().Add(loginTimeout)); err != nil {
 		return nil, err
 	}
-	front := pgproto3.NewFrontend(conn, conn)
+	frontend := pgproto3.NewFrontend(conn, conn)
 	customer := f.Profile.Customers[0].Name
-	front.Send(&pgproto3.StartupMessage{
+	frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": customer, "database": f.Profile.Groups[0], fleet.SessionParameter: ""},
 	})
-	if err := await(front, isPasswordRequest); err != nil {
+	if err := receiveUntil(frontend, isPasswordRequest); err != nil {
 		return nil, err
 	}
-	front.Send(&pgproto3.PasswordMessage{Password: fleet.Key(customer)})
-	if err := await(front, isReady); err != nil {
+	frontend.Send(&pgproto3.PasswordMessage{Password: fleet.Key(customer)})
+	if err := receiveUntil(frontend, isReady); err != nil {
 		return nil, err
 	}
-	front.Send(&pgproto3.Query{String: "SELECT 1"})
-	if err := await(front, isReady); err != nil {
+	frontend.Send(&pgproto3.Query{String: "SELECT 1"})
+	if err := receiveUntil(frontend, isReady); err != nil {
 		return nil, err
 	}
 	return conn, conn.SetDeadline(time.Time{})
@@ -94,20 +95,21 @@
 	return ok
 }
 
-// await sends what is queued and reads up to the wanted message.
-func await(front *pgproto3.Frontend, wanted func(m pgproto3.BackendMessage) bool) error {
-	if err := front.Flush(); err != nil {
+// receiveUntil flushes queued messages and receives up to the first message that
+// matches. It fails if the VM sends an error.
+func receiveUntil(frontend *pgproto3.Frontend, matches func(m pgproto3.BackendMessage) bool) error {
+	if err := frontend.Flush(); err != nil {
 		return err
 	}
 	for {
-		msg, err := front.Receive()
+		msg, err := frontend.Receive()
 		if err != nil {
 			return err
 		}
 		if e, ok := msg.(*pgproto3.ErrorResponse); ok {
 			return fmt.Errorf("%s: %s", e.Code, e.Message)
 		}
-		if wanted(msg) {
+		if matches(msg) {
 			return nil
 		}
 	}
--- a/cmd/chestnutbench/bench/machine.go
+++ b/cmd/chestnutbench/bench/machine.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Machine says how busy the machine was.
+// Machine describes the machine that ran the measurements and how busy it was.
 type Machine struct {
-	CPUs int
-	Load string // load averages over 1, 5 and 15 minutes; empty if not known
+	CPUs int    // logical CPUs that the process can use
+	Load string // load averages over 1, 5 and 15 minutes; empty if unknown
 }
 
-func machineNow() Machine {
+func currentMachine() Machine {
 	m := Machine{CPUs: runtime.NumCPU()}
 	if raw, err := os.ReadFile("/proc/loadavg"); err == nil {
 		fields := strings.Fields(string(raw))
@@ -24,7 +24,8 @@
 	return m
 }
 
-// processCPU returns the CPU time that the process has used.
+// processCPU returns the user and system CPU time of the process, or 0 if it is not
+// available.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -33,8 +34,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// processMemory returns the memory in use for objects and stacks after a
-// garbage collection.
+// processMemory returns the bytes in use for heap and stacks after a garbage
+// collection.
 func processMemory() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -43,9 +44,9 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// startProfile writes a CPU profile to the file until stop is called. An empty
-// name writes none.
-func startProfile(name string) (stop func(), err error) {
+// startCPUProfile writes a CPU profile to the named file until stop is called. An
+// empty name disables it.
+func startCPUProfile(name string) (stop func(), err error) {
 	if name == "" {
 		return func() {}, nil
 	}
--- a/cmd/chestnutbench/bench/outcome.go
+++ b/cmd/chestnutbench/bench/outcome.go
@@ -10,66 +10,67 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// verdict says how a request ended for the client.
-type verdict int
+// status is how a request ended for the client.
+type status int
 
 const (
-	answered  verdict = iota // complete and without an error
-	failed                   // answered with an error of the backend server
-	refused                  // refused, and the refusal says "not run"
-	unknown                  // 08007: it may have run
-	cut                      // the connection ended without an answer
-	abandoned                // no answer before the client's own time-out
+	answered       status = iota // completed without an error
+	failed                       // error of the backend server
+	refused                      // error whose detail says that the request was not run
+	unknown                      // 08007: the request may have run
+	connectionLost               // the connection ended without a response
+	timedOut                     // no response before the client's own timeout
 )
 
-// SQLSTATE codes that the tool treats on their own.
+// SQLSTATE codes with a meaning of their own for the client.
 const (
-	codeUnknown         = "08007"
+	codeOutcomeUnknown  = "08007"
 	codeTransactionLost = "08006"
 	codeDuplicateKey    = "23505"
-	codeRolledBack      = "40001" // the server stopped being the primary
-	codeKey             = "28P01"
+	codeRolledBack      = "40001" // the backend server stopped being the primary
+	codeKeyRefused      = "28P01"
 
-	// codeClosed stands for a connection that had been closed before the first
-	// byte of the request was sent.
+	// codeClosed is no SQLSTATE. It stands for a connection that was closed before
+	// the first byte of the request was sent.
 	codeClosed = "closed"
 )
 
-// notRunDetail is what a refusal says of a request that was not run.
+// notRunDetail is the error detail of a refused request.
 const notRunDetail = "The request was not run."
 
-// outcome is the end of a request.
+// outcome is the classified result of a request.
 type outcome struct {
-	verdict    verdict
-	code       string        // SQLSTATE; empty without one
-	fatal      bool          // the connection is closed
-	retryAfter time.Duration // hint of a refusal; zero if none
+	status     status
+	code       string        // SQLSTATE, codeClosed or "connect"; empty if none
+	fatal      bool          // the connection is no longer usable
+	retryAfter time.Duration // hint of a refused request; zero if none
 	err        error
 }
 
+// retryHint matches the delay in the hint of a refused request.
 var retryHint = regexp.MustCompile(`Retry after ([0-9]+) ms`)
 
-// outcomeOf classifies the error of a request.
-func outcomeOf(err error) outcome {
+// classifyError returns the outcome of a request that ended with err.
+func classifyError(err error) outcome {
 	if err == nil {
-		return outcome{verdict: answered}
+		return outcome{status: answered}
 	}
 	var pg *pgconn.PgError
 	if !errors.As(err, &pg) {
 		if errors.Is(err, context.DeadlineExceeded) || pgconn.Timeout(err) {
-			return outcome{verdict: abandoned, fatal: true, err: err}
+			return outcome{status: timedOut, fatal: true, err: err}
 		}
 		if pgconn.SafeToRetry(err) {
-			return outcome{verdict: refused, code: codeClosed, fatal: true, err: err}
+			return outcome{status: refused, code: codeClosed, fatal: true, err: err}
 		}
-		return outcome{verdict: cut, fatal: true, err: err}
+		return outcome{status: connectionLost, fatal: true, err: err}
 	}
-	o := outcome{verdict: failed, code: pg.Code, fatal: pg.Severity == "FATAL", err: err}
+	o := outcome{status: failed, code: pg.Code, fatal: pg.Severity == "FATAL", err: err}
 	switch {
-	case pg.Code == codeUnknown:
-		o.verdict = unknown
+	case pg.Code == codeOutcomeUnknown:
+		o.status = unknown
 	case pg.Detail == notRunDetail:
-		o.verdict = refused
+		o.status = refused
 	}
 	if m := retryHint.FindStringSubmatch(pg.Hint); m != nil {
 		ms, _ := strconv.Atoi(m[1])
@@ -78,12 +79,12 @@
 	return o
 }
 
-// interrupted reports whether the request was cut short by the fleet, which no
-// planned move may do: its connection ended, its outcome is unknown, or its
-// transaction was rolled back.
+// interrupted reports whether the fleet interrupted the request: its connection
+// ended without a response, its outcome is unknown, it timed out, or its transaction
+// was lost or rolled back. No planned change may do that.
 func (o outcome) interrupted() bool {
-	switch o.verdict {
-	case cut, unknown, abandoned:
+	switch o.status {
+	case connectionLost, unknown, timedOut:
 		return true
 	case failed:
 		return o.code == codeTransactionLost || o.code == codeRolledBack
--- a/cmd/chestnutbench/bench/overhead.go
+++ b/cmd/chestnutbench/bench/overhead.go
@@ -20,66 +20,70 @@
 )
 
 const (
-	// overheadRounds is how often direct and proxied measurements take turns, so
-	// that both meet the same load of the machine.
+	// overheadRounds is how often direct and proxied measurements alternate, so that
+	// both run under the same load of the machine.
 	overheadRounds = 3
-	// overheadDuration is the default length of one measurement.
+	// overheadDuration is the default length of one measurement. It also limits how
+	// long the connections of a measurement may take to open.
 	overheadDuration = 4 * time.Second
-	// overheadConnections is the connection limit of the backend server.
-	overheadConnections = 256
-	// overheadRate is the customer's rate and burst, which must limit nothing.
+	// overheadConnectionLimit is the connection limit of the backend server.
+	overheadConnectionLimit = 256
+	// overheadRate is the customer's rate and burst, high enough to never limit.
 	overheadRate = 1e7
-	// overheadSessions is the session limit of the VM.
-	overheadSessions = 16384
-	// latencyUnit is the unit of the overhead histograms.
-	latencyUnit = 100 * time.Nanosecond
-	// highestOverhead is the greatest latency that the histograms hold.
-	highestOverhead = 10 * time.Second
+	// overheadSessionLimit is the session limit of the VM.
+	overheadSessionLimit = 16384
+	// overheadLatencyUnit is the unit of the overhead histograms.
+	overheadLatencyUnit = 100 * time.Nanosecond
+	// maxOverheadLatency is the highest latency that the histograms hold.
+	maxOverheadLatency = 10 * time.Second
 )
 
-// overheadClients are the numbers of clients that send at once.
+// overheadClients lists the numbers of concurrent clients.
 var overheadClients = []int{1, 8, 32, 128}
 
-// overheadKinds are the statements that are measured.
+// overheadKinds lists the measured statements.
 var overheadKinds = []struct{ name, sql string }{
 	{"read", "SELECT 1"},
 	{"write", "UPSERT kv ('k', 'v')"},
 }
 
-// Overhead compares statements through one VM with direct ones.
+// Overhead compares statements sent through one VM with statements sent directly to
+// the backend server.
 type Overhead struct {
-	Kind    string
-	Clients int
+	Kind    string // "read" or "write"
+	Clients int    // concurrent clients
 	Direct  Speed
 	Proxied Speed
 }
 
-// Speed is a measurement of one way to the backend server. The process holds
-// the clients and the backend server too, so the VM's CPU time is the
-// difference between the two ways.
+// Speed holds throughput, latency and cost of statements, either direct or proxied.
+// The process also contains the clients and the backend server, so the cost of the
+// VM is the difference between proxied and direct.
 type Speed struct {
-	PerSecond       float64
+	PerSecond       float64 // statements
 	P50, P99        time.Duration
 	CPUPerStatement time.Duration
-	Allocations     float64 // for each statement
-	AllocatedBytes  float64 // for each statement
+	Allocations     float64 // per statement
+	AllocatedBytes  float64 // per statement
 }
 
-// OverheadReport is the result of the overhead scenario.
+// OverheadReport holds the results of the overhead scenario. -json writes it under
+// these field names.
 type OverheadReport struct {
-	Machine Machine
+	Machine Machine // state at the start
 	Speeds  []Overhead
 	Memory  []IdleMemory
 }
 
-// overheadProfile is one VM in front of a group of one server without costs.
+// overheadProfile returns a profile with one VM and one group of one server, whose
+// connects, statements and replication take no simulated time.
 func overheadProfile() fleet.Profile {
 	p := fleet.Fes()
 	p.VMs = 1
 	p.Groups = p.Groups[:1]
 	p.ServersPerGroup = 1
-	p.Slots = overheadConnections
-	p.Connections = overheadConnections
+	p.Slots = overheadConnectionLimit
+	p.Connections = overheadConnectionLimit
 	p.ConnectCost, p.StatementCost, p.ReplicationDelay = 0, 0, 0
 	p.Customers = []fleet.Customer{{Name: "bindery", Rate: overheadRate, Burst: overheadRate}}
 	return p
@@ -90,7 +94,7 @@
 		TCP:    true,
 		Seed:   o.seed,
 		Logger: &log.Logger{Handler: discard.Default},
-		Adjust: func(v *chestnutdyke.Options) { v.MaxSessions = overheadSessions },
+		Adjust: func(v *chestnutdyke.Options) { v.MaxSessions = overheadSessionLimit },
 	})
 	if err != nil {
 		return err
@@ -101,46 +105,46 @@
 	if err := f.WaitReady(ready); err != nil {
 		return err
 	}
-	length := o.duration
-	if length == 0 {
-		length = overheadDuration
+	duration := o.duration
+	if duration == 0 {
+		duration = overheadDuration
 	}
-	rep := &OverheadReport{Machine: machineNow()}
+	report := &OverheadReport{Machine: currentMachine()}
 	for _, k := range overheadKinds {
 		for _, n := range overheadClients {
 			fmt.Fprintf(stderr, "overhead, %s, %d clients\n", k.name, n)
-			m, err := compareWays(f, k.sql, n, length)
+			m, err := measureOverhead(f, k.sql, n, duration)
 			if err != nil {
 				return err
 			}
 			m.Kind = k.name
-			rep.Speeds = append(rep.Speeds, *m)
+			report.Speeds = append(report.Speeds, *m)
 		}
 	}
-	for _, n := range o.conns {
+	for _, n := range o.idleConnections {
 		fmt.Fprintf(stderr, "overhead, %d idle connections\n", n)
-		m, err := idleMemory(f, n)
+		m, err := measureIdleMemory(f, n)
 		if err != nil {
 			return err
 		}
-		rep.Memory = append(rep.Memory, *m)
+		report.Memory = append(report.Memory, *m)
 	}
 	if o.json {
-		return writeJSON(stdout, rep)
+		return writeJSON(stdout, report)
 	}
-	return rep.print(stdout)
+	return report.print(stdout)
 }
 
-// way connects a client to the backend server, directly or through the VM.
-type way func(ctx context.Context) (*pgx.Conn, error)
+// connectFunc connects a client to the backend server, directly or through the VM.
+type connectFunc func(ctx context.Context) (*pgx.Conn, error)
 
-func proxiedWay(f *fleet.Fleet) way {
+func connectProxied(f *fleet.Fleet) connectFunc {
 	return func(ctx context.Context) (*pgx.Conn, error) {
 		return f.Connect(ctx, f.Profile.Customers[0].Name, f.Profile.Groups[0], 0, fleet.NewSession)
 	}
 }
 
-func directWay(f *fleet.Fleet) way {
+func connectDirect(f *fleet.Fleet) connectFunc {
 	server := f.Groups[f.Profile.Groups[0]].Primary()
 	return func(ctx context.Context) (*pgx.Conn, error) {
 		host, port, err := net.SplitHostPort(server.Address())
@@ -157,23 +161,23 @@
 	}
 }
 
-// compareWays measures both ways in turns.
-func compareWays(f *fleet.Fleet, sql string, clients int, length time.Duration) (*Overhead, error) {
-	ways := []way{directWay(f), proxiedWay(f)}
-	speeds := []*speedometer{newSpeedometer(), newSpeedometer()}
+// measureOverhead measures direct and proxied statements in alternating rounds.
+func measureOverhead(f *fleet.Fleet, sql string, clients int, duration time.Duration) (*Overhead, error) {
+	connectFuncs := []connectFunc{connectDirect(f), connectProxied(f)}
+	recorders := []*speedRecorder{newSpeedRecorder(), newSpeedRecorder()}
 	for range overheadRounds {
-		for i, w := range ways {
-			if err := speeds[i].measure(w, sql, clients, length/overheadRounds); err != nil {
+		for i, connect := range connectFuncs {
+			if err := recorders[i].measure(connect, sql, clients, duration/overheadRounds); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return &Overhead{Clients: clients, Direct: speeds[0].speed(), Proxied: speeds[1].speed()}, nil
+	return &Overhead{Clients: clients, Direct: recorders[0].speed(), Proxied: recorders[1].speed()}, nil
 }
 
-// speedometer adds up the rounds of one way.
-type speedometer struct {
-	latency *hdrhistogram.Histogram // in latencyUnit
+// speedRecorder accumulates the rounds of a direct or proxied measurement.
+type speedRecorder struct {
+	latency *hdrhistogram.Histogram // in overheadLatencyUnit
 	elapsed time.Duration
 	cpu     time.Duration
 	mallocs uint64
@@ -181,26 +185,26 @@
 }
 
 func newOverheadHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(highestOverhead/latencyUnit), latencyDigits)
+	return hdrhistogram.New(1, int64(maxOverheadLatency/overheadLatencyUnit), latencyPrecision)
 }
 
-func newSpeedometer() *speedometer { return &speedometer{latency: newOverheadHistogram()} }
+func newSpeedRecorder() *speedRecorder { return &speedRecorder{latency: newOverheadHistogram()} }
 
-// measure lets the clients send one statement after the other.
-func (s *speedometer) measure(w way, sql string, clients int, length time.Duration) error {
-	conns, err := connectAll(w, clients)
+// measure runs one round: each client sends statements one after the other.
+func (s *speedRecorder) measure(connect connectFunc, sql string, clients int, duration time.Duration) error {
+	conns, err := connectAll(connect, clients)
 	defer closeAll(conns)
 	if err != nil {
 		return err
 	}
-	parts := make([]*hdrhistogram.Histogram, clients)
+	histograms := make([]*hdrhistogram.Histogram, clients)
 	errs := make([]error, clients)
 	var running sync.WaitGroup
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start, cpu := time.Now(), processCPU()
 	for i, c := range conns {
-		running.Go(func() { parts[i], errs[i] = sendUntil(c.PgConn(), sql, start.Add(length)) })
+		running.Go(func() { histograms[i], errs[i] = sendUntil(c.PgConn(), sql, start.Add(duration)) })
 	}
 	running.Wait()
 	s.elapsed += time.Since(start)
@@ -208,21 +212,21 @@
 	runtime.ReadMemStats(&after)
 	s.mallocs += after.Mallocs - before.Mallocs
 	s.bytes += after.TotalAlloc - before.TotalAlloc
-	for i, p := range parts {
+	for i, h := range histograms {
 		if errs[i] != nil {
 			return errs[i]
 		}
-		s.latency.Merge(p)
+		s.latency.Merge(h)
 	}
 	return nil
 }
 
-func connectAll(w way, n int) ([]*pgx.Conn, error) {
+func connectAll(connect connectFunc, n int) ([]*pgx.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), overheadDuration)
 	defer cancel()
 	var conns []*pgx.Conn
 	for range n {
-		c, err := w(ctx)
+		c, err := connect(ctx)
 		if err != nil {
 			return conns, err
 		}
@@ -237,29 +241,30 @@
 	}
 }
 
-func sendUntil(c *pgconn.PgConn, sql string, end time.Time) (*hdrhistogram.Histogram, error) {
+// sendUntil sends the statement repeatedly until end and returns the latencies.
+func sendUntil(conn *pgconn.PgConn, sql string, end time.Time) (*hdrhistogram.Histogram, error) {
 	h := newOverheadHistogram()
 	for {
 		sent := time.Now()
 		if !sent.Before(end) {
 			return h, nil
 		}
-		if _, err := c.Exec(context.Background(), sql).ReadAll(); err != nil {
+		if _, err := conn.Exec(context.Background(), sql).ReadAll(); err != nil {
 			return h, err
 		}
-		_ = h.RecordValue(min(int64(time.Since(sent)/latencyUnit), int64(highestOverhead/latencyUnit)))
+		_ = h.RecordValue(min(int64(time.Since(sent)/overheadLatencyUnit), int64(maxOverheadLatency/overheadLatencyUnit)))
 	}
 }
 
-func (s *speedometer) speed() Speed {
+func (s *speedRecorder) speed() Speed {
 	n := s.latency.TotalCount()
 	if n == 0 {
 		return Speed{}
 	}
 	return Speed{
 		PerSecond:       float64(n) / s.elapsed.Seconds(),
-		P50:             time.Duration(s.latency.ValueAtPercentile(50)) * latencyUnit,
-		P99:             time.Duration(s.latency.ValueAtPercentile(99)) * latencyUnit,
+		P50:             time.Duration(s.latency.ValueAtPercentile(50)) * overheadLatencyUnit,
+		P99:             time.Duration(s.latency.ValueAtPercentile(99)) * overheadLatencyUnit,
 		CPUPerStatement: s.cpu / time.Duration(n),
 		Allocations:     float64(s.mallocs) / float64(n),
 		AllocatedBytes:  float64(s.bytes) / float64(n),
@@ -272,13 +277,13 @@
 	t.row("statement", "clients", "direct/s", "VM/s", "direct p50", "VM p50", "added p50", "direct p99", "VM p99", "added p99", "VM CPU", "VM allocations", "VM bytes")
 	for _, o := range rep.Speeds {
 		t.row(o.Kind, fmt.Sprint(o.Clients), fmt.Sprintf("%.0f", o.Direct.PerSecond), fmt.Sprintf("%.0f", o.Proxied.PerSecond),
-			micros(o.Direct.P50), micros(o.Proxied.P50), micros(o.Proxied.P50-o.Direct.P50),
-			micros(o.Direct.P99), micros(o.Proxied.P99), micros(o.Proxied.P99-o.Direct.P99),
-			micros(o.Proxied.CPUPerStatement-o.Direct.CPUPerStatement),
+			formatMicros(o.Direct.P50), formatMicros(o.Proxied.P50), formatMicros(o.Proxied.P50-o.Direct.P50),
+			formatMicros(o.Direct.P99), formatMicros(o.Proxied.P99), formatMicros(o.Proxied.P99-o.Direct.P99),
+			formatMicros(o.Proxied.CPUPerStatement-o.Direct.CPUPerStatement),
 			fmt.Sprintf("%.0f", o.Proxied.Allocations-o.Direct.Allocations),
 			fmt.Sprintf("%.0f", o.Proxied.AllocatedBytes-o.Direct.AllocatedBytes))
 	}
-	if err := t.end(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
 	t = newTable(w)
@@ -286,5 +291,5 @@
 	for _, m := range rep.Memory {
 		t.row(fmt.Sprint(m.Connections), fmt.Sprintf("%.1f KiB", float64(m.BytesEach)/1024), fmt.Sprintf("%.2f", m.GoroutinesEach))
 	}
-	return t.end()
+	return t.flush()
 }
--- a/cmd/chestnutbench/bench/result.go
+++ b/cmd/chestnutbench/bench/result.go
@@ -11,43 +11,43 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// Result is what one run measured.
+// Result holds the measurements and checks of one run.
 type Result struct {
 	Variant         string
-	Offered         int
-	ReadsOnReplicas float64 // share of the reads outside of explicit transactions
-	ReadsOnServer   map[string]uint64
-	Failover        *FailoverGap `json:",omitempty"`
+	Offered         int               // jobs
+	ReadsOnReplicas float64           // share of the reads outside explicit transactions
+	ReadsOnServer   map[string]uint64 // reads by backend server
+	Failover        *FailoverGap      `json:",omitempty"`
 	Customers       []CustomerResult
 	Kinds           []KindResult
 	Worst           WorstServed
-	RequestsInside  int            // requests sent inside their customer's rate
+	RequestsInside  int            // requests sent within their customer's rate limit
 	RefusedInside   int            // of these, refused
 	RefusedInsideBy map[string]int // by SQLSTATE
-	Errors          map[string]int // all errors, by SQLSTATE
+	Errors          map[string]int // errors of requests and logins, by SQLSTATE or "cut", "timeout", "connect" or "closed"
 	Phases          []PhaseResult
-	Moves           int // connections that sessions changed
-	Warnings        map[string]int
+	Moves           int            // times that sessions moved to a new connection
+	Warnings        map[string]int // warnings and errors that VMs logged, by message
 	Checks          []Check
 }
 
-// CustomerResult is what one customer got. Latencies count from the arrival of
-// a job to its answer.
+// CustomerResult holds the service that one customer got. Latencies are measured
+// from the arrival of a job to its response.
 type CustomerResult struct {
 	Name    string
-	Rate    float64
-	Offered int
-	InTime  float64 // share answered before the deadline
-	Goodput float64 // jobs answered before the deadline, relative to those inside the rate
+	Rate    float64 // requests per second over the whole fleet
+	Offered int     // jobs
+	InTime  float64 // share of jobs answered before the deadline
+	Goodput float64 // jobs answered before the deadline, relative to the offered jobs within the rate limit
 	P50     time.Duration
 	P99     time.Duration
 	Max     time.Duration
 	Refused int
 	Unknown int
-	Other   int // errors of backend servers, cut, unserved
+	Other   int // error of the backend server, connection lost, or not sent
 }
 
-// KindResult is the latency of one kind of job, from its arrival to its answer.
+// KindResult holds the latency of one kind of job, from its arrival to its response.
 type KindResult struct {
 	Name     string
 	Answered int64
@@ -56,8 +56,8 @@
 	Max      time.Duration
 }
 
-// WorstServed compares the customer with the lowest goodput, and the one with
-// the highest p99, with the median customer.
+// WorstServed holds the lowest goodput and the highest p99 latency of any customer,
+// and the medians over the customers.
 type WorstServed struct {
 	Customer      string
 	Goodput       float64
@@ -67,130 +67,135 @@
 	MedianP99     time.Duration
 }
 
-// PhaseResult is the service in a part of the run.
+// PhaseResult holds the service of all customers in a phase of the run.
 type PhaseResult struct {
 	Name    string
 	Offered int
-	InTime  float64 // share answered before the deadline
+	InTime  float64 // share of jobs answered before the deadline
 }
 
-// Check counts the breaks of a promise. It must be 0.
+// Check holds the number of violations of one guarantee. Unless NotChecked is set,
+// the run fails if it is above 0.
 type Check struct {
 	Name   string
-	Breaks int
-	First  string `json:",omitempty"` // an example
-	// NotChecked says why the check does not apply to the run.
+	Breaks int    // violations
+	First  string `json:",omitempty"` // example of a violation
+	// NotChecked is the reason why the check does not apply to the run, or empty.
 	NotChecked string `json:",omitempty"`
 }
 
-// Broken reports whether a check is broken.
+// Broken reports whether a check that applies to the run found violations. The
+// command then exits with status 1.
 func (r *Result) Broken() bool {
 	return slices.ContainsFunc(r.Checks, func(c Check) bool { return c.NotChecked == "" && c.Breaks > 0 })
 }
 
-// result gathers what the run measured, after all clients have ended.
-func (r *run) result(v variant) (*Result, error) {
-	done, err := commitsOf(r.fleet.Groups)
+// collectResult builds the result of the run after all clients have ended.
+func (r *run) collectResult(v variant) (*Result, error) {
+	commits, err := countCommits(r.fleet.Groups)
 	if err != nil {
 		return nil, err
 	}
-	res := &Result{Variant: v.name, Warnings: r.warnings.all(), Failover: r.gaps.measure(r.ledger)}
+	res := &Result{Variant: v.name, Warnings: r.warnings.snapshot(), Failover: r.faultLog.failoverGap(r.writes)}
 	r.countReads(res)
-	seen := r.collector.fill(res, r.profile.Customers, r.entitlement)
-	res.Worst = worstServed(entitled(res.Customers, r.collector.revokedCustomers()))
-	res.Checks = r.checks(seen, r.ledger.check(done))
+	observed := r.collector.fillResult(res, r.profile.Customers, r.jobsWithinRate)
+	res.Worst = worstServed(withoutRevoked(res.Customers, r.collector.revokedCustomers()))
+	res.Checks = r.checks(observed, r.writes.findViolations(commits))
 	return res, nil
 }
 
-// fill copies what was collected into the result, and returns the violations.
-func (c *collector) fill(res *Result, customers []fleet.Customer, entitlement func(fleet.Customer) float64) violations {
+// fillResult copies the collected measurements into the result, and returns the
+// violations. jobsWithinRate returns the number of jobs that the rate limit of a
+// customer allows in the run.
+func (c *collector) fillResult(res *Result, customers []fleet.Customer, jobsWithinRate func(fleet.Customer) float64) violations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	res.RequestsInside = c.insideSent
-	res.RefusedInsideBy = c.insideRefused
-	res.RefusedInside = sum(c.insideRefused)
-	res.Errors = c.codes
+	res.RequestsInside = c.requestsWithinRate
+	res.RefusedInsideBy = c.refusedWithinRate
+	res.RefusedInside = sumCounts(c.refusedWithinRate)
+	res.Errors = c.errorCodes
 	res.Moves = c.moves
 	for _, customer := range customers {
 		s := c.customers[customer.Name]
 		res.Offered += s.Offered
-		res.Customers = append(res.Customers, customerResult(customer, s, entitlement(customer)))
+		res.Customers = append(res.Customers, customerResult(customer, s, jobsWithinRate(customer)))
 	}
-	for _, k := range slices.Sorted(maps.Keys(c.kinds)) {
-		h := c.kinds[k]
+	for _, k := range slices.Sorted(maps.Keys(c.latencies)) {
+		h := c.latencies[k]
 		res.Kinds = append(res.Kinds, KindResult{
-			kindNames[k], h.TotalCount(), quantileOf(h, 50), quantileOf(h, 99), quantileOf(h, 100),
+			jobKindNames[k], h.TotalCount(), percentileOf(h, 50), percentileOf(h, 99), percentileOf(h, 100),
 		})
 	}
 	for _, p := range c.phases {
-		res.Phases = append(res.Phases, PhaseResult{p.name, p.Offered, ratio(p.InTime, p.Offered)})
+		res.Phases = append(res.Phases, PhaseResult{p.name, p.Offered, shareOf(p.InTime, p.Offered)})
 	}
 	return c.violations
 }
 
-// entitlement returns the jobs that a customer may have answered inside its
-// rate and burst.
-func (r *run) entitlement(c fleet.Customer) float64 {
+// jobsWithinRate returns the number of jobs that a customer may run within its rate
+// and burst during the run.
+func (r *run) jobsWithinRate(c fleet.Customer) float64 {
 	return (c.Rate*r.duration.Seconds() + c.Burst) / r.load.mix.requestsPerJob()
 }
 
-// countReads asks the stand-ins which servers executed the reads.
+// countReads counts the reads by backend server, as the stand-ins report them.
 func (r *run) countReads(res *Result) {
 	res.ReadsOnServer = make(map[string]uint64)
-	var replica, all uint64
+	var onReplicas, total uint64
 	for _, g := range r.fleet.Groups {
 		for _, s := range g.Servers() {
 			reads := s.Reads()
 			res.ReadsOnServer[s.Name()] = reads.Primary + reads.Replica
-			replica += reads.Replica
-			all += reads.Primary + reads.Replica
+			onReplicas += reads.Replica
+			total += reads.Primary + reads.Replica
 		}
 	}
-	if all > 0 {
-		res.ReadsOnReplicas = float64(replica) / float64(all)
+	if total > 0 {
+		res.ReadsOnReplicas = float64(onReplicas) / float64(total)
 	}
 }
 
-func customerResult(c fleet.Customer, s *customerStats, entitled float64) CustomerResult {
+func customerResult(c fleet.Customer, s *customerStats, jobsWithinRate float64) CustomerResult {
 	return CustomerResult{
 		Name:    c.Name,
 		Rate:    c.Rate,
 		Offered: s.Offered,
-		InTime:  ratio(s.InTime, s.Offered),
-		Goodput: goodput(s.counts, entitled),
-		P50:     quantileOf(s.latency, 50),
-		P99:     quantileOf(s.latency, 99),
-		Max:     quantileOf(s.latency, 100),
+		InTime:  shareOf(s.InTime, s.Offered),
+		Goodput: goodput(s.counts, jobsWithinRate),
+		P50:     percentileOf(s.latency, 50),
+		P99:     percentileOf(s.latency, 99),
+		Max:     percentileOf(s.latency, 100),
 		Refused: s.Refused,
 		Unknown: s.Unknown,
-		Other:   s.Failed + s.Cut + s.Unserved,
+		Other:   s.Failed + s.ConnectionLost + s.NotSent,
 	}
 }
 
-// goodput is relative to what the customer offered inside its rate. Jobs that
-// are answered after the last arrival could raise it above 1.
-func goodput(c counts, entitled float64) float64 {
-	due := min(float64(c.Offered), entitled)
-	if due <= 0 {
+// goodput returns the jobs answered in time, relative to the offered jobs within
+// the rate limit. It is capped at 1, because jobs that are answered after the last
+// arrival could raise it above.
+func goodput(c counts, jobsWithinRate float64) float64 {
+	expected := min(float64(c.Offered), jobsWithinRate)
+	if expected <= 0 {
 		return 1
 	}
-	return min(1, float64(c.InTime)/due)
+	return min(1, float64(c.InTime)/expected)
 }
 
-func quantileOf(h *hdrhistogram.Histogram, percent float64) time.Duration {
+func percentileOf(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// entitled leaves out the customers whose keys were revoked.
-func entitled(all []CustomerResult, revoked []string) []CustomerResult {
-	return slices.DeleteFunc(slices.Clone(all), func(c CustomerResult) bool { return slices.Contains(revoked, c.Name) })
+// withoutRevoked leaves out the customers whose API key was revoked.
+func withoutRevoked(results []CustomerResult, revoked []string) []CustomerResult {
+	return slices.DeleteFunc(slices.Clone(results), func(c CustomerResult) bool { return slices.Contains(revoked, c.Name) })
 }
 
-func worstServed(all []CustomerResult) WorstServed {
-	if len(all) == 0 {
+func worstServed(results []CustomerResult) WorstServed {
+	if len(results) == 0 {
 		return WorstServed{}
 	}
-	byGoodput := slices.Clone(all)
+	byGoodput := slices.Clone(results)
 	slices.SortStableFunc(byGoodput, func(a, b CustomerResult) int {
 		switch {
 		case a.Goodput < b.Goodput:
@@ -200,46 +205,46 @@
 		}
 		return 0
 	})
-	byLatency := slices.Clone(all)
+	byLatency := slices.Clone(results)
 	slices.SortStableFunc(byLatency, func(a, b CustomerResult) int { return int(b.P99 - a.P99) })
 	return WorstServed{
 		Customer:      byGoodput[0].Name,
 		Goodput:       byGoodput[0].Goodput,
-		MedianGoodput: byGoodput[len(all)/2].Goodput,
+		MedianGoodput: byGoodput[len(results)/2].Goodput,
 		P99Customer:   byLatency[0].Name,
 		P99:           byLatency[0].P99,
-		MedianP99:     byLatency[len(all)/2].P99,
+		MedianP99:     byLatency[len(results)/2].P99,
 	}
 }
 
-func ratio(part, whole int) float64 {
+func shareOf(part, whole int) float64 {
 	if whole == 0 {
 		return 1
 	}
 	return float64(part) / float64(whole)
 }
 
-// checks lists the promises that the run checked.
-func (r *run) checks(v violations, w writeFaults) []Check {
+// checks returns the result of each check.
+func (r *run) checks(v violations, w writeViolations) []Check {
 	return []Check{
-		{Name: "stale reads", Breaks: v.StaleReads, First: v.First},
-		{Name: "views older than their bound", Breaks: v.StaleViews, First: v.First},
-		{Name: "acknowledged writes lost", Breaks: w.Lost, First: w.First},
-		{Name: "writes doubled", Breaks: w.Doubled + v.Doubled, First: w.First},
-		{Name: "writes run though refused", Breaks: w.NotRun, First: w.First},
-		r.cutCheck(v),
-		r.limitCheck(),
-		r.keyCheck(v),
-		r.leaveCheck(),
+		{Name: "stale reads", Breaks: v.StaleReads, First: v.Example},
+		{Name: "views older than their bound", Breaks: v.StaleViews, First: v.Example},
+		{Name: "acknowledged writes lost", Breaks: w.Lost, First: w.Example},
+		{Name: "writes doubled", Breaks: w.Duplicated + v.Duplicated, First: w.Example},
+		{Name: "writes run though refused", Breaks: w.CommittedThoughRefused, First: w.Example},
+		r.interruptionCheck(v),
+		r.rateLimitCheck(),
+		r.revokedKeyCheck(v),
+		r.outOfServiceCheck(),
 	}
 }
 
-// limitCheck counts the requests by which customers exceeded their limits, in
-// the worst interval of each.
-func (r *run) limitCheck() Check {
+// rateLimitCheck counts the requests by which customers exceeded their rate limit,
+// each in its worst interval.
+func (r *run) rateLimitCheck() Check {
 	c := Check{Name: "limits overspent"}
-	for name, l := range r.limits {
-		if excess := l.overspent(); excess > 0 {
+	for name, l := range r.rateLimits {
+		if excess := l.excess(); excess > 0 {
 			c.Breaks += int(excess) + 1
 			c.First = name
 		}
@@ -247,26 +252,27 @@
 	return c
 }
 
-// cutCheck applies to planned moves: a server that fails cuts transactions.
-func (r *run) cutCheck(v violations) Check {
-	c := Check{Name: "requests cut", Breaks: v.Cuts, First: v.First}
+// interruptionCheck applies only to planned changes: the failure of a server may
+// interrupt requests and transactions.
+func (r *run) interruptionCheck(v violations) Check {
+	c := Check{Name: "requests cut", Breaks: v.Interrupted, First: v.Example}
 	if r.scenario.unplanned {
-		c.NotChecked = fmt.Sprintf("servers fail in this scenario; %d cut", v.Cuts)
+		c.NotChecked = fmt.Sprintf("servers fail in this scenario; %d cut", v.Interrupted)
 	}
 	return c
 }
 
-func (r *run) keyCheck(v violations) Check {
-	c := Check{Name: "requests after a revoked key", Breaks: v.Revoked, First: v.First}
+func (r *run) revokedKeyCheck(v violations) Check {
+	c := Check{Name: "requests after a revoked key", Breaks: v.RunAfterRevocation, First: v.Example}
 	if len(r.collector.revokedCustomers()) == 0 {
 		c.NotChecked = "no key was revoked"
 	}
 	return c
 }
 
-func (r *run) leaveCheck() Check {
+func (r *run) outOfServiceCheck() Check {
 	c := Check{Name: "work in a data centre that left", NotChecked: "no data centre left"}
-	if out := r.outOfService; out != nil {
+	if out := r.outOfServiceWork; out != nil {
 		c.NotChecked, c.Breaks, c.First = "", int(out.statements), out.dataCentre
 	}
 	return c
--- a/cmd/chestnutbench/bench/run.go
+++ b/cmd/chestnutbench/bench/run.go
@@ -15,66 +15,67 @@
 )
 
 const (
-	// sessionsPerRate is the number of sessions of a customer on each route, per
-	// request a second of its rate.
+	// sessionsPerRate is the number of sessions that a customer has on each route
+	// for each request per second of its rate.
 	sessionsPerRate = 1.0 / 30
 	minSessions     = 3
-	// queuedJobs bounds the jobs that wait for a free session of a route. More
-	// are counted as unserved.
-	queuedJobs = 1 << 14
-	// settleTime is left to replication before the logs are checked.
-	settleTime = time.Second
-	// readyTimeout bounds the start of the fleet.
+	// maxQueuedJobs limits the jobs that wait for a free session of a customer on
+	// a route. Further jobs are counted as not sent.
+	maxQueuedJobs = 1 << 14
+	// replicationSettleTime lets replication finish before the logs are checked.
+	replicationSettleTime = time.Second
+	// readyTimeout limits how long the fleet may take to start.
 	readyTimeout = 30 * time.Second
-	// progressInterval is the time between progress lines.
+	// progressInterval is the interval between progress lines.
 	progressInterval = time.Second
 )
 
-// run is one run of a scenario on one variant.
+// run executes a scenario once on one variant of the fleet.
 type run struct {
-	scenario  *scenario
-	profile   fleet.Profile
-	load      load
-	seed      uint64
-	duration  time.Duration
-	progress  io.Writer
-	fleet     *fleet.Fleet
-	ledger    *ledger
-	collector *collector
-	limits    map[string]*limit
-	warnings  *warnings
-	queues    map[queueKey]chan job
-	gaps      failoverGaps
-
-	outOfService *workWhileOut // nil unless a data centre left
+	scenario       *scenario
+	profile        fleet.Profile
+	load           load
+	seed           uint64
+	duration       time.Duration
+	progressOutput io.Writer
+	fleet          *fleet.Fleet
+	writes         *writeHistory
+	collector      *collector
+	rateLimits     map[string]*rateLimit
+	warnings       *warningCounter
+	queues         map[queueKey]chan job
+	faultLog       faultLog
+
+	outOfServiceWork *outOfServiceWork // nil unless a data centre was out of service
 }
 
-// queueKey names the sessions of a customer on a route.
+// queueKey identifies the sessions of a customer on a route.
 type queueKey struct{ customer, route string }
 
 func newRun(s *scenario, p fleet.Profile, l load, seed uint64, duration time.Duration, progress io.Writer) *run {
 	r := &run{
-		scenario: s,
-		profile:  p,
-		load:     l,
-		seed:     seed,
-		duration: duration,
-		progress: progress,
-		ledger:   newLedger(),
-		limits:   make(map[string]*limit),
-		warnings: newWarnings(),
-		queues:   make(map[queueKey]chan job),
+		scenario:       s,
+		profile:        p,
+		load:           l,
+		seed:           seed,
+		duration:       duration,
+		progressOutput: progress,
+		writes:         newWriteHistory(),
+		rateLimits:     make(map[string]*rateLimit),
+		warnings:       newWarningCounter(),
+		queues:         make(map[queueKey]chan job),
 	}
 	var names []string
 	for _, c := range p.Customers {
 		names = append(names, c.Name)
-		r.limits[c.Name] = newLimit(c.Rate, c.Burst)
+		r.rateLimits[c.Name] = newRateLimit(c.Rate, c.Burst)
 	}
 	r.collector = newCollector(names)
 	return r
 }
 
-// execute runs the load and the scenario's events, and returns the results.
+// execute starts the fleet, runs the load and the scenario's events, and returns
+// the results.
 func (r *run) execute(v variant) (*Result, error) {
 	f, err := fleet.Start(r.profile, fleet.Options{
 		Seed:   r.seed,
@@ -97,7 +98,7 @@
 	}
 	var clients sync.WaitGroup
 	r.startClients(&clients)
-	err = r.drive()
+	err = r.generateLoad()
 	for _, q := range r.queues {
 		close(q)
 	}
@@ -105,12 +106,13 @@
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(settleTime)
-	return r.result(v)
+	time.Sleep(replicationSettleTime)
+	return r.collectResult(v)
 }
 
-// drive lets jobs arrive for the duration while the scenario's events happen.
-func (r *run) drive() error {
+// generateLoad generates arrivals for the duration of the run while the
+// scenario's events take place.
+func (r *run) generateLoad() error {
 	start := time.Now()
 	end := start.Add(r.duration)
 	r.collector.startPhase(r.scenario.firstPhase(), start)
@@ -118,9 +120,9 @@
 	defer cancel()
 	var arriving sync.WaitGroup
 	for _, c := range r.profile.Customers {
-		arriving.Go(func() { r.arrive(c, start, end) })
+		arriving.Go(func() { r.generateArrivals(c, start, end) })
 	}
-	arriving.Go(func() { r.report(ctx, start) })
+	arriving.Go(func() { r.reportProgress(ctx, start) })
 	var err error
 	if r.scenario.events != nil {
 		err = r.scenario.events(ctx, r)
@@ -129,12 +131,12 @@
 	return err
 }
 
-// arrive queues the jobs of a customer at their times.
-func (r *run) arrive(c fleet.Customer, start, end time.Time) {
+// generateArrivals queues each job of a customer at its arrival time.
+func (r *run) generateArrivals(c fleet.Customer, start, end time.Time) {
 	a := newArrivals(r.seed, c.Name, r.load.jobRate(c), r.load.mix, start)
 	groups := r.profile.Groups
 	for {
-		j := a.take()
+		j := a.nextJob()
 		if j.arrived.After(end) {
 			return
 		}
@@ -144,50 +146,50 @@
 		select {
 		case r.queues[queueKey{c.Name, routeOf(group, j.kind)}] <- j:
 		default:
-			r.collector.job(c.Name, j, time.Now(), r.profile.Deadline, outcome{}, false)
+			r.collector.recordJob(c.Name, j, time.Now(), r.profile.Deadline, outcome{}, false)
 		}
 	}
 }
 
-func routeOf(group string, k kind) string {
-	if k == view {
+func routeOf(group string, k jobKind) string {
+	if k == jobView {
 		return "views-" + group
 	}
 	return group
 }
 
-// startClients starts the sessions of all customers.
+// startClients starts the sessions of all customers on all routes.
 func (r *run) startClients(running *sync.WaitGroup) {
 	for _, c := range r.profile.Customers {
-		sessions := max(minSessions, int(c.Rate*sessionsPerRate*max(1, r.load.overloaded[c.Name])))
+		sessions := max(minSessions, int(c.Rate*sessionsPerRate*max(1, r.load.overloadFactors[c.Name])))
 		for _, group := range r.profile.Groups {
 			r.startSessions(running, c, group, group, sessions)
-			if r.load.mix.has(view) {
-				r.startSessions(running, c, group, routeOf(group, view), sessions)
+			if r.load.mix.contains(jobView) {
+				r.startSessions(running, c, group, routeOf(group, jobView), sessions)
 			}
 		}
 	}
 }
 
 func (r *run) startSessions(running *sync.WaitGroup, c fleet.Customer, group, route string, n int) {
-	q := make(chan job, queuedJobs)
+	q := make(chan job, maxQueuedJobs)
 	r.queues[queueKey{c.Name, route}] = q
 	for i := range n {
 		name := fmt.Sprintf("%s/%s/%d", c.Name, route, i)
 		cl := &client{
-			run:      r,
-			name:     name,
-			customer: c.Name,
-			route:    route,
-			group:    group,
-			limit:    r.limits[c.Name],
-			rng:      newRand(r.seed, name),
+			run:       r,
+			name:      name,
+			customer:  c.Name,
+			route:     route,
+			group:     group,
+			rateLimit: r.rateLimits[c.Name],
+			rng:       newRand(r.seed, name),
 		}
-		running.Go(func() { cl.work(q) })
+		running.Go(func() { cl.processJobs(q) })
 	}
 }
 
-func (m mix) has(k kind) bool {
+func (m mix) contains(k jobKind) bool {
 	for _, s := range m {
 		if s.kind == k {
 			return true
@@ -196,8 +198,8 @@
 	return false
 }
 
-// chooseVM returns a VM that takes work, as the platform's load balancer does
-// with the VMs' health checks.
+// chooseVM returns a random ready VM, as the platform's load balancer does by
+// means of health checks. If no VM is ready, it returns any VM.
 func (r *run) chooseVM(rng *rand.Rand) int {
 	first := rng.IntN(r.profile.VMs)
 	for i := range r.profile.VMs {
@@ -209,8 +211,8 @@
 	return first
 }
 
-// report prints the progress until ctx is done.
-func (r *run) report(ctx context.Context, start time.Time) {
+// reportProgress prints progress lines until ctx is done.
+func (r *run) reportProgress(ctx context.Context, start time.Time) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
@@ -219,7 +221,7 @@
 			return
 		case <-ticker.C:
 			c := r.collector
-			fmt.Fprintf(r.progress, "  %3.0f s: %d offered, %d done\n", time.Since(start).Seconds(), c.offered.Load(), c.done.Load())
+			fmt.Fprintf(r.progressOutput, "  %3.0f s: %d offered, %d done\n", time.Since(start).Seconds(), c.offered.Load(), c.finished.Load())
 		}
 	}
 }
--- a/cmd/chestnutbench/bench/scale.go
+++ b/cmd/chestnutbench/bench/scale.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// scaleWarmup is left to the start of the VMs before a measurement.
+	// scaleWarmup lets the VMs finish their start before a measurement.
 	scaleWarmup = 2 * time.Second
 	// scaleDuration is the default length of a measurement.
 	scaleDuration = 4 * time.Second
 )
 
-// Scale is what a VM without load costs, as a mean over the VMs. CPU and memory
-// are those of the process minus those of the same fleet without VMs. They
-// include the stand-ins' answers and both ends of each connection, so they are
-// upper bounds.
+// Scale holds the cost of one VM without load, as a mean over the VMs. CPU and
+// memory are those of the process minus those of the same fleet without VMs. They
+// include the responses of the stand-ins and both ends of each connection, so they
+// are upper bounds.
 type Scale struct {
 	VMs, Groups int
 	Status      Traffic // status queries to backend servers
@@ -31,43 +31,44 @@
 	Memory      uint64  // bytes
 }
 
-// Traffic is what one VM sends and receives, a second.
+// Traffic holds the messages and bytes per second of one VM.
 type Traffic struct {
-	Messages float64 // sent
-	Bytes    float64 // both directions, without the headers of lower layers
+	Messages float64 // requests sent
+	Bytes    float64 // sent and received, without the headers of lower layers
 }
 
-// ScaleReport is the result of the scale scenario.
+// ScaleReport holds the results of the scale scenario. -json writes it under these
+// field names.
 type ScaleReport struct {
-	Machine Machine
-	Points  []Scale
+	Machine Machine // state at the start
+	Points  []Scale // one for each pair of a number of groups and a number of VMs
 	Slopes  []Slope
 }
 
 func runScale(o *options, stdout, stderr io.Writer) error {
-	length := o.duration
-	if length == 0 {
-		length = scaleDuration
+	duration := o.duration
+	if duration == 0 {
+		duration = scaleDuration
 	}
-	rep := &ScaleReport{Machine: machineNow()}
+	report := &ScaleReport{Machine: currentMachine()}
 	for _, groups := range o.groups {
 		for _, vms := range o.vms {
 			fmt.Fprintf(stderr, "scale, %d VMs, %d groups\n", vms, groups)
-			p, err := measureScale(o, vms, groups, length)
+			p, err := measureScale(o, vms, groups, duration)
 			if err != nil {
 				return err
 			}
-			rep.Points = append(rep.Points, *p)
+			report.Points = append(report.Points, *p)
 		}
 	}
-	rep.Slopes = slopes(rep.Points)
+	report.Slopes = fitSlopes(report.Points)
 	if o.json {
-		return writeJSON(stdout, rep)
+		return writeJSON(stdout, report)
 	}
-	return rep.print(stdout)
+	return report.print(stdout)
 }
 
-// scaleProfile is the installation with other numbers of VMs and groups.
+// scaleProfile returns the named profile with the given numbers of VMs and groups.
 func scaleProfile(name string, vms, groups int) (fleet.Profile, error) {
 	p, err := profileNamed(name)
 	p.VMs = vms
@@ -78,38 +79,40 @@
 	return p, err
 }
 
-// idleUse is what a fleet without load uses.
-type idleUse struct {
+// idleUsage is the CPU and memory use of a fleet without load.
+type idleUsage struct {
 	cpu    float64 // cores
-	memory uint64
+	memory uint64  // bytes
 }
 
-func measureScale(o *options, vms, groups int, length time.Duration) (*Scale, error) {
+func measureScale(o *options, vms, groups int, duration time.Duration) (*Scale, error) {
 	p, err := scaleProfile(o.profile, vms, groups)
 	if err != nil {
 		return nil, err
 	}
-	empty := p
-	empty.VMs = 0
-	without, _, err := measureIdle(empty, o.seed, length)
+	withoutVMs := p
+	withoutVMs.VMs = 0
+	baseline, _, err := measureIdle(withoutVMs, o.seed, duration)
 	if err != nil {
 		return nil, err
 	}
-	with, traffic, err := measureIdle(p, o.seed, length)
+	usage, traffic, err := measureIdle(p, o.seed, duration)
 	if err != nil {
 		return nil, err
 	}
 	n := float64(vms)
 	return &Scale{
 		VMs: vms, Groups: groups,
-		Status:   traffic.perSecond(trafficStatus, n, length),
-		Exchange: traffic.perSecond(trafficExchange, n, length),
-		CPU:      max(0, with.cpu-without.cpu) / n,
-		Memory:   uint64(float64(max(with.memory, without.memory)-without.memory) / n),
+		Status:   traffic.perSecond(trafficStatus, n, duration),
+		Exchange: traffic.perSecond(trafficExchange, n, duration),
+		CPU:      max(0, usage.cpu-baseline.cpu) / n,
+		Memory:   uint64(float64(max(usage.memory, baseline.memory)-baseline.memory) / n),
 	}, nil
 }
 
-func measureIdle(p fleet.Profile, seed uint64, length time.Duration) (idleUse, *trafficCounter, error) {
+// measureIdle runs a fleet without load and measures its CPU and memory use and the
+// traffic of its VMs.
+func measureIdle(p fleet.Profile, seed uint64, duration time.Duration) (idleUsage, *trafficCounter, error) {
 	before := processMemory()
 	traffic := &trafficCounter{}
 	f, err := fleet.Start(p, fleet.Options{
@@ -118,31 +121,33 @@
 		Adjust: func(o *chestnutdyke.Options) { o.Network = &countingNetwork{Network: o.Network, counter: traffic} },
 	})
 	if err != nil {
-		return idleUse{}, nil, err
+		return idleUsage{}, nil, err
 	}
 	defer f.Close()
 	time.Sleep(scaleWarmup)
 	traffic.reset()
 	start, cpu := time.Now(), processCPU()
-	time.Sleep(length)
+	time.Sleep(duration)
 	used := (processCPU() - cpu).Seconds() / time.Since(start).Seconds()
 	counted := traffic.snapshot()
-	return idleUse{cpu: used, memory: max(processMemory(), before) - before}, counted, nil
+	return idleUsage{cpu: used, memory: max(processMemory(), before) - before}, counted, nil
 }
 
-// Slope is how a measure grows along one axis while the other number stays.
+// Slope is the growth of a measure per additional VM or group, while the number of
+// the other is fixed.
 type Slope struct {
 	Measure string
-	Axis    string // VMs or groups
-	At      int    // the other number
+	Axis    string // "VMs" or "groups"
+	At      int    // fixed number of the other axis
 	PerUnit float64
 }
 
-// slopes fits a line through the points of each row and each column.
-func slopes(points []Scale) []Slope {
+// fitSlopes fits a line through the points with the same number of groups and
+// through those with the same number of VMs, for each measure.
+func fitSlopes(points []Scale) []Slope {
 	measures := []struct {
-		name string
-		of   func(s Scale) float64
+		name  string
+		value func(s Scale) float64
 	}{
 		{"status queries/s", func(s Scale) float64 { return s.Status.Messages }},
 		{"status bytes/s", func(s Scale) float64 { return s.Status.Bytes }},
@@ -158,40 +163,41 @@
 		{"VMs", func(s Scale) int { return s.VMs }, func(s Scale) int { return s.Groups }},
 		{"groups", func(s Scale) int { return s.Groups }, func(s Scale) int { return s.VMs }},
 	}
-	var all []Slope
+	var fitted []Slope
 	for _, m := range measures {
 		for _, a := range axes {
-			for _, at := range distinct(points, a.other) {
+			for _, fixed := range distinct(points, a.other) {
 				var x, y []float64
 				for _, p := range points {
-					if a.other(p) == at {
-						x, y = append(x, float64(a.axis(p))), append(y, m.of(p))
+					if a.other(p) == fixed {
+						x, y = append(x, float64(a.axis(p))), append(y, m.value(p))
 					}
 				}
-				if slope, ok := fit(x, y); ok {
-					all = append(all, Slope{m.name, a.name, at, slope})
+				if slope, ok := leastSquaresSlope(x, y); ok {
+					fitted = append(fitted, Slope{m.name, a.name, fixed, slope})
 				}
 			}
 		}
 	}
-	return all
+	return fitted
 }
 
-func distinct(points []Scale, of func(s Scale) int) []int {
-	var all []int
+// distinct returns the distinct values of a number, in the order of the points.
+func distinct(points []Scale, value func(s Scale) int) []int {
+	var values []int
 	seen := make(map[int]bool)
 	for _, p := range points {
-		if v := of(p); !seen[v] {
+		if v := value(p); !seen[v] {
 			seen[v] = true
-			all = append(all, v)
+			values = append(values, v)
 		}
 	}
-	return all
+	return values
 }
 
-// fit returns the slope of the least-squares line. It reports false with fewer
-// than two different values of x.
-func fit(x, y []float64) (slope float64, ok bool) {
+// leastSquaresSlope returns the slope of the least-squares line. It reports false
+// with fewer than two distinct values of x.
+func leastSquaresSlope(x, y []float64) (slope float64, ok bool) {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy float64
 	for i := range x {
@@ -213,9 +219,9 @@
 		t.row(fmt.Sprint(p.VMs), fmt.Sprint(p.Groups),
 			fmt.Sprintf("%.1f", p.Status.Messages), fmt.Sprintf("%.0f", p.Status.Bytes),
 			fmt.Sprintf("%.1f", p.Exchange.Messages), fmt.Sprintf("%.0f", p.Exchange.Bytes),
-			percent(p.CPU), fmt.Sprintf("%d KiB", p.Memory/1024))
+			formatPercent(p.CPU), fmt.Sprintf("%d KiB", p.Memory/1024))
 	}
-	if err := t.end(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
 	t = newTable(w)
@@ -227,5 +233,5 @@
 		}
 		t.row(s.Measure, s.Axis, fmt.Sprintf("%d %s", s.At, other), fmt.Sprintf("%.3g", s.PerUnit))
 	}
-	return t.end()
+	return t.flush()
 }
--- a/cmd/chestnutbench/bench/scenarios.go
+++ b/cmd/chestnutbench/bench/scenarios.go
@@ -7,14 +7,14 @@
 	"github.com/chestnutdyke/chestnutdyke"
 )
 
-// scenario is what happens during a run.
+// scenario defines the load and the events of a run.
 type scenario struct {
 	name    string
 	summary string
-	// unplanned says that servers fail, which cuts transactions.
+	// unplanned is set if servers fail, which may interrupt requests.
 	unplanned bool
-	adjust    func(l *load)                           // nil keeps the steady load
-	events    func(ctx context.Context, r *run) error // nil lets nothing happen
+	adjust    func(l *load)                           // changes the steady load; nil if none
+	events    func(ctx context.Context, r *run) error // faults and changes during the run; nil if none
 }
 
 func (s *scenario) firstPhase() string {
@@ -25,27 +25,30 @@
 }
 
 const (
-	// overloadFactor is what the overloading customer offers, relative to its rate.
+	// overloadFactor is the load that an overloading customer offers, relative to its
+	// rate.
 	overloadFactor = 5
-	// roamMoves is the share of jobs after which a session moves in roam.
-	roamMoves = 0.3
+	// roamMoveShare is the share of jobs after which a session moves to another VM
+	// in the scenario roam.
+	roamMoveShare = 0.3
 )
 
-// scenarios that load a whole fleet. Overhead and scale are apart.
+// scenarios lists the scenarios with a load on the whole fleet. Overhead and scale
+// measure the cost of a VM and are implemented separately.
 var scenarios = []*scenario{
-	{name: "steady", summary: "every customer inside its rate"},
+	{name: "steady", summary: "every customer within its rate limit"},
 	{
 		name: "overload", summary: "one large customer sends five times its rate",
 		adjust: func(l *load) {
-			l.overloaded = map[string]float64{"bindery": overloadFactor, "frontdesk": overloadFactor}
+			l.overloadFactors = map[string]float64{"bindery": overloadFactor, "frontdesk": overloadFactor}
 		},
 	},
 	{name: "failover", summary: "primaries crash or stop answering, one group after the other", unplanned: true, events: failPrimaries},
 	{name: "dc-leave", summary: "a data centre leaves, is out and returns, by tickets", events: leaveDataCentre},
-	{name: "cutoff", summary: "a data centre is cut off from the others and the platform", unplanned: true, events: cutOff},
-	{name: "store-down", summary: "the store is down, and a primary fails meanwhile", unplanned: true, events: storeDown},
-	{name: "key-withdraw", summary: "the key of a customer is revoked while its clients work", events: withdrawKey},
-	{name: "roam", summary: "sessions move to another VM after 30 % of their requests", adjust: func(l *load) { l.moveShare = roamMoves }},
+	{name: "cutoff", summary: "a data centre is cut off from the others and the platform", unplanned: true, events: isolateDataCentre},
+	{name: "store-down", summary: "the store is down, and a primary fails meanwhile", unplanned: true, events: failStore},
+	{name: "key-withdraw", summary: "the key of a customer is revoked while its clients work", events: revokeKey},
+	{name: "roam", summary: "sessions move to another VM after 30 % of their requests", adjust: func(l *load) { l.moveShare = roamMoveShare }},
 }
 
 func findScenario(name string) (*scenario, error) {
@@ -54,18 +57,19 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("there is no scenario %q", name)
+	return nil, fmt.Errorf("scenario %q does not exist; -h lists the scenarios", name)
 }
 
-// variant is the fleet as it is, or a baseline.
+// variant is a configuration of the fleet that a scenario runs on.
 type variant struct {
 	name   string
 	adjust func(o *chestnutdyke.Options)
 }
 
-var asIs = variant{name: "as is"}
+// unmodified is the fleet with all of its mechanisms.
+var unmodified = variant{name: "as is"}
 
-// baselines are compared with the fleet as it is.
+// baselines are variants with one mechanism switched off, for comparison.
 var baselines = []variant{
 	{name: "reads on primary", adjust: func(o *chestnutdyke.Options) { o.Session.ReadsOnPrimary = true }},
 	{name: "no fair queueing", adjust: func(o *chestnutdyke.Options) { o.Queueing.FIFO = true }},
--- a/cmd/chestnutbench/bench/traffic.go
+++ b/cmd/chestnutbench/bench/traffic.go
@@ -11,18 +11,18 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// trafficKind is what a connection of a VM is for.
+// trafficKind is the purpose of a connection that a VM opens.
 type trafficKind int
 
 const (
 	trafficOther    trafficKind = iota
 	trafficStatus               // control interfaces of backend servers
 	trafficExchange             // other VMs
-	trafficKinds
+	trafficKindCount
 )
 
-// kindOfAddress tells the kinds apart by port.
-func kindOfAddress(address string) trafficKind {
+// trafficKindOf returns the kind of traffic to an address, by its port.
+func trafficKindOf(address string) trafficKind {
 	_, text, err := net.SplitHostPort(address)
 	if err != nil {
 		return trafficOther
@@ -39,15 +39,15 @@
 	return trafficOther
 }
 
-// trafficCounter counts the traffic on connections that VMs opened. A message
-// is one write: the HTTP client writes a small request at once.
+// trafficCounter counts the traffic on connections that VMs opened. Each write
+// counts as one message, because the HTTP client sends a small request in one write.
 type trafficCounter struct {
-	messages [trafficKinds]atomic.Int64
-	bytes    [trafficKinds]atomic.Int64
+	messages [trafficKindCount]atomic.Int64
+	bytes    [trafficKindCount]atomic.Int64
 }
 
 func (t *trafficCounter) reset() {
-	for k := range trafficKinds {
+	for k := range trafficKindCount {
 		t.messages[k].Store(0)
 		t.bytes[k].Store(0)
 	}
@@ -55,35 +55,37 @@
 
 func (t *trafficCounter) snapshot() *trafficCounter {
 	s := &trafficCounter{}
-	for k := range trafficKinds {
+	for k := range trafficKindCount {
 		s.messages[k].Store(t.messages[k].Load())
 		s.bytes[k].Store(t.bytes[k].Load())
 	}
 	return s
 }
 
-// perSecond returns the mean over the VMs.
-func (t *trafficCounter) perSecond(k trafficKind, vms float64, length time.Duration) Traffic {
-	scale := 1 / (vms * length.Seconds())
+// perSecond returns the traffic per second, as a mean over the VMs.
+func (t *trafficCounter) perSecond(k trafficKind, vms float64, duration time.Duration) Traffic {
+	scale := 1 / (vms * duration.Seconds())
 	return Traffic{
 		Messages: float64(t.messages[k].Load()) * scale,
 		Bytes:    float64(t.bytes[k].Load()) * scale,
 	}
 }
 
-// countingNetwork counts the traffic of a VM on connections that it opens.
+// countingNetwork is a network that counts the traffic on connections that the VM
+// opens. Accepted connections are not counted.
 type countingNetwork struct {
 	network.Network
 	counter *trafficCounter
 }
 
-// Dial implements network.Network.
+// Dial implements network.Network. The connection that it returns counts its
+// traffic.
 func (n *countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := n.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{Conn: conn, counter: n.counter, kind: kindOfAddress(address)}, nil
+	return &countingConn{Conn: conn, counter: n.counter, kind: trafficKindOf(address)}, nil
 }
 
 type countingConn struct {
--- a/cmd/chestnutbench/bench/usage.go
+++ b/cmd/chestnutbench/bench/usage.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-const usageHead = `Usage: chestnutbench [flags]
+const usageHeader = `Usage: chestnutbench [flags]
 
 Runs a fleet with stand-ins for the database groups in this process, in real
 time, over an in-memory network with the delays, execution slots, connection
-limits and connect costs of an installation. Clients of all customers arrive in
-an open loop; sessions stay connected and now and then move to another VM with
-their session token. What clients saw is checked against the promises, and
-written values against the logs of the backend servers.
+limits and connect costs of an installation. Jobs of all customers arrive in an
+open loop; sessions stay connected and occasionally move to another VM with
+their session token. The responses to clients are checked against the
+guarantees, and written values against the logs of the backend servers.
 
 Scenarios:
 `
 
-const usageTail = `  overhead      added latency, CPU and memory of one VM over loopback TCP,
+const usageFooter = `  overhead      added latency, CPU and memory of one VM over loopback TCP,
                 against direct connections to the same backend server
   scale         control messages, bytes, CPU and memory for each VM without
                 load, for several numbers of VMs and database groups
 
 Progress goes to standard error, the result to standard output. Latencies count
-from the arrival of a request, so waiting for a free session is included.
+from the arrival of a job, so waiting for a free session is included.
 "In time" means answered within the deadline of the profile's routes.
 
-Exit status: 0 if all checks hold, 1 if a check is broken or the run failed, 2
-on wrong usage.
+Exit status: 0 if all checks pass, 1 if a check found violations or the run
+failed, 2 for wrong usage.
 
 Examples:
   chestnutbench -profile fes -scenario failover -duration 60s -seed 7
@@ -38,12 +38,12 @@
 Flags:
 `
 
-func usage(set *flag.FlagSet) {
+func printUsage(set *flag.FlagSet) {
 	w := set.Output()
-	fmt.Fprint(w, usageHead)
+	fmt.Fprint(w, usageHeader)
 	for _, s := range scenarios {
 		fmt.Fprintf(w, "  %-13s %s\n", s.name, s.summary)
 	}
-	fmt.Fprint(w, usageTail)
+	fmt.Fprint(w, usageFooter)
 	set.PrintDefaults()
 }
