--- a/cmd/chestnutbench/main.go
+++ b/cmd/chestnutbench/main.go
@@ -1,5 +1,6 @@
-// Command chestnutbench loads a fleet with stand-ins in one process, measures
-// what clients see and checks the promises. Run it with -h for its use.
+// Command chestnutbench runs a fleet with stand-in backend servers in one process
+// under load, measures throughput and latency as clients see them, and checks the
+// guarantees of the design page. chestnutbench -h describes scenarios and flags.
 package main
 
 import (
