--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,14 +1,15 @@
 // Package placement assigns tasks to VMs.
 //
 // A connection to a backend server belongs to one customer, and there are fewer
-// connections than combinations of VM and customer. Therefore one VM, the executor,
-// holds the connections of a customer to a server, and the other VMs forward
-// statements to it. Executors are chosen in the server's data centre: a statement
-// then crosses data centres at most once, and reads on a local replica never do.
+// connections than combinations of VM and customer. Therefore one VM, the
+// connection owner, holds the connections of a customer to a server, and the
+// other VMs forward statements to it. Connection owners are chosen in the
+// server's data centre: a statement then crosses data centres at most once, and
+// reads on a local replica never do.
 //
 // The choice uses a weighted rendezvous hash over the VMs that this VM considers
-// alive. VMs with different views may choose different executors; that costs
-// connections and is otherwise harmless.
+// alive. VMs with different views may choose different connection owners; that
+// costs connections and is otherwise harmless.
 package placement
 
 import (
@@ -52,10 +53,10 @@
 	return n
 }
 
-// CutOff reports whether no VM of another data centre is alive although VMs of two
-// or more others are known. It is then more likely that this data centre is
-// partitioned than that all others have failed.
-func (v *View) CutOff() bool {
+// DataCentreCutOff reports whether no VM of another data centre is alive although
+// VMs of two or more others are known. It is then more likely that this data
+// centre is partitioned than that all others have failed.
+func (v *View) DataCentreCutOff() bool {
 	self := v.vm(v.Self)
 	others := make(map[string]bool)
 	for i := range v.VMs {
@@ -75,9 +76,9 @@
 // perspective. It is then probably on the minority side of a partition.
 func (v *View) Isolated() bool { return v.Members > 2 && 2*v.AliveCount() <= v.Members }
 
-// Executor returns the VM that holds the customer's connections to the server. It
-// reports false if no VM that is alive can reach the server.
-func (v *View) Executor(customer string, s *catalog.Server) (string, bool) {
+// ConnectionOwner returns the VM that holds the customer's connections to the
+// server. It reports false if no VM that is alive can reach the server.
+func (v *View) ConnectionOwner(customer string, s *catalog.Server) (string, bool) {
 	key := customer + "|" + s.ID
 	local := v.bestVM(key, func(vm *VM) bool {
 		return vm.DataCentre == s.DataCentre && !vm.Leaving && !vm.Unreachable[s.ID]
@@ -89,48 +90,51 @@
 	return remote, remote != ""
 }
 
-// Ledgers returns the VMs that account for the halves of a customer's limit. They
-// are in different data centres if VMs of two are alive, so that the loss of a data
-// centre affects at most one half. The ledger of the other half then stays where
-// it is.
-func (v *View) Ledgers(customer string) [catalog.Halves]string {
+// QuotaCoordinators returns the VMs that account for the partitions of a
+// customer's limit. They are in different data centres if VMs of two are alive,
+// so that the loss of a data centre affects at most one partition. The quota
+// coordinator of the other partition then stays where it is.
+func (v *View) QuotaCoordinators(customer string) [catalog.LimitPartitions]string {
 	dataCentres := v.rankDataCentres(customer)
-	var ledgers [catalog.Halves]string
-	for half := range ledgers {
-		ledgers[half] = v.ledger(customer, half, dataCentres)
+	var coordinators [catalog.LimitPartitions]string
+	for partition := range coordinators {
+		coordinators[partition] = v.quotaCoordinator(customer, partition, dataCentres)
 	}
-	return ledgers
+	return coordinators
 }
 
-// ledger returns the VM that accounts for one half of the customer's limit, given
-// the customer's ranking of the data centres.
-func (v *View) ledger(customer string, half int, dataCentres []string) string {
-	key := "ledger|" + strconv.Itoa(half) + "|" + customer
+// quotaCoordinator returns the VM that accounts for one partition of the
+// customer's limit, given the customer's ranking of the data centres.
+func (v *View) quotaCoordinator(customer string, partition int, dataCentres []string) string {
+	key := "ledger|" + strconv.Itoa(partition) + "|" + customer
 	inDataCentre := func(i int) string {
 		if i >= len(dataCentres) {
 			return ""
 		}
 		return v.bestVM(key, func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == dataCentres[i] })
 	}
-	// The preferred data centre of this half comes first, then those that neither
-	// half prefers, then that of the other half.
-	if vm := inDataCentre(half); vm != "" {
+	// The preferred data centre of this partition comes first, then those that neither
+	// partition prefers, then that of the other partition.
+	if vm := inDataCentre(partition); vm != "" {
 		return vm
 	}
-	for i := catalog.Halves; i < len(dataCentres); i++ {
+	for i := catalog.LimitPartitions; i < len(dataCentres); i++ {
 		if vm := inDataCentre(i); vm != "" {
 			return vm
 		}
 	}
-	if vm := inDataCentre(catalog.Halves - 1 - half); vm != "" {
+	if vm := inDataCentre(catalog.LimitPartitions - 1 - partition); vm != "" {
 		return vm
 	}
 	return v.Self
 }
 
-// Half returns the half whose ledger this VM asks first if neither is closer. The
-// choice spreads the VMs of a data centre over both halves.
-func (v *View) Half() uint8 { return uint8(lease.Score("half", v.Self) % catalog.Halves) }
+// PreferredPartition returns the partition whose quota coordinator this VM asks
+// first if neither is closer. The choice spreads the VMs of a data centre over
+// both partitions.
+func (v *View) PreferredPartition() uint8 {
+	return uint8(lease.RendezvousHash("half", v.Self) % catalog.LimitPartitions)
+}
 
 // rankDataCentres returns the data centres in descending order of their
 // rendezvous score for the key.
@@ -142,7 +146,7 @@
 		}
 	}
 	slices.SortFunc(dataCentres, func(a, b string) int {
-		return cmp.Or(cmp.Compare(lease.Score(key, b), lease.Score(key, a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(lease.RendezvousHash(key, b), lease.RendezvousHash(key, a)), cmp.Compare(a, b))
 	})
 	return dataCentres
 }
@@ -150,10 +154,11 @@
 // Complete reports whether all VMs that own a share of the limits are alive.
 func (v *View) Complete() bool { return v.Listed && v.AliveCount() == v.Members }
 
-// Steward returns the failover coordinator, which orders promotions: the VM with
-// the longest uptime. A hash would return this duty to a VM that has just restarted
-// after a crash, and no primary is replaced while the duty changes hands.
-func (v *View) Steward() string {
+// FailoverCoordinator returns the failover coordinator, which orders promotions:
+// the VM with the longest uptime. A hash would return this duty to a VM that has
+// just restarted after a crash, and no primary is replaced while the duty changes
+// hands.
+func (v *View) FailoverCoordinator() string {
 	var oldest *VM
 	for i := range v.VMs {
 		vm := &v.VMs[i]
@@ -207,8 +212,8 @@
 	return v.bestVM("relay", func(vm *VM) bool { return !vm.Leaving && vm.DataCentre == self.DataCentre }) == v.Self
 }
 
-// Near reports whether the VM is in this VM's data centre.
-func (v *View) Near(name string) bool {
+// InSameDataCentre reports whether the VM is in this VM's data centre.
+func (v *View) InSameDataCentre(name string) bool {
 	vm := v.vm(name)
 	return vm != nil && vm.DataCentre == v.vm(v.Self).DataCentre
 }
@@ -242,6 +247,6 @@
 // weightedScore maps the hash to a uniform number u in (0, 1) and returns
 // -weight/ln(u), which assigns keys to VMs in proportion to their weights.
 func weightedScore(key string, vm *VM) float64 {
-	u := (float64(lease.Score(key, vm.Name)>>11) + 0.5) / (1 << 53)
+	u := (float64(lease.RendezvousHash(key, vm.Name)>>11) + 0.5) / (1 << 53)
 	return -vm.Weight / math.Log(u)
 }
--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -16,8 +16,8 @@
 	// minBorrowDemand is the demand in requests per second from which rate is
 	// borrowed. Below it, only tokens are borrowed, as requests need them: a rate
 	// spread over many VMs fills buckets with a capacity of about one token, and the
-	// excess is lost. With 8 instead of 30, a customer with 20 requests per second had
-	// 41 % instead of 11 % of its requests delayed.
+	// excess is lost. With 8, 41 % of the requests of a customer with 20 requests per
+	// second are delayed; with 30, 11 %.
 	minBorrowDemand = 30
 	// A loan of tokens lasts tokenLoanRoundTrips times the latest round trip to the
 	// lender, but at least minTokenLoan, and defaultTokenLoan if no round trip is
@@ -25,15 +25,17 @@
 	tokenLoanRoundTrips = 10
 	minTokenLoan        = 30 * time.Millisecond
 	defaultTokenLoan    = 200 * time.Millisecond
-	// A VM borrows the whole rate of a customer if its demand exceeds the fraction
-	// dominanceStart of it, and stops doing so at the fraction dominanceEnd.
+	// A VM borrows the whole rate of a customer with a rate below 2*minBorrowDemand if
+	// its demand exceeds the fraction dominanceStart of that rate, and stops doing so at
+	// the fraction dominanceEnd.
 	dominanceStart = 0.5
 	dominanceEnd   = 0.25
 	// backlogDrainTime is the time in which a borrower aims to serve the requests that
 	// are already waiting.
 	backlogDrainTime = 200 * time.Millisecond
 	// localTokenWait is how long a request waits for this VM's own tokens before
-	// tokens are borrowed for it. A message and its answer take 2 to 3 ms.
+	// tokens are borrowed for it. A message and its answer take 2 to 3 ms. It is also
+	// the minimum back-off from a lender that proposed a delay.
 	localTokenWait = 5 * time.Millisecond
 
 	// resendTimeout is the time after which an unanswered request is sent again.
@@ -41,16 +43,16 @@
 	// loanRequestTimeout is the time after which an unanswered request is abandoned.
 	loanRequestTimeout = 800 * time.Millisecond
 	// remoteBorrowDelay is how long demand is unmet before VMs of other data centres
-	// are asked although some in the local one may still lend. With 1 s, requests
-	// waited that long if the local data centre had only a small remainder to lend.
+	// are asked although some in the local one may still lend. With 1 s, requests would
+	// wait that long if the local data centre has only a small remainder to lend.
 	remoteBorrowDelay = 50 * time.Millisecond
-	// A VM that lent nothing is not asked again for minBackoff, which doubles with
-	// each refusal up to earlyMaxBackoff. After earlyMisses refusals it doubles
-	// further up to maxBackoff: by then, the loans to a VM that demand has moved away
-	// from have been returned.
+	// A VM that lent nothing is not asked again for minBackoff. The back-off doubles
+	// with each consecutive refusal up to earlyMaxBackoff, and further up to maxBackoff
+	// if more than earlyRefusals refusals came before: by then, the loans to a VM that
+	// demand has moved away from have been returned.
 	minBackoff      = 50 * time.Millisecond
 	earlyMaxBackoff = 200 * time.Millisecond
-	earlyMisses     = 6
+	earlyRefusals   = 6
 	maxBackoff      = 2 * time.Second
 	// expectedAnswerTime is how long the amount of an unanswered request counts as
 	// expected. Afterwards other VMs are asked as well.
@@ -93,7 +95,7 @@
 // planned again. Answers to loans that have ended are ignored, because their tokens
 // may have been spent.
 func applyAnswer(s *state.Shares, b *state.LoanBook, a LoanAnswer, from Peer, sentAt, now time.Time, tokens func(float64)) bool {
-	i := slices.IndexFunc(b.Borrowed, func(r state.Borrowed) bool {
+	i := slices.IndexFunc(b.Borrowed, func(r state.BorrowedLoan) bool {
 		return r.Number == a.Number && r.Lender == from.Name
 	})
 	if i < 0 {
@@ -101,8 +103,8 @@
 	}
 	r := &b.Borrowed[i]
 	end := sentAt.Add(r.Period)
-	lenderNote(b, r.Lender).RoundTrip = now.Sub(sentAt)
-	if r.Phase != state.LoanAsked {
+	lenderStats(b, r.Lender).RoundTrip = now.Sub(sentAt)
+	if r.Phase != state.LoanRequested {
 		return applyRenewal(b, r, a, from, end)
 	}
 	if a.refused() || !end.After(now) {
@@ -119,12 +121,12 @@
 
 // applyRenewal applies an answer to a renewal. An answer from another process with
 // the lender's name is ignored: that process does not know the loan.
-func applyRenewal(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, from Peer, end time.Time) bool {
+func applyRenewal(b *state.LoanBook, r *state.BorrowedLoan, a LoanAnswer, from Peer, end time.Time) bool {
 	if from.Incarnation != r.Incarnation {
 		return false
 	}
 	if a.refused() {
-		r.Final = true
+		r.NotRenewable = true
 		return false
 	}
 	if end.After(r.EndsAt) {
@@ -139,15 +141,15 @@
 	b.Borrowed = slices.Delete(b.Borrowed, i, i+1)
 }
 
-// lenderNote returns this VM's record of a lender, creating it if needed.
-func lenderNote(b *state.LoanBook, vm string) *state.LenderNote {
-	if b.Notes == nil {
-		b.Notes = make(map[string]*state.LenderNote)
+// lenderStats returns this VM's record of a lender, creating it if needed.
+func lenderStats(b *state.LoanBook, vm string) *state.LenderStats {
+	if b.LenderStats == nil {
+		b.LenderStats = make(map[string]*state.LenderStats)
 	}
-	n := b.Notes[vm]
+	n := b.LenderStats[vm]
 	if n == nil {
-		n = &state.LenderNote{}
-		b.Notes[vm] = n
+		n = &state.LenderStats{}
+		b.LenderStats[vm] = n
 	}
 	return n
 }
@@ -155,33 +157,33 @@
 // recordRefusal records that a VM lent nothing, and backs off from it. hint is the
 // delay that the lender proposed, or zero.
 func recordRefusal(b *state.LoanBook, vm string, hint time.Duration, now time.Time) {
-	n := lenderNote(b, vm)
-	if now.Sub(n.Until) > maxBackoff {
-		n.Misses = 0
+	n := lenderStats(b, vm)
+	if now.Sub(n.RetryAfter) > maxBackoff {
+		n.Refusals = 0
 	}
-	backoff := min(minBackoff<<min(n.Misses, 10), earlyMaxBackoff)
-	if n.Misses > earlyMisses {
-		backoff = min(earlyMaxBackoff<<min(n.Misses-earlyMisses, 10), maxBackoff)
+	backoff := min(minBackoff<<min(n.Refusals, 10), earlyMaxBackoff)
+	if n.Refusals > earlyRefusals {
+		backoff = min(earlyMaxBackoff<<min(n.Refusals-earlyRefusals, 10), maxBackoff)
 	}
 	if hint > 0 {
 		backoff = min(max(hint, localTokenWait), earlyMaxBackoff)
 	}
-	n.Misses++
+	n.Refusals++
 	n.Spare = 0
-	n.Until = now.Add(backoff)
+	n.RetryAfter = now.Add(backoff)
 }
 
 // recordGrant records what a lender can still lend, and backs off from it if it lent
 // less than requested.
-func recordGrant(b *state.LoanBook, r *state.Borrowed, a LoanAnswer, now time.Time) {
-	n := lenderNote(b, r.Lender)
-	n.Misses = 0
+func recordGrant(b *state.LoanBook, r *state.BorrowedLoan, a LoanAnswer, now time.Time) {
+	n := lenderStats(b, r.Lender)
+	n.Refusals = 0
 	n.Spare = a.Spare
-	n.Until = now
+	n.RetryAfter = now
 	if a.Rate < r.Rate/2 || a.Tokens < r.Tokens || a.Units < r.Units {
-		n.Until = now.Add(minBackoff)
+		n.RetryAfter = now.Add(minBackoff)
 		if a.RetryAfter > 0 {
-			n.Until = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
+			n.RetryAfter = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
 		}
 	}
 }
@@ -228,13 +230,15 @@
 	}
 }
 
-// hasDominantDemand reports whether most of the customer's demand arrives at this VM.
-// It then borrows the whole rate, since no other VM has more use for it.
+// hasDominantDemand reports whether the demand at this VM is so large a fraction of the
+// customer's rate (see dominanceStart) that it borrows the whole rate, since no other VM
+// has more use for it. It is never so for customers with a rate of 2*minBorrowDemand or
+// more.
 func hasDominantDemand(c *state.CustomerShare, demand float64) bool {
 	if c.Limit.Rate >= 2*minBorrowDemand {
 		return false
 	}
-	if slices.ContainsFunc(c.Loans.Borrowed, func(r state.Borrowed) bool { return r.Rate > 0 }) {
+	if slices.ContainsFunc(c.Loans.Borrowed, func(r state.BorrowedLoan) bool { return r.Rate > 0 }) {
 		return demand > dominanceEnd*c.Limit.Rate
 	}
 	return demand > dominanceStart*c.Limit.Rate
@@ -268,8 +272,8 @@
 }
 
 // answerExpected reports whether a loan was requested and an answer is expected soon.
-func answerExpected(r *state.Borrowed, now time.Time) bool {
-	return r.Phase == state.LoanAsked && now.Sub(r.AskedAt) < expectedAnswerTime
+func answerExpected(r *state.BorrowedLoan, now time.Time) bool {
+	return r.Phase == state.LoanRequested && now.Sub(r.AskedAt) < expectedAnswerTime
 }
 
 // borrowRateAndTokens requests loans of rate and burst, or of tokens alone.
@@ -280,28 +284,28 @@
 		return
 	}
 	b := &c.Loans
-	if b.Holders == nil {
-		b.Holders = p.lendersFor(c.Name)
+	if b.LenderCandidates == nil {
+		b.LenderCandidates = p.lendersFor(c.Name)
 	}
-	for _, h := range p.candidates(b) {
+	for _, lender := range p.candidates(b) {
 		switch {
 		case shortRate > 0:
-			r := min(shortRate, h.Share.Rate)
-			burst := min(h.Share.Burst, max(shortTokens, r*c.Limit.Burst/c.Limit.Rate))
+			r := min(shortRate, lender.Share.Rate)
+			burst := min(lender.Share.Burst, max(shortTokens, r*c.Limit.Burst/c.Limit.Rate))
 			tokens := min(burst, max(0, shortTokens))
-			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
+			p.requestLoan(b, lender, LoanRequest{Resource: Requests, Name: c.Name, Rate: r, Burst: burst, Tokens: tokens, Period: LoanPeriod})
 			shortRate -= r
 			shortTokens -= tokens
 		case shortTokens > 0:
-			tokens := min(shortTokens, h.Share.Burst)
-			p.requestLoan(b, h, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.Notes[h.VM])})
+			tokens := min(shortTokens, lender.Share.Burst)
+			p.requestLoan(b, lender, LoanRequest{Resource: Requests, Name: c.Name, Burst: tokens, Tokens: tokens, Period: tokenLoanPeriod(b.LenderStats[lender.VM])})
 			shortTokens -= tokens
 		}
 	}
 }
 
 // tokenLoanPeriod returns the period to request for a loan of tokens.
-func tokenLoanPeriod(n *state.LenderNote) time.Duration {
+func tokenLoanPeriod(n *state.LenderStats) time.Duration {
 	if n == nil || n.RoundTrip == 0 {
 		return defaultTokenLoan
 	}
@@ -309,10 +313,10 @@
 }
 
 // lendersFor returns the possible lenders of a customer's limit.
-func (p *planner) lendersFor(customer string) []state.Holder {
+func (p *planner) lendersFor(customer string) []state.LenderCandidate {
 	c := p.config().Customers[customer]
 	if c == nil {
-		return []state.Holder{}
+		return []state.LenderCandidate{}
 	}
 	return p.topology().requestLenders(c, p.tables.Self.Name, p.tables.Self.DataCentre)
 }
--- a/coordination/share/lend.go
+++ b/coordination/share/lend.go
@@ -26,8 +26,8 @@
 
 	// lendHeadroom is the multiple of its own demand that a lender reserves.
 	lendHeadroom = 1.2
-	// reservedTokens is the part of the burst that a lender does not lend, so that its
-	// own next request need not wait.
+	// reservedTokens is the part of the burst, in requests, that a lender does not lend,
+	// so that its own next request need not wait.
 	reservedTokens = 1
 	// idleTimeout is the time without a request of a customer after which a VM
 	// reserves nothing for the customer's next one.
@@ -35,7 +35,7 @@
 	// minLoanRate is the minimum rate of a loan in requests per second.
 	minLoanRate = 0.5
 	// minLoanFraction is the minimum fraction of the requested rate that is lent.
-	// Smaller loans would split a share into many while demand decays.
+	// With smaller loans, a share would be split into many loans while demand decays.
 	minLoanFraction = 0.25
 )
 
@@ -70,7 +70,7 @@
 type grantHandler struct {
 	s    *state.Shares
 	book *state.LoanBook
-	hold state.Hold
+	hold state.LeaseHold
 	now  time.Time
 	from Peer
 	req  LoanRequest
@@ -98,7 +98,7 @@
 }
 
 // lentRecord returns this VM's record of the loan, or nil.
-func (h *grantHandler) lentRecord() *state.Lent {
+func (h *grantHandler) lentRecord() *state.GrantedLoan {
 	for i := range h.book.Lent {
 		r := &h.book.Lent[i]
 		if r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number {
@@ -111,7 +111,7 @@
 // removeReturnedLoan removes a loan that its borrower returned. The number is
 // recorded, so that a delayed copy of the request does not start the loan again.
 func (h *grantHandler) removeReturnedLoan() {
-	h.book.Lent = slices.DeleteFunc(h.book.Lent, func(r state.Lent) bool {
+	h.book.Lent = slices.DeleteFunc(h.book.Lent, func(r state.GrantedLoan) bool {
 		return r.Borrower == h.from.Name && r.Incarnation == h.from.Incarnation && r.Number == h.req.Number
 	})
 	returned := h.s.Returned[h.from.Name]
@@ -141,8 +141,9 @@
 	return h.req.Resource == Connections || !h.endsAt().After(h.hold.Until)
 }
 
-// renew moves the end of a loan. It never moves the end to an earlier time.
-func (h *grantHandler) renew(record *state.Lent, longest time.Duration) bool {
+// renew moves the end of a loan to a later time, never to an earlier one. It reports
+// whether the loan is renewed.
+func (h *grantHandler) renew(record *state.GrantedLoan, longest time.Duration) bool {
 	if h.req.Period <= 0 || h.req.Period > longest || !h.coveredByHold() {
 		return false
 	}
@@ -155,7 +156,7 @@
 // mayRenewRequests reports whether a loan may be renewed, which requires that the
 // lender's own demand is met by its remaining share and by the loans that it has
 // already refused to renew. It records the result in record.Refused.
-func (h *grantHandler) mayRenewRequests(c *state.CustomerShare, record *state.Lent) bool {
+func (h *grantHandler) mayRenewRequests(c *state.CustomerShare, record *state.GrantedLoan) bool {
 	returning := 0.0
 	for i := range h.book.Lent {
 		if h.book.Lent[i].Refused && &h.book.Lent[i] != record {
@@ -204,7 +205,7 @@
 	if answer.refused() {
 		return
 	}
-	h.book.Lent = append(h.book.Lent, state.Lent{
+	h.book.Lent = append(h.book.Lent, state.GrantedLoan{
 		Borrower: h.from.Name, Incarnation: h.from.Incarnation, Number: h.req.Number,
 		Rate: answer.Rate, Burst: answer.Burst, Tokens: answer.Tokens, EndsAt: h.endsAt(),
 	})
@@ -261,15 +262,15 @@
 }
 
 // expireLoans removes the loans that have ended by the given time. It reports whether
-// there were any.
+// there were any. A request that is still unanswered counts as refused.
 func expireLoans(s *state.Shares, b *state.LoanBook, at time.Time) bool {
 	before := len(b.Lent) + len(b.Borrowed)
-	b.Lent = slices.DeleteFunc(b.Lent, func(r state.Lent) bool { return !r.EndsAt.After(at) })
-	b.Borrowed = slices.DeleteFunc(b.Borrowed, func(r state.Borrowed) bool {
+	b.Lent = slices.DeleteFunc(b.Lent, func(r state.GrantedLoan) bool { return !r.EndsAt.After(at) })
+	b.Borrowed = slices.DeleteFunc(b.Borrowed, func(r state.BorrowedLoan) bool {
 		ended := !r.EndsAt.After(at)
 		if ended {
 			delete(s.Borrowed, r.Number)
-			if r.Phase == state.LoanAsked {
+			if r.Phase == state.LoanRequested {
 				recordRefusal(b, r.Lender, 0, at)
 			}
 		}
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -43,15 +43,15 @@
 type Handler interface {
 	// Execute runs a statement and calls reply once. origin identifies the link
 	// on which it arrived.
-	Execute(origin string, w *statement.Work, reply func(statement.Result))
+	Execute(origin string, w *statement.RemoteStatement, reply func(statement.Result))
 	// AbortTx aborts a transaction that was opened over the link.
 	AbortTx(origin string, tx uint64)
 	// LinkClosed reports that a link dialled by another VM was closed.
 	LinkClosed(origin string)
 	// VMLost reports that this VM's link to another VM was lost.
 	VMLost(vm string)
-	// GrantTokens grants up to n tokens of a half of a customer's limit.
-	GrantTokens(h catalog.Half, n int) int
+	// GrantTokens grants up to n tokens of a partition of a customer's limit.
+	GrantTokens(h catalog.LimitPartition, n int) int
 	// PingBody returns the current body of pings. Pings are more frequent for a
 	// while after it has changed.
 	PingBody() []byte
