--- a/coordination/failover/attempt.go
+++ b/coordination/failover/attempt.go
@@ -49,13 +49,14 @@
 }
 
 // startIfNeeded begins an attempt if the condition of the group requires one
-// and the delay that gives other VMs precedence has passed.
+// and the delay that gives other VMs precedence has passed. In a healthy group it
+// handles planned switchovers.
 func (d *decision) startIfNeeded() {
 	if !d.mayAct() || !d.Role.HasIndex {
 		return
 	}
 	if d.failover.Condition == state.ConditionHealthy {
-		d.handlePlanned()
+		d.switchOverOrResume()
 		return
 	}
 	delay, act := d.startDelay()
@@ -296,8 +297,9 @@
 	d.failover.Candidate, d.failover.Predecessor = "", ""
 }
 
-// retryDelay returns the delay before the next attempt. It differs between VMs,
-// so that two of them do not keep superseding each other's terms.
+// retryDelay returns the delay before the next attempt. It differs between most
+// VMs, so that two of them do not keep superseding each other's terms. The
+// remainder of the rank limits the delay of VMs that do not watch the group.
 func (d *decision) retryDelay() time.Duration {
 	doublings := min(d.failover.Attempts, retryDoublings)
 	slot := d.watcherOrder()
--- a/coordination/failover/detect.go
+++ b/coordination/failover/detect.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// isResponsive reports whether the server answered its latest query within
-// answerWindow.
+// isResponsive reports whether the server has missed no query since its latest
+// answer, and the query for that answer was sent at most answerWindow ago.
 func (d *decision) isResponsive(server string) bool {
 	v := d.State.Servers[server]
 	return v != nil && !v.QueriedAt.IsZero() && v.Missed == 0 && d.Now.Sub(v.QueriedAt) <= answerWindow
--- a/coordination/failover/failover.go
+++ b/coordination/failover/failover.go
@@ -15,7 +15,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Failure detection.
+// Detection of failed servers.
 const (
 	probeInterval = 500 * time.Millisecond
 	// suspectInterval is the probe interval during the first suspectPeriod of an
@@ -27,19 +27,20 @@
 	// quarter of the time for which it has been silent, within these limits.
 	minRecheck = 1 * time.Second
 	maxRecheck = 30 * time.Second
-	// answerWindow is how long a server counts as responsive after an answer: two
-	// probe intervals and the duration of a probe.
+	// answerWindow is how long a server counts as responsive after a query that it
+	// answered was sent: two probe intervals and the duration of a probe.
 	answerWindow = 1500 * time.Millisecond
-	// A silent primary counts as failed after maxMissedProbes and
-	// silenceWithoutWaiters if no request waits, and after silenceWithWaiters
-	// if one does. At least two queries must have failed in both cases: after a
-	// pause of this VM its queries are old, but have not failed.
+	// A silent primary counts as failed after maxMissedProbes failed queries and
+	// silenceWithoutWaiters if no request waits, and after silenceWithWaiters if
+	// one does. In every case at least minMissedProbes queries must have failed:
+	// after a pause of this VM its queries are old, but have not failed.
 	maxMissedProbes       = 3
 	silenceWithoutWaiters = (maxMissedProbes - 1) * probeInterval
 	silenceWithWaiters    = 400 * time.Millisecond
 	minMissedProbes       = 2
-	// refusedSilence is sufficient if the primary's host refuses connections: no
-	// process listens there, so no answer can be in flight.
+	// refusedSilence is sufficient, together with minMissedProbes, if the primary's
+	// host refuses connections: no process listens there, so no answer can be in
+	// flight.
 	refusedSilence = 150 * time.Millisecond
 	// reportPeriod is how long a failure report of another VM has the same effect
 	// as waiting requests.
@@ -55,43 +56,50 @@
 	promotionGrace = 250 * time.Millisecond
 	// ticketPropagation exceeds the time in which a ticket reaches every VM.
 	ticketPropagation = 10 * time.Second
-	// divergedGrace is longer, because recovering a diverged replica (one that has
-	// adopted a later term) requires promoting a working primary again.
+	// divergedGrace is longer than promotionGrace, because recovering a server that
+	// has adopted a later term requires promoting a working primary again.
 	divergedGrace   = 2 * time.Second
-	divergedStagger = 500 * time.Millisecond
-	rejoinDelay     = 250 * time.Millisecond
+	divergedStagger = 500 * time.Millisecond // between consecutive watchers of a group
+	// rejoinDelay is how long a replica must have been detached before a VM that did
+	// not promote the primary orders it to follow. The VM that did sends its orders
+	// at once.
+	rejoinDelay = 250 * time.Millisecond
 	// switchoverStagger gives precedence to the watcher in the successor's data
 	// centre.
 	switchoverStagger = 1 * time.Second
-	// resumeGrace is the time allowed for a VM that has already received a newer
-	// ticket.
+	// resumeGrace is how long the primary may refuse writes, without a switchover
+	// that this VM's ticket requires, before this VM resumes it. A VM with a newer
+	// ticket may be performing one.
 	resumeGrace = 5 * time.Second
 )
 
-// Timeouts and retries.
+// Timeouts of orders, and delays between attempts.
 const (
 	orderTimeout      = 500 * time.Millisecond // adopt, promote, follow, resume
-	switchoverTimeout = 2 * time.Second
+	switchoverTimeout = 2 * time.Second        // for the replica to receive the rest of the log
 	stepSlack         = 100 * time.Millisecond // lets a call's own timeout be reported first
 	// adoptGrace is how long to wait for the remaining servers once a majority has
 	// adopted the term; writes that only they hold would otherwise be lost.
 	adoptGrace     = 20 * time.Millisecond
 	retryBase      = 50 * time.Millisecond // doubles with every failed attempt
 	retryDoublings = 4
-	followRetry    = 1 * time.Second
-	plannedRetry   = 5 * time.Second
+	followRetry    = 1 * time.Second // between follow orders to the same server
+	plannedRetry   = 5 * time.Second // between switchovers of a group
 )
 
 // VMRole describes the role of this VM in a group.
 type VMRole struct {
+	// Watcher says that this VM probes the group permanently. Normally one VM per
+	// data centre that holds a server of the group does so.
 	Watcher    bool
-	Rank       int // of this VM among all VMs, for this group
-	Index      uint16
-	HasIndex   bool // a VM without an index cannot create terms and starts no attempts
+	Rank       int    // of this VM among all VMs, for this group
+	Index      uint16 // low-order bits of the terms that this VM creates
+	HasIndex   bool   // a VM without an index cannot create terms and starts no attempts
 	DataCentre string
 }
 
-// Input is the input of a decision. Group is nil if it is not configured.
+// Input holds the state, configuration and time that a decision depends on. Group
+// is nil if it is not configured.
 type Input struct {
 	State  *state.GroupState
 	Config *state.Config
@@ -103,7 +111,7 @@
 // Order is a control command to a backend server.
 type Order string
 
-// Orders.
+// Values of Order.
 const (
 	Adopt      Order = "adopt"
 	Promote    Order = "promote"
@@ -139,7 +147,7 @@
 // Step is an event of a failover that is logged and counted.
 type Step string
 
-// Steps.
+// Values of Step.
 const (
 	StepSuspected Step = "suspected"
 	StepDetected  Step = "detected" // an attempt begins
@@ -167,10 +175,10 @@
 func (Announce) effect() {}
 func (Report) effect()   {}
 
-// Result is the result of a call.
+// Result says whether a server executed an order.
 type Result int
 
-// Results of calls.
+// Values of Result.
 const (
 	Done    Result = iota + 1
 	Refused        // the server answered that it did not execute the order
--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -59,7 +59,7 @@
 
 // Guards against promoting a server that may lack acknowledged writes, and
 // against promoting a leaving server although another candidate is eligible.
-func TestChoose(t *testing.T) {
+func TestChooseCandidate(t *testing.T) {
 	const in, out = state.InService, state.Leaving
 	for name, c := range map[string]struct {
 		states  []state.ServiceState
@@ -169,11 +169,11 @@
 	in, adopt := startedAttempt(t)
 	term := adopt.Term
 	for name, orders := range map[string][]string{
-		"first":         in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
-		"repeated":      in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
-		"other server":  in.deliver(Adopt, "a", term, Done, newStatus("b", term, 1, 10)),
-		"earlier term":  in.deliver(Adopt, "c", term-1, Done, newStatus("c", term-1, 1, 10)),
-		"other's grant": in.deliver(Adopt, "a", term, Refused, newStatus("a", term, 1, 10)),
+		"first":                                in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"repeated":                             in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"other server":                         in.deliver(Adopt, "a", term, Done, newStatus("b", term, 1, 10)),
+		"earlier term":                         in.deliver(Adopt, "c", term-1, Done, newStatus("c", term-1, 1, 10)),
+		"refused, term adopted for another VM": in.deliver(Adopt, "a", term, Refused, newStatus("a", term, 1, 10)),
 	} {
 		if len(orders) != 0 {
 			t.Errorf("%s answer led to %v", name, orders)
@@ -234,7 +234,7 @@
 
 // Guards against deposing a primary that another VM has just promoted: a majority
 // of the servers answers before the new primary is queried.
-func TestPromotedPrimaryIsAskedFirst(t *testing.T) {
+func TestPromotedPrimaryIsQueriedFirst(t *testing.T) {
 	const term = 3 << indexBits
 	in := newInput(VMRole{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
--- a/coordination/failover/model_test.go
+++ b/coordination/failover/model_test.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	faultPhase = 6 * time.Second
-	healPhase  = 8 * time.Second
+	faultPhase    = 6 * time.Second
+	recoveryPhase = 8 * time.Second
 )
 
 // newSim returns a simulation of a group of 3 or 5 servers in three data centres
@@ -127,8 +127,8 @@
 	}
 }
 
-// heal ends all faults, and in half of the runs then lets one server leave.
-func (s *sim) heal() {
+// endFaults ends all faults, and in half of the runs then lets one server leave.
+func (s *sim) endFaults() {
 	s.faulty = false
 	s.partitions = make(map[[2]string]bool)
 	for _, srv := range s.servers {
@@ -149,8 +149,8 @@
 func (s *sim) run() []string {
 	s.injectFaults()
 	s.runUntil(s.now.Add(faultPhase))
-	s.heal()
-	s.runUntil(s.now.Add(healPhase - 4*time.Second))
+	s.endFaults()
+	s.runUntil(s.now.Add(recoveryPhase - 4*time.Second))
 	before := len(s.acknowledged)
 	s.runUntil(s.now.Add(time.Second))
 	s.clientsActive = false
@@ -250,7 +250,7 @@
 // Guards against a failover gap above the target: less than 1 s between
 // acknowledged writes when the primary is isolated, and less than 100 ms in a
 // planned switchover.
-func TestGap(t *testing.T) {
+func TestLongestGapBetweenWrites(t *testing.T) {
 	for name, limit := range map[string]time.Duration{"isolated": time.Second, "leaving": 100 * time.Millisecond} {
 		var worst time.Duration
 		for seed := uint64(1); seed <= 20; seed++ {
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -75,8 +75,8 @@
 	return failover.Input{State: v.g, Config: v.cfg, Group: v.currentGroup(), Role: role, Now: v.now}
 }
 
-// process carries out the given effects and those of the decisions that follow, on
-// failover first and then on positions.
+// process carries out the given effects and those of the decisions that follow, in
+// the driver's order: failover first, then positions.
 func (v *simVM) process(positions []replication.Effect, orders []failover.Effect) {
 	orders = append(orders, failover.Tick(v.input())...)
 	if slices.Contains(orders, failover.Effect(failover.Probe{})) {
@@ -111,7 +111,7 @@
 // wakeAt sets the timer unless it expires earlier.
 func (v *simVM) wakeAt(at time.Time) {
 	if !at.After(v.now) {
-		v.failf("%s: the wake-up is not in the future, so the VM would spin", v.name)
+		v.failf("%s: the wake-up is not in the future, so the VM would run in a busy loop", v.name)
 	}
 	if !v.timer.IsZero() && !at.Before(v.timer) {
 		return
--- a/coordination/failover/switchover.go
+++ b/coordination/failover/switchover.go
@@ -6,9 +6,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// handlePlanned starts a switchover when the primary's server is leaving, and
+// switchOverOrResume starts a switchover when the primary's server is leaving, and
 // resumes a primary whose switchover was abandoned.
-func (d *decision) handlePlanned() {
+func (d *decision) switchOverOrResume() {
 	if !d.Role.Watcher {
 		return
 	}
