--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -54,7 +54,7 @@
 	hedgeRatio = 0.05
 	maxHedges  = 10.0
 	// primaryPenalty multiplies the cost of a read on the primary, to keep its
-	// slots free for writes.
+	// connections free for writes.
 	primaryPenalty = 1.5
 )
 
@@ -66,7 +66,7 @@
 
 // serverStats holds this VM's observations of a backend server.
 type serverStats struct {
-	startTime       int64
+	startTime       int64 // Unix milliseconds
 	applied         state.Point
 	deniedRevision  uint64 // revision of the registration at the time of the refusal
 	denied          bool   // the server refused, as a replica, a statement for the primary
@@ -141,7 +141,8 @@
 }
 
 // addSample appends a sample, or replaces the latest one if that is less than
-// sampleSpacing after its predecessor.
+// sampleSpacing after its predecessor. All samples but the latest are therefore at
+// least sampleSpacing apart.
 func (g *Group) addSample(s Sample) {
 	n := len(g.samples)
 	if n > 0 && (s.At <= g.samples[n-1].At || s.Point.Position < g.samples[n-1].Point.Position) {
@@ -292,7 +293,7 @@
 // Outcome classifies the end of a statement with regard to the server's health.
 type Outcome uint8
 
-// Outcomes.
+// Values of Outcome.
 const (
 	Answered Outcome = iota // the statement succeeded
 	Failed                  // it failed, or no answer came
@@ -342,7 +343,7 @@
 func (g *Group) RecordLag(id string, now time.Duration) { g.server(id).lagUntil = now + lagPeriod }
 
 // ResetIfRestarted discards the observations of a server that was restarted
-// without its log. born is the server's start time.
+// without its log. born is the server's start time in Unix milliseconds.
 func (g *Group) ResetIfRestarted(id string, born int64) {
 	v := g.server(id)
 	if v.startTime == born {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -106,6 +106,7 @@
 // quotaCoordinator returns the VM that accounts for one partition of the
 // customer's limit, given the customer's ranking of the data centres.
 func (v *View) quotaCoordinator(customer string, partition int, dataCentres []string) string {
+	// The prefix is part of the hash, so VMs of all versions must use the same one.
 	key := "ledger|" + strconv.Itoa(partition) + "|" + customer
 	inDataCentre := func(i int) string {
 		if i >= len(dataCentres) {
@@ -133,6 +134,7 @@
 // first if neither is closer. The choice spreads the VMs of a data centre over
 // both partitions.
 func (v *View) PreferredPartition() uint8 {
+	// The key is part of the hash, so VMs of all versions must use the same one.
 	return uint8(lease.RendezvousHash("half", v.Self) % catalog.LimitPartitions)
 }
 
@@ -151,7 +153,8 @@
 	return dataCentres
 }
 
-// Complete reports whether all VMs that own a share of the limits are alive.
+// Complete reports whether the list of VMs was read from the store and all VMs
+// that own a share of the limits are alive.
 func (v *View) Complete() bool { return v.Listed && v.AliveCount() == v.Members }
 
 // FailoverCoordinator returns the failover coordinator, which orders promotions:
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -48,7 +48,7 @@
 
 // Guards against reassigning the keys of other VMs when one VM leaves, and against
 // ignoring the weights.
-func TestRendezvousMovesLittle(t *testing.T) {
+func TestLostVMMovesOnlyItsOwnKeys(t *testing.T) {
 	v := newView(1, 5)
 	v.VMs[0].Weight = 3
 	count := make(map[string]int)
--- a/coordination/replication/replication.go
+++ b/coordination/replication/replication.go
@@ -24,10 +24,10 @@
 	incompleteRoundDelay = 10 * time.Millisecond
 )
 
-// ResultKind is the kind of a wait's result.
+// ResultKind says whether a wait was satisfied.
 type ResultKind int
 
-// Kinds of results.
+// Values of ResultKind.
 const (
 	Satisfied ResultKind = iota + 1
 	TimedOut             // the deadline passed; the write of a WaitDurable may or may not survive
@@ -100,36 +100,36 @@
 
 // Answer records the answer to a status query. Late and repeated answers are
 // allowed.
-func Answer(g *state.GroupState, grp *state.Group, ask QueryStatus, st state.ServerStatus, now time.Time) []Effect {
-	if grp == nil || grp.Server(ask.Server) == nil {
+func Answer(g *state.GroupState, grp *state.Group, query QueryStatus, st state.ServerStatus, now time.Time) []Effect {
+	if grp == nil || grp.Server(query.Server) == nil {
 		return resolveAndSchedule(g, grp, now, nil)
 	}
-	if st.Server != ask.Server {
+	if st.Server != query.Server {
 		// Another server answered at this control address. It must not be counted
 		// twice.
-		return QueryFailed(g, grp, ask, false, now)
+		return QueryFailed(g, grp, query, false, now)
 	}
-	g.Observe(st, ask.Sent)
-	v := g.View(ask.Server)
-	v.Round = max(v.Round, ask.Round)
-	if endQuery(g, v, ask) {
+	g.Observe(st, query.Sent)
+	v := g.View(query.Server)
+	v.Round = max(v.Round, query.Round)
+	if endQuery(g, v, query) {
 		g.Round.Answered++
 	}
-	setWriteTargets(g, ask)
+	setWriteTargets(g, query)
 	return resolveAndSchedule(g, grp, now, nil)
 }
 
 // QueryFailed records that a status query was not answered. down is true if the
 // host refused the connection, which shows that the server's process does not
 // run.
-func QueryFailed(g *state.GroupState, grp *state.Group, ask QueryStatus, down bool, now time.Time) []Effect {
-	if grp == nil || grp.Server(ask.Server) == nil {
+func QueryFailed(g *state.GroupState, grp *state.Group, query QueryStatus, down bool, now time.Time) []Effect {
+	if grp == nil || grp.Server(query.Server) == nil {
 		return resolveAndSchedule(g, grp, now, nil)
 	}
-	v := g.View(ask.Server)
-	if v.Outstanding == ask.Round {
-		endQuery(g, v, ask)
-		if !ask.Sent.Before(v.QueriedAt) {
+	v := g.View(query.Server)
+	if v.Outstanding == query.Round {
+		endQuery(g, v, query)
+		if !query.Sent.Before(v.QueriedAt) {
 			v.Missed++
 			v.Down = down
 			v.FailedAt = now
--- a/coordination/replication/replication_test.go
+++ b/coordination/replication/replication_test.go
@@ -35,18 +35,18 @@
 }
 
 // splitEffects splits effects into queries, results and the wake-up time.
-func splitEffects(effects []Effect) (asks []QueryStatus, results []Result, wake time.Time) {
+func splitEffects(effects []Effect) (queries []QueryStatus, results []Result, wake time.Time) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case QueryStatus:
-			asks = append(asks, e)
+			queries = append(queries, e)
 		case Resolve:
 			results = append(results, e.Result)
 		case WakeAt:
 			wake = e.At
 		}
 	}
-	return asks, results, wake
+	return queries, results, wake
 }
 
 // Guards against acknowledging a write without a majority in its own term or in an
@@ -107,11 +107,11 @@
 	} {
 		g := newState(c.seen...)
 		w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Deadline: start.Add(time.Second)}
-		asks, results, _ := splitEffects(Wait(g, threeServers, w, start.Add(time.Millisecond)))
+		queries, results, _ := splitEffects(Wait(g, threeServers, w, start.Add(time.Millisecond)))
 		for _, answer := range append(after, c.answer) {
-			for _, ask := range asks {
-				if ask.Server == answer.Server {
-					_, more, _ := splitEffects(Answer(g, threeServers, ask, answer, start.Add(2*time.Millisecond)))
+			for _, query := range queries {
+				if query.Server == answer.Server {
+					_, more, _ := splitEffects(Answer(g, threeServers, query, answer, start.Add(2*time.Millisecond)))
 					results = append(results, more...)
 				}
 			}
@@ -125,18 +125,18 @@
 func TestUnresponsiveServerBeforeTarget(t *testing.T) {
 	g := newState(newStatus("a", state.Primary, 2, 2, 10))
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Joined: start, Deadline: start.Add(time.Second)}
-	asks, _, _ := splitEffects(Wait(g, threeServers, w, start))
+	queries, _, _ := splitEffects(Wait(g, threeServers, w, start))
 	var results []Result
-	for _, ask := range asks {
+	for _, query := range queries {
 		var effects []Effect
 		at := start.Add(2 * time.Millisecond)
-		switch ask.Server {
+		switch query.Server {
 		case "a":
-			effects = QueryFailed(g, threeServers, ask, false, at)
+			effects = QueryFailed(g, threeServers, query, false, at)
 		case "b":
-			effects = Answer(g, threeServers, ask, newStatus("b", state.Primary, 3, 3, 21), at)
+			effects = Answer(g, threeServers, query, newStatus("b", state.Primary, 3, 3, 21), at)
 		case "c":
-			effects = Answer(g, threeServers, ask, newStatus("c", state.Replica, 3, 3, 21), at)
+			effects = Answer(g, threeServers, query, newStatus("c", state.Replica, 3, 3, 21), at)
 		}
 		_, more, _ := splitEffects(effects)
 		results = append(results, more...)
@@ -158,18 +158,18 @@
 // write's commit, which would acknowledge the write without its own records.
 func TestRoundBeforeTheWriteIsNotUsed(t *testing.T) {
 	g := newState()
-	asks, _, _ := splitEffects(Probe(g, threeServers, start))
+	queries, _, _ := splitEffects(Probe(g, threeServers, start))
 	w := state.PositionWaiter{Kind: state.WaitDurable, Server: "a", Term: 2, Deadline: start.Add(time.Second)}
 	Wait(g, threeServers, w, start.Add(100*time.Microsecond))
 	for round, now := range []time.Time{start.Add(minSpacing / 2), start.Add(minSpacing)} {
 		var effects []Effect
-		for _, ask := range append(asks, asks...) { // every answer arrives twice
-			effects = append(effects, Answer(g, threeServers, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, 15+uint64(round)), now)...)
+		for _, query := range append(queries, queries...) { // every answer arrives twice
+			effects = append(effects, Answer(g, threeServers, query, newStatus(query.Server, roles[query.Server], 2, 2, 15+uint64(round)), now)...)
 		}
 		early, results, _ := splitEffects(effects)
 		if round == 0 {
 			checkResult(t, "round from before the write", results, 0, state.Point{})
-			asks, _, _ = splitEffects(Tick(g, threeServers, start.Add(minSpacing)))
+			queries, _, _ = splitEffects(Tick(g, threeServers, start.Add(minSpacing)))
 		} else {
 			checkResult(t, "round from after the write", results, Satisfied, state.Point{Term: 2, Position: 16})
 		}
@@ -189,10 +189,10 @@
 	effects, now := Wait(g, threeServers, w, start), start
 	var spacings []time.Duration
 	for {
-		asks, results, wake := splitEffects(effects)
-		for _, ask := range asks {
-			if ask.Server != "c" { // c never answers; the write never reaches b
-				_, _, wake = splitEffects(Answer(g, threeServers, ask, newStatus(ask.Server, roles[ask.Server], 2, 2, map[string]uint64{"a": 15, "b": 14}[ask.Server]), now))
+		queries, results, wake := splitEffects(effects)
+		for _, query := range queries {
+			if query.Server != "c" { // c never answers; the write never reaches b
+				_, _, wake = splitEffects(Answer(g, threeServers, query, newStatus(query.Server, roles[query.Server], 2, 2, map[string]uint64{"a": 15, "b": 14}[query.Server]), now))
 			}
 		}
 		if len(results) > 0 {
@@ -242,9 +242,9 @@
 			g.ObserveFailure("b", now)
 		}
 		w := state.PositionWaiter{Kind: state.WaitCover, Server: "b", Point: c.point, MaxAge: c.maxAge, Deadline: now.Add(5 * time.Millisecond)}
-		asks, results, _ := splitEffects(Wait(g, threeServers, w, now))
-		if c.want == Satisfied && (len(results) != 1 || len(asks) != 0) || c.want == 0 && (len(results) != 0 || len(asks) != 3) {
-			t.Errorf("%s: %d queries, results %+v", name, len(asks), results)
+		queries, results, _ := splitEffects(Wait(g, threeServers, w, now))
+		if c.want == Satisfied && (len(results) != 1 || len(queries) != 0) || c.want == 0 && (len(results) != 0 || len(queries) != 3) {
+			t.Errorf("%s: %d queries, results %+v", name, len(queries), results)
 		}
 		if _, late, _ := splitEffects(Tick(g, threeServers, w.Deadline)); c.want == 0 && (len(late) != 1 || late[0].Kind != TimedOut) {
 			t.Errorf("%s: results %+v at the deadline", name, late)
@@ -260,24 +260,24 @@
 	switching := newStatus("a", p, 2, 2, 15)
 	switching.SwitchingTo = "b"
 	for name, c := range map[string]struct {
-		a, b  state.ServerStatus
-		other bool // this VM is replacing the primary
-		want  ResultKind
+		a, b      state.ServerStatus
+		replacing bool // this VM is replacing the primary
+		want      ResultKind
 	}{
-		"confirmed":          {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 2, 2, 15), want: Satisfied},
-		"majority has moved": {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 3, 2, 15)},
-		"drained":            {a: switching, b: newStatus("b", r, 2, 2, 15)},
-		"deposed":            {a: newStatus("a", p, 3, 2, 15), b: newStatus("b", r, 3, 2, 15)},
-		"being replaced":     {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 2, 2, 15), other: true},
-		"wrong address":      {a: newStatus("a", p, 2, 2, 15), b: newStatus("a", p, 2, 2, 15)},
+		"confirmed":                     {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 2, 2, 15), want: Satisfied},
+		"majority adopted a later term": {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 3, 2, 15)},
+		"drained":                       {a: switching, b: newStatus("b", r, 2, 2, 15)},
+		"deposed":                       {a: newStatus("a", p, 3, 2, 15), b: newStatus("b", r, 3, 2, 15)},
+		"being replaced":                {a: newStatus("a", p, 2, 2, 15), b: newStatus("b", r, 2, 2, 15), replacing: true},
+		"wrong address":                 {a: newStatus("a", p, 2, 2, 15), b: newStatus("a", p, 2, 2, 15)},
 	} {
 		g := newState(newStatus("a", p, 2, 2, 15), newStatus("b", r, 2, 2, 15)) // from before the waiter joined
-		if c.other {
+		if c.replacing {
 			g.Failover.Step = state.FailoverAdopting
 		}
-		asks, all, _ := splitEffects(Wait(g, threeServers, state.PositionWaiter{Kind: state.WaitPrimary, Deadline: start.Add(time.Second)}, start))
+		queries, all, _ := splitEffects(Wait(g, threeServers, state.PositionWaiter{Kind: state.WaitPrimary, Deadline: start.Add(time.Second)}, start))
 		for i, answer := range []state.ServerStatus{c.a, c.b} {
-			_, results, _ := splitEffects(Answer(g, threeServers, asks[i], answer, start))
+			_, results, _ := splitEffects(Answer(g, threeServers, queries[i], answer, start))
 			all = append(all, results...)
 		}
 		checkResult(t, name, all, c.want, state.Point{Term: 2, Position: 15})
--- a/coordination/replication/rounds.go
+++ b/coordination/replication/rounds.go
@@ -30,12 +30,12 @@
 
 // endQuery marks the query as ended. It reports whether the query was outstanding
 // and belonged to the current round.
-func endQuery(g *state.GroupState, v *state.ServerView, ask QueryStatus) bool {
-	if v.Outstanding != ask.Round {
+func endQuery(g *state.GroupState, v *state.ServerView, query QueryStatus) bool {
+	if v.Outstanding != query.Round {
 		return false
 	}
 	v.Outstanding = 0
-	if ask.Round != g.Round.Number {
+	if query.Round != g.Round.Number {
 		return false
 	}
 	g.Round.Pending--
--- a/coordination/replication/waiters.go
+++ b/coordination/replication/waiters.go
@@ -11,15 +11,16 @@
 // server's log is at or after the write. This holds after a planned switchover
 // too, because the server drops no records in it. The write may have run in a
 // later term than this VM knew; then the end of the log is in a later term too.
-func setWriteTargets(g *state.GroupState, ask QueryStatus) {
-	v := g.View(ask.Server)
+func setWriteTargets(g *state.GroupState, query QueryStatus) {
+	v := g.View(query.Server)
 	for i := range g.Waiters {
 		w := &g.Waiters[i]
-		if w.Kind != state.WaitDurable || w.TargetKnown || w.Server != ask.Server || ask.Round < w.FirstRound {
+		if w.Kind != state.WaitDurable || w.TargetKnown || w.Server != query.Server || query.Round < w.FirstRound {
 			continue
 		}
 		w.Target, w.TargetKnown = v.LogEnd(w.Term)
 		if w.TargetKnown && w.OwnRound {
+			// Without group commit, other writes take their targets from later rounds.
 			return
 		}
 	}
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -30,17 +30,17 @@
 	PrimaryOnly    bool // send all reads to the primary, as a baseline for benchmarks
 }
 
-// Kind is the kind of a choice.
+// Kind says what to do next with the request.
 type Kind int
 
-// Kinds of choices.
+// Values of Kind.
 const (
 	Send          Kind = iota // send the request to Server
 	QueryPosition             // query the position of Server, a replica, then choose again
 	AwaitPrimary              // no usable primary is known
 )
 
-// Choice is the result of Choose.
+// Choice says which server to use, and how.
 type Choice struct {
 	Kind    Kind
 	Server  string
--- a/coordination/succession/succession.go
+++ b/coordination/succession/succession.go
@@ -33,7 +33,8 @@
 	// one after the other, and the replicas of a group may be known before its
 	// primary.
 	registrationGrace = 2500 * time.Millisecond
-	// minFailures is how many queries must have failed in that time.
+	// minFailures is the number of queries that must have failed since the latest
+	// confirmation, or for refusedTimeout the number of refused connections.
 	minFailures = 2
 	// RepeatAfter is how long an order may have no effect before it is repeated.
 	RepeatAfter = 700 * time.Millisecond
@@ -63,7 +64,7 @@
 // Action is the coordinator's action on a group.
 type Action uint8
 
-// Actions.
+// Values of Action.
 const (
 	Nothing      Action = iota
 	QueryPrimary        // query the primary for a leadership confirmation
--- a/coordination/succession/succession_test.go
+++ b/coordination/succession/succession_test.go
@@ -17,22 +17,22 @@
 		status GroupStatus
 		want   Action
 	}{
-		"proven":                     {GroupStatus{Primary: primary, ConfirmedAt: now - confirmationInterval/2}, Nothing},
-		"confirmation is old":        {GroupStatus{Primary: primary, ConfirmedAt: now - confirmationInterval*2}, QueryPrimary},
-		"one query failed":           {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: 1}, QueryPrimary},
-		"lost":                       {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures}, Replace},
-		"gone":                       {GroupStatus{Primary: primary, ConfirmedAt: now - refusedTimeout - 1, Failures: minFailures, Refusals: minFailures}, Replace},
-		"gone for less time":         {GroupStatus{Primary: primary, ConfirmedAt: now - refusedTimeout, Failures: minFailures, Refusals: minFailures}, QueryPrimary},
-		"refused once":               {GroupStatus{Primary: primary, ConfirmedAt: now - lostTimeout, Failures: minFailures, Refusals: 1}, QueryPrimary},
-		"gone and isolated":          {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Refusals: minFailures, Isolated: true}, QueryPrimary},
-		"lost and isolated":          {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Isolated: true}, QueryPrimary},
-		"none is known":              {GroupStatus{ConfirmedAt: now - 2*lostTimeout}, Replace},
-		"none was ever known":        {GroupStatus{RegisteredAt: now - registrationGrace - 1}, Replace},
-		"not registered yet":         {GroupStatus{RegisteredAt: now - registrationGrace}, Nothing},
-		"lost while others register": {GroupStatus{ConfirmedAt: now - 2*lostTimeout, RegisteredAt: now}, Replace},
-		"watched since now":          {GroupStatus{ConfirmedAt: now - 2*lostTimeout, WatchedSince: now}, Nothing},
-		"leaving":                    {GroupStatus{Primary: primary, ConfirmedAt: now, Leaving: true}, Switchover},
-		"leaving and lost":           {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Leaving: true}, Replace},
+		"proven":                            {GroupStatus{Primary: primary, ConfirmedAt: now - confirmationInterval/2}, Nothing},
+		"confirmation is old":               {GroupStatus{Primary: primary, ConfirmedAt: now - confirmationInterval*2}, QueryPrimary},
+		"one query failed":                  {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: 1}, QueryPrimary},
+		"lost":                              {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures}, Replace},
+		"gone":                              {GroupStatus{Primary: primary, ConfirmedAt: now - refusedTimeout - 1, Failures: minFailures, Refusals: minFailures}, Replace}, // refuses connections
+		"refuses connections for less time": {GroupStatus{Primary: primary, ConfirmedAt: now - refusedTimeout, Failures: minFailures, Refusals: minFailures}, QueryPrimary},
+		"refused once":                      {GroupStatus{Primary: primary, ConfirmedAt: now - lostTimeout, Failures: minFailures, Refusals: 1}, QueryPrimary},
+		"refuses connections and isolated":  {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Refusals: minFailures, Isolated: true}, QueryPrimary},
+		"lost and isolated":                 {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Isolated: true}, QueryPrimary},
+		"none is known":                     {GroupStatus{ConfirmedAt: now - 2*lostTimeout}, Replace},
+		"none was ever known":               {GroupStatus{RegisteredAt: now - registrationGrace - 1}, Replace},
+		"not registered yet":                {GroupStatus{RegisteredAt: now - registrationGrace}, Nothing},
+		"lost while others register":        {GroupStatus{ConfirmedAt: now - 2*lostTimeout, RegisteredAt: now}, Replace},
+		"watched since now":                 {GroupStatus{ConfirmedAt: now - 2*lostTimeout, WatchedSince: now}, Nothing},
+		"leaving":                           {GroupStatus{Primary: primary, ConfirmedAt: now, Leaving: true}, Switchover},
+		"leaving and lost":                  {GroupStatus{Primary: primary, ConfirmedAt: now - 2*lostTimeout, Failures: minFailures, Leaving: true}, Replace},
 	} {
 		tt.status.Now, tt.status.Interval = now, QueryInterval(3)
 		if got := Decide(tt.status); got != tt.want {
@@ -64,7 +64,7 @@
 }
 
 // Guards against the promotion of a server that is leaving or has a shorter log.
-func TestBest(t *testing.T) {
+func TestBestCandidate(t *testing.T) {
 	candidate := func(id string, term, position uint64, usable bool) Candidate {
 		return Candidate{Server: &catalog.Server{ID: id}, Received: state.Point{Term: term, Position: position}, Usable: usable}
 	}
@@ -73,7 +73,7 @@
 		t.Errorf("best is %v", best.Server)
 	}
 	if _, ok := BestCandidate([]Candidate{candidate("c", 3, 5, false)}); ok {
-		t.Error("Best returned a leaving server")
+		t.Error("BestCandidate returned a leaving server")
 	}
 	if !Holds(state.Point{Term: 3, Position: 4}, state.Point{Term: 3, Position: 4}) || Holds(state.Point{Term: 3, Position: 3}, state.Point{Term: 3, Position: 4}) {
 		t.Error("Holds is wrong")
