--- a/coordination/access/access.go
+++ b/coordination/access/access.go
@@ -19,7 +19,7 @@
 // Reason says why a request is refused.
 type Reason int
 
-// Reasons.
+// Values of Reason.
 const (
 	None            Reason = iota // allowed
 	UnknownCustomer               // the customer is not in the configuration
--- a/coordination/queueing/queueing.go
+++ b/coordination/queueing/queueing.go
@@ -23,7 +23,7 @@
 // Reason says why a request was refused a connection.
 type Reason int
 
-// Reasons.
+// Values of Reason.
 const (
 	QueueFull   Reason = iota // too many requests are waiting
 	TooLate                   // the deadline has passed or would pass in the queue
--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -11,7 +11,7 @@
 // PartKind says what a part of an answer contains. A part contains one kind only.
 type PartKind int
 
-// Kinds of parts.
+// Values of PartKind.
 const (
 	PartData       PartKind = iota // rows and notices
 	PartLead                       // responses from before a statement runs: parsed, bound, described
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -35,7 +35,7 @@
 // others are baselines for benchmarks.
 type Options struct {
 	ReadsOnPrimary bool // reads never go to a replica
-	NoGroupCommit  bool // each write has its own position round
+	NoGroupCommit  bool // each write has its own round of status queries
 	AckOnCommit    bool // writes are acknowledged once the primary has committed them; unsafe
 	RetryAnything  bool // requests that are not idempotent are also retried after they were sent; unsafe
 }
@@ -144,8 +144,9 @@
 	return d.startAdmission(s, a, now)
 }
 
-// startAdmission handles the decision on an admission that was just requested, and
-// asks for the processing of limits that the decision depends on.
+// startAdmission handles the decision on an admission that was just requested. It
+// asks for the limits to be processed when the tokens are expected, and when a loan
+// may be needed.
 func (d *Decider) startAdmission(s *state.Session, a share.Admission, now time.Time) []Effect {
 	s.Phase = state.PhaseAdmission
 	effects := d.handleAdmission(s, a, now)
--- a/coordination/session/effects.go
+++ b/coordination/session/effects.go
@@ -98,8 +98,8 @@
 	Server string
 }
 
-// AdvanceLimits asks to process loans and the requests that wait for tokens at the
-// given time at the latest.
+// AdvanceLimits asks to process the rate limits at the given time at the latest:
+// tokens borrowed between VMs, and the requests that wait for tokens.
 type AdvanceLimits struct{ At time.Time }
 
 // CloseClient tells the client the reason and ends the session.
--- a/coordination/session/end.go
+++ b/coordination/session/end.go
@@ -10,7 +10,8 @@
 // request, counted from the deadline of the previous one.
 const maxIdleInTransaction = 30 * time.Second
 
-// Woken handles the time of a Wake.
+// Woken performs what is due at the time of a Wake: the end of an idle
+// transaction, the deadline, the next attempt, or a check on the server.
 func (d *Decider) Woken(s *state.Session, request uint64, now time.Time) []Effect {
 	if s.Request.Number != request || s.Phase == state.PhaseClosed {
 		return nil
--- a/coordination/session/outcome.go
+++ b/coordination/session/outcome.go
@@ -5,7 +5,7 @@
 // OutcomeKind says whether a request was answered, was not run, or may have run.
 type OutcomeKind int
 
-// Kinds of outcomes.
+// Values of OutcomeKind.
 const (
 	// Answered means that the backend server's complete answer was forwarded.
 	Answered OutcomeKind = iota
@@ -19,7 +19,7 @@
 // was closed.
 type Reason int
 
-// Reasons.
+// Values of Reason.
 const (
 	NoReason          Reason = iota
 	RateExceeded             // the customer has used up its rate and burst
--- a/coordination/sqlsession/route.go
+++ b/coordination/sqlsession/route.go
@@ -120,7 +120,7 @@
 // Verdict says how to continue after an attempt.
 type Verdict uint8
 
-// Verdicts.
+// Values of Verdict.
 const (
 	Answer Verdict = iota // send the answer to the client
 	Retry                 // run the operation again, on the same or another server
--- a/coordination/sqlsession/session.go
+++ b/coordination/sqlsession/session.go
@@ -93,7 +93,7 @@
 	Values       []statement.Value
 	Prepared     *statement.Prepared
 	LastWrite    state.Point // position of the session's latest commit of a write
-	Failures     int         // number of runs that failed
+	Failures     int         // number of answers with code Failed
 }
 
 // writes reports whether the statement changes data.
--- a/coordination/sqlsession/session_test.go
+++ b/coordination/sqlsession/session_test.go
@@ -205,12 +205,12 @@
 		t.Errorf("a read: %v %v", delay, may)
 	}
 	for name, change := range map[string]func(*Operation){
-		"a write":                          func(o *Operation) { o.Request.Verb = statement.Write },
-		"a prepared write":                 func(o *Operation) { o.Prepared = &statement.Prepared{Writes: true} },
-		"a read on the primary":            func(o *Operation) { o.NeedsPrimary = true },
-		"a read in a transaction":          func(o *Operation) { o.Tx.ID = 1 },
-		"a read that begins a transaction": func(o *Operation) { o.BeginsTx = true },
-		"a read without time to hedge":     func(o *Operation) { o.Route = &catalog.Route{} },
+		"a write":                                       func(o *Operation) { o.Request.Verb = statement.Write },
+		"a prepared write":                              func(o *Operation) { o.Prepared = &statement.Prepared{Writes: true} },
+		"a read on the primary":                         func(o *Operation) { o.NeedsPrimary = true },
+		"a read in a transaction":                       func(o *Operation) { o.Tx.ID = 1 },
+		"a read that begins a transaction":              func(o *Operation) { o.BeginsTx = true },
+		"a read on a route without a latency objective": func(o *Operation) { o.Route = &catalog.Route{} },
 	} {
 		o := read
 		change(&o)
