--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -66,9 +66,10 @@
 const warmUpStaggerDivisor = 4
 
 // WarmTarget returns how many connections to a server a VM should hold open when
-// the given part of the warm-up period has elapsed. The number grows linearly to
-// the limit. stagger lies between 0 and 1 and differs between VMs, which delays
-// them by different times so that they do not all connect at once.
+// elapsed of the warm-up period has passed. The number grows linearly, and is the
+// limit from the end of the period. stagger lies between 0 and 1 and differs
+// between VMs, which delays their growth by up to a quarter of the period so that
+// they do not all connect at once.
 func WarmTarget(limit int, elapsed, period time.Duration, stagger float64) int {
 	if period <= 0 || elapsed >= period {
 		return limit
--- a/coordination/membership/digest.go
+++ b/coordination/membership/digest.go
@@ -9,7 +9,7 @@
 
 // A digest encodes the age of each VM in one byte. An entry in JSON takes about 90
 // bytes, so 49 entries in each of 40 messages per second would exceed the traffic
-// budget by a factor of eight.
+// budget of 21 KB per second by a factor of eight.
 const (
 	ageUnit    = 50 * time.Millisecond
 	ageUnknown = 255 // no contact yet, or none for at least ageUnknown units
--- a/coordination/membership/entry.go
+++ b/coordination/membership/entry.go
@@ -22,7 +22,7 @@
 // Change is the result of merging an entry.
 type Change int
 
-// Changes.
+// Values of Change.
 const (
 	Unchanged Change = iota // the entry was ignored because it is not newer than the known one
 	Refreshed               // newer, with the same incarnation, address and state
--- a/coordination/membership/liveness.go
+++ b/coordination/membership/liveness.go
@@ -21,7 +21,8 @@
 	ForgetAfter = 2 * time.Minute
 )
 
-// RelayCount is the number of relays of a data centre.
+// RelayCount is the number of relays of a data centre: VMs that watch the store and
+// push new configurations to the others.
 const RelayCount = 2
 
 // Alive reports whether there was recent contact with the member, by the bound for
--- a/coordination/membership/schedule.go
+++ b/coordination/membership/schedule.go
@@ -29,7 +29,7 @@
 // Kind is the role in which a VM is addressed.
 type Kind int
 
-// Kinds of partners.
+// Values of Kind.
 const (
 	Voter     Kind = iota // votes on this VM's incarnation
 	Neighbour             // random VM of the same data centre
@@ -199,8 +199,8 @@
 	return known
 }
 
-// addListed adds the VMs of the configuration that are not known yet, and removes
-// those that are out of service.
+// addListed adds the VMs of the configuration that are not known yet. It removes
+// those that are out of service, and those of other data centres that are.
 func addListed(known map[string]Partner, c *state.Config, own string) {
 	for _, dc := range c.DataCentres {
 		for i := range dc.VMs {
--- a/coordination/membership/topics.go
+++ b/coordination/membership/topics.go
@@ -11,15 +11,15 @@
 // VM. It is bounded because a listed VM may never have run.
 const JoinPhase = 30 * time.Second
 
-// neighbourTopics is the number of other data centres in a message to a neighbour.
+// neighbourDataCentres is the number of other data centres in a message to a neighbour.
 // With one, the time since the last contact exceeds 11 s for one in a thousand VMs
 // of other data centres, in a fleet of 10 data centres with 49 VMs each.
-const neighbourTopics = 2
+const neighbourDataCentres = 2
 
-// joiningTopics is the number of other data centres in a message of a joining VM.
+// joiningDataCentres is the number of other data centres in a message of a joining VM.
 // An answer contains at most MaxEntries entries, fewer than the 49 VMs of a data
 // centre.
-const joiningTopics = 3
+const joiningDataCentres = 3
 
 // Topics selects the data centres whose digests a message contains. The zero value
 // is ready to use.
@@ -38,9 +38,9 @@
 	own := []string{self.DataCentre}
 	switch {
 	case joining:
-		return append(own, t.next(incomplete(c, ms, self), joiningTopics)...)
+		return append(own, t.next(incomplete(c, ms, self), joiningDataCentres)...)
 	case p.Kind == Neighbour:
-		return append(own, t.next(OtherDataCentres(c, self.DataCentre), neighbourTopics)...)
+		return append(own, t.next(OtherDataCentres(c, self.DataCentre), neighbourDataCentres)...)
 	case p.Kind == Remote && c.DataCentres[p.DataCentre] != nil:
 		return append(own, p.DataCentre)
 	default:
@@ -59,7 +59,8 @@
 }
 
 // AnswerTopics returns the data centres for the answer to a message: those in the
-// message, and this VM's own, which a message from another data centre may lack.
+// message that are configured and, if there are any, this VM's own, which a message
+// from another data centre may lack.
 func AnswerTopics(c *state.Config, self state.Self, asked []string) []string {
 	if c == nil {
 		return nil
