--- a/coordination/failover/detect.go
+++ b/coordination/failover/detect.go
@@ -34,19 +34,19 @@
 
 // groupCondition derives the condition of the group from the servers' statuses.
 func (d *decision) groupCondition() state.Condition {
-	answering, ahead := 0, 0 // responsive servers, and those of them that have adopted a later term
+	responsive, ahead := 0, 0 // servers that answer, and those of them that have adopted a later term
 	for i := range d.Group.Servers {
 		name := d.Group.Servers[i].Name
 		if !d.isResponsive(name) {
 			continue
 		}
-		answering++
+		responsive++
 		if d.State.Servers[name].Status.AdoptedTerm > d.State.Term {
 			ahead++
 		}
 	}
 	majority := d.Group.Majority()
-	if answering < majority {
+	if responsive < majority {
 		return state.ConditionUncertain
 	}
 	if d.Group.Server(d.State.Primary) == nil {
@@ -60,7 +60,7 @@
 		return state.ConditionNoPrimary
 	case ahead == 0:
 		return state.ConditionHealthy
-	case answering-ahead >= majority:
+	case responsive-ahead >= majority:
 		return state.ConditionDivergedReplica
 	default:
 		return state.ConditionNoPrimary
@@ -101,7 +101,7 @@
 	if (d.hasWaiters() || d.recentlyReported()) && d.due(v.SilentSince.Add(silenceWithWaiters)) {
 		return true
 	}
-	return v.Missed >= maxMissedProbes && d.due(v.SilentSince.Add(silenceWithoutWaiters))
+	return v.Missed >= missedProbesWithoutWaiters && d.due(v.SilentSince.Add(silenceWithoutWaiters))
 }
 
 // recentlyReported reports whether another VM has recently reported the primary as
--- a/coordination/failover/failover.go
+++ b/coordination/failover/failover.go
@@ -30,14 +30,15 @@
 	// answerWindow is how long a server counts as responsive after a query that it
 	// answered was sent: two probe intervals and the duration of a probe.
 	answerWindow = 1500 * time.Millisecond
-	// A silent primary counts as failed after maxMissedProbes failed queries and
-	// silenceWithoutWaiters if no request waits, and after silenceWithWaiters if
-	// one does. In every case at least minMissedProbes queries must have failed:
-	// after a pause of this VM its queries are old, but have not failed.
-	maxMissedProbes       = 3
-	silenceWithoutWaiters = (maxMissedProbes - 1) * probeInterval
-	silenceWithWaiters    = 400 * time.Millisecond
-	minMissedProbes       = 2
+	// A silent primary counts as failed after silenceWithoutWaiters and
+	// missedProbesWithoutWaiters failed queries if no request waits, and after
+	// silenceWithWaiters if one does. In every case at least minMissedProbes queries
+	// must have failed: after a pause of this VM its queries are old, but have not
+	// failed.
+	missedProbesWithoutWaiters = 3
+	silenceWithoutWaiters      = (missedProbesWithoutWaiters - 1) * probeInterval
+	silenceWithWaiters         = 400 * time.Millisecond
+	minMissedProbes            = 2
 	// refusedSilence is sufficient, together with minMissedProbes, if the primary's
 	// host refuses connections: no process listens there, so no answer can be in
 	// flight.
@@ -60,7 +61,7 @@
 	// has adopted a later term requires promoting a working primary again.
 	divergedGrace   = 2 * time.Second
 	divergedStagger = 500 * time.Millisecond // between consecutive watchers of a group
-	// rejoinDelay is how long a replica must have been detached before a VM that did
+	// rejoinDelay is how long a server must have been detached before a VM that did
 	// not promote the primary orders it to follow. The VM that did sends its orders
 	// at once.
 	rejoinDelay = 250 * time.Millisecond
--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -60,7 +60,7 @@
 // Guards against promoting a server that may lack acknowledged writes, and
 // against promoting a leaving server although another candidate is eligible.
 func TestChooseCandidate(t *testing.T) {
-	const in, out = state.InService, state.Leaving
+	const in, leaving = state.InService, state.Leaving
 	for name, c := range map[string]struct {
 		states  []state.ServiceState
 		adopted []state.ServerStatus
@@ -70,10 +70,10 @@
 		"higher position":              {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
 		"later term before position":   {adopted: []state.ServerStatus{newStatus("b", 9, 2, 10), newStatus("c", 9, 1, 11)}, want: "b"},
 		"equal: working primary":       {adopted: []state.ServerStatus{newStatus("c", 9, 1, 10), newStatus("a", 9, 1, 10)}, want: "a"},
-		"equal: target of switchover":  {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 10), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 10)}, target: "c", want: "c"},
+		"equal: target of switchover":  {states: []state.ServiceState{leaving, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 10), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 10)}, target: "c", want: "c"},
 		"target behind":                {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 9)}, target: "c", want: "b"},
-		"leaving, majority without it": {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
-		"leaving, needed":              {states: []state.ServiceState{in, out, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
+		"leaving, majority without it": {states: []state.ServiceState{leaving, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
+		"leaving, needed":              {states: []state.ServiceState{in, leaving, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
 	} {
 		d := &decision{Input: newInput(VMRole{}, c.states...)}
 		d.failover = &d.State.Failover
@@ -95,7 +95,7 @@
 	}
 	for _, name := range servers {
 		v := in.State.View(name)
-		v.SilentSince, v.Missed, v.FailedAt = start, maxMissedProbes, start
+		v.SilentSince, v.Missed, v.FailedAt = start, missedProbesWithoutWaiters, start
 	}
 }
 
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -153,15 +153,15 @@
 	})
 }
 
-func (v *simVM) queryStatus(a replication.QueryStatus) {
-	v.call(a.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
+func (v *simVM) queryStatus(q replication.QueryStatus) {
+	v.call(q.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
 		func(o failover.Outcome) {
 			if o.Result == failover.Failed {
 				// A server that is down refuses the connection.
-				v.process(replication.QueryFailed(v.g, v.currentGroup(), a, !v.servers[a.Server].up, v.now), nil)
+				v.process(replication.QueryFailed(v.g, v.currentGroup(), q, !v.servers[q.Server].up, v.now), nil)
 				return
 			}
-			v.process(replication.Answer(v.g, v.currentGroup(), a, o.Status, v.now), nil)
+			v.process(replication.Answer(v.g, v.currentGroup(), q, o.Status, v.now), nil)
 		})
 }
 
--- a/coordination/failover/rejoin.go
+++ b/coordination/failover/rejoin.go
@@ -20,6 +20,8 @@
 	}
 }
 
+// rejoinServer orders a responsive server to follow the primary once it has been
+// detached for long enough.
 func (d *decision) rejoinServer(name string, v *state.ServerView) {
 	if !d.detached(name) {
 		v.DetachedSince = time.Time{}
--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -332,8 +332,8 @@
 	return v.failureRate * math.Exp2(-float64(now-v.failureRateTime)/float64(failureHalfLife))
 }
 
-// Suspect makes reads and writes avoid a server for a while, after a lost
-// connection or a missing answer.
+// Suspect makes reads avoid a server for suspectTTL, after a lost connection or a
+// missing answer. Writes avoid it too if another server may be the primary.
 func (g *Group) Suspect(id string, now time.Duration) { g.server(id).suspectUntil = now + suspectTTL }
 
 // Suspected reports whether the server is being avoided.
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -39,7 +39,7 @@
 func TestChoose(t *testing.T) {
 	primary := Choice{Kind: Send, Server: "a", Primary: true, Term: 2}
 	replica := func(name string) Choice { return Choice{Kind: Send, Server: name} }
-	ask := func(name string) Choice { return Choice{Kind: QueryPosition, Server: name} }
+	queryPosition := func(name string) Choice { return Choice{Kind: QueryPosition, Server: name} }
 	tests := []struct {
 		name   string
 		change func(cfg *state.Config, g *state.GroupState, q *Query)
@@ -48,7 +48,7 @@
 		{"write", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Read = false }, primary},
 		{"read without a token", func(_ *state.Config, _ *state.GroupState, q *Query) { q.ReplicaAllowed = false }, primary},
 		{"covered by the local replica", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 2, Position: 90} }, replica("b")},
-		{"not covered by the local replica", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 2, Position: 91} }, ask("b")},
+		{"not covered by the local replica", func(_ *state.Config, _ *state.GroupState, q *Query) { q.Point = state.Point{Term: 2, Position: 91} }, queryPosition("b")},
 		{"not covered after asking", func(_ *state.Config, _ *state.GroupState, q *Query) {
 			q.Point, q.QueriedReplica = state.Point{Term: 2, Position: 91}, "b"
 		}, primary},
