--- a/coordination/membership/topics.go
+++ b/coordination/membership/digest_selector.go
@@ -6,41 +6,42 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// JoinPhase is the longest time after its start for which a VM asks for entries in
-// every message. The phase ends earlier once the VM has an entry of every listed
-// VM. It is bounded because a listed VM may never have run.
-const JoinPhase = 30 * time.Second
+// MaxJoinTime is the longest time after its start for which a VM asks for entries
+// in every message. The phase ends earlier once the VM has an entry of every
+// listed VM. It is bounded because a listed VM may never have run.
+const MaxJoinTime = 30 * time.Second
 
-// neighbourDataCentres is the number of other data centres in a message to a neighbour.
-// With one, the time since the last contact exceeds 11 s for one in a thousand VMs
-// of other data centres, in a fleet of 10 data centres with 49 VMs each.
+// neighbourDataCentres is the number of other data centres in a message to a
+// neighbour. With one, the time since the last contact exceeds 11 s for one in a
+// thousand VMs of other data centres, in a fleet of 10 data centres with 49 VMs
+// each.
 const neighbourDataCentres = 2
 
-// joiningDataCentres is the number of other data centres in a message of a joining VM.
-// An answer contains at most MaxEntries entries, fewer than the 49 VMs of a data
-// centre.
+// joiningDataCentres is the number of other data centres in a message of a
+// joining VM. A response contains at most MaxEntries entries, fewer than the 49
+// VMs of a data centre.
 const joiningDataCentres = 3
 
-// Topics selects the data centres whose digests a message contains. The zero value
-// is ready to use.
-type Topics struct {
+// DigestSelector selects the data centres whose digests a message contains. The
+// zero value is ready to use.
+type DigestSelector struct {
 	rotation int // number of data centres chosen so far
 }
 
-// Request returns the data centres for a message to a partner: the sender's own,
-// and for a remote partner the partner's, or for a neighbour some of the others in
+// Request returns the data centres for a message to a peer: the sender's own,
+// and for a remote peer the peer's, or for a neighbour some of the others in
 // rotation. A joining VM asks about data centres of which it lacks entries instead.
 // A brief message contains none.
-func (t *Topics) Request(c *state.Config, ms *state.Members, self state.Self, p Partner, joining bool) []string {
+func (s *DigestSelector) Request(c *state.Config, ms *state.Members, self state.Self, p Peer, joining bool) []string {
 	if p.Brief || c == nil || c.DataCentres[self.DataCentre] == nil {
 		return nil
 	}
 	own := []string{self.DataCentre}
 	switch {
 	case joining:
-		return append(own, t.next(incomplete(c, ms, self), joiningDataCentres)...)
+		return append(own, s.next(incomplete(c, ms, self), joiningDataCentres)...)
 	case p.Kind == Neighbour:
-		return append(own, t.next(OtherDataCentres(c, self.DataCentre), neighbourDataCentres)...)
+		return append(own, s.next(OtherDataCentres(c, self.DataCentre), neighbourDataCentres)...)
 	case p.Kind == Remote && c.DataCentres[p.DataCentre] != nil:
 		return append(own, p.DataCentre)
 	default:
@@ -49,25 +50,25 @@
 }
 
 // next returns up to count of the names in rotation.
-func (t *Topics) next(names []string, count int) []string {
+func (s *DigestSelector) next(names []string, count int) []string {
 	var chosen []string
 	for range min(count, len(names)) {
-		t.rotation++
-		chosen = append(chosen, names[t.rotation%len(names)])
+		s.rotation++
+		chosen = append(chosen, names[s.rotation%len(names)])
 	}
 	return chosen
 }
 
-// AnswerTopics returns the data centres for the answer to a message: those in the
-// message that are configured and, if there are any, this VM's own, which a message
-// from another data centre may lack.
-func AnswerTopics(c *state.Config, self state.Self, asked []string) []string {
+// ResponseDataCentres returns the data centres for the response to a message: those
+// in the message that are configured and, if there are any, this VM's own, which a
+// message from another data centre may lack.
+func ResponseDataCentres(c *state.Config, self state.Self, requested []string) []string {
 	if c == nil {
 		return nil
 	}
 	var names []string
 	own := false
-	for _, dc := range asked {
+	for _, dc := range requested {
 		own = own || dc == self.DataCentre
 		if c.DataCentres[dc] != nil {
 			names = append(names, dc)
@@ -79,8 +80,8 @@
 	return names
 }
 
-// Complete reports whether there is an entry of every listed VM.
-func Complete(c *state.Config, ms *state.Members) bool {
+// HasAllEntries reports whether there is an entry of every listed VM.
+func HasAllEntries(c *state.Config, ms *state.Members) bool {
 	if c == nil {
 		return false
 	}
