--- a/coordination/failover/failover_test.go
+++ b/coordination/failover/failover_test.go
@@ -59,8 +59,8 @@
 
 // Guards against promoting a server that may lack acknowledged writes, and
 // against promoting a leaving server although another candidate is eligible.
-func TestChoose(t *testing.T) {
-	const in, out = state.InService, state.Leaving
+func TestChooseCandidate(t *testing.T) {
+	const in, leaving = state.InService, state.Leaving
 	for name, c := range map[string]struct {
 		states  []state.ServiceState
 		adopted []state.ServerStatus
@@ -70,10 +70,10 @@
 		"higher position":              {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
 		"later term before position":   {adopted: []state.ServerStatus{newStatus("b", 9, 2, 10), newStatus("c", 9, 1, 11)}, want: "b"},
 		"equal: working primary":       {adopted: []state.ServerStatus{newStatus("c", 9, 1, 10), newStatus("a", 9, 1, 10)}, want: "a"},
-		"equal: target of switchover":  {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 10), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 10)}, target: "c", want: "c"},
+		"equal: target of switchover":  {states: []state.ServiceState{leaving, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 10), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 10)}, target: "c", want: "c"},
 		"target behind":                {adopted: []state.ServerStatus{newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 9)}, target: "c", want: "b"},
-		"leaving, majority without it": {states: []state.ServiceState{out, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
-		"leaving, needed":              {states: []state.ServiceState{in, out, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
+		"leaving, majority without it": {states: []state.ServiceState{leaving, in, in}, adopted: []state.ServerStatus{newStatus("a", 9, 1, 12), newStatus("b", 9, 1, 10), newStatus("c", 9, 1, 11)}, want: "c"},
+		"leaving, needed":              {states: []state.ServiceState{in, leaving, in}, adopted: []state.ServerStatus{newStatus("b", 9, 1, 12), newStatus("c", 9, 1, 11)}, want: "b"},
 	} {
 		d := &decision{Input: newInput(VMRole{}, c.states...)}
 		d.failover = &d.State.Failover
@@ -95,7 +95,7 @@
 	}
 	for _, name := range servers {
 		v := in.State.View(name)
-		v.SilentSince, v.Missed, v.FailedAt = start, maxMissedProbes, start
+		v.SilentSince, v.Missed, v.FailedAt = start, missedProbesWithoutWaiters, start
 	}
 }
 
@@ -169,11 +169,11 @@
 	in, adopt := startedAttempt(t)
 	term := adopt.Term
 	for name, orders := range map[string][]string{
-		"first":         in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
-		"repeated":      in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
-		"other server":  in.deliver(Adopt, "a", term, Done, newStatus("b", term, 1, 10)),
-		"earlier term":  in.deliver(Adopt, "c", term-1, Done, newStatus("c", term-1, 1, 10)),
-		"other's grant": in.deliver(Adopt, "a", term, Refused, newStatus("a", term, 1, 10)),
+		"first":                                in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"repeated":                             in.deliver(Adopt, "b", term, Done, newStatus("b", term, 1, 10)),
+		"other server":                         in.deliver(Adopt, "a", term, Done, newStatus("b", term, 1, 10)),
+		"earlier term":                         in.deliver(Adopt, "c", term-1, Done, newStatus("c", term-1, 1, 10)),
+		"refused, term adopted for another VM": in.deliver(Adopt, "a", term, Refused, newStatus("a", term, 1, 10)),
 	} {
 		if len(orders) != 0 {
 			t.Errorf("%s answer led to %v", name, orders)
@@ -234,7 +234,7 @@
 
 // Guards against deposing a primary that another VM has just promoted: a majority
 // of the servers answers before the new primary is queried.
-func TestPromotedPrimaryIsAskedFirst(t *testing.T) {
+func TestPromotedPrimaryIsQueriedFirst(t *testing.T) {
 	const term = 3 << indexBits
 	in := newInput(VMRole{Watcher: true, DataCentre: "dc-b"})
 	in.State.Waiters = []state.PositionWaiter{{Kind: state.WaitPrimary}}
--- a/coordination/failover/model_vms_test.go
+++ b/coordination/failover/model_vms_test.go
@@ -75,8 +75,8 @@
 	return failover.Input{State: v.g, Config: v.cfg, Group: v.currentGroup(), Role: role, Now: v.now}
 }
 
-// process carries out the given effects and those of the decisions that follow, on
-// failover first and then on positions.
+// process carries out the given effects and those of the decisions that follow, in
+// the driver's order: failover first, then positions.
 func (v *simVM) process(positions []replication.Effect, orders []failover.Effect) {
 	orders = append(orders, failover.Tick(v.input())...)
 	if slices.Contains(orders, failover.Effect(failover.Probe{})) {
@@ -111,7 +111,7 @@
 // wakeAt sets the timer unless it expires earlier.
 func (v *simVM) wakeAt(at time.Time) {
 	if !at.After(v.now) {
-		v.failf("%s: the wake-up is not in the future, so the VM would spin", v.name)
+		v.failf("%s: the wake-up is not in the future, so the VM would run in a busy loop", v.name)
 	}
 	if !v.timer.IsZero() && !at.Before(v.timer) {
 		return
@@ -153,15 +153,15 @@
 	})
 }
 
-func (v *simVM) queryStatus(a replication.QueryStatus) {
-	v.call(a.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
+func (v *simVM) queryStatus(q replication.QueryStatus) {
+	v.call(q.Server, 200*time.Millisecond, func(_ *simServer, reply func(failover.Result)) { reply(failover.Done) },
 		func(o failover.Outcome) {
 			if o.Result == failover.Failed {
 				// A server that is down refuses the connection.
-				v.process(replication.QueryFailed(v.g, v.currentGroup(), a, !v.servers[a.Server].up, v.now), nil)
+				v.process(replication.QueryFailed(v.g, v.currentGroup(), q, !v.servers[q.Server].up, v.now), nil)
 				return
 			}
-			v.process(replication.Answer(v.g, v.currentGroup(), a, o.Status, v.now), nil)
+			v.process(replication.Answer(v.g, v.currentGroup(), q, o.Status, v.now), nil)
 		})
 }
 
--- a/coordination/membership/digest_selector.go
+++ b/coordination/membership/digest_selector.go
@@ -18,7 +18,7 @@
 const neighbourDataCentres = 2
 
 // joiningDataCentres is the number of other data centres in a message of a
-// joining VM. An answer contains at most MaxEntries entries, fewer than the 49
+// joining VM. A response contains at most MaxEntries entries, fewer than the 49
 // VMs of a data centre.
 const joiningDataCentres = 3
 
@@ -59,9 +59,9 @@
 	return chosen
 }
 
-// ResponseDataCentres returns the data centres for the response to a message:
-// those in the message, and this VM's own, which a message from another data
-// centre may lack.
+// ResponseDataCentres returns the data centres for the response to a message: those
+// in the message that are configured and, if there are any, this VM's own, which a
+// message from another data centre may lack.
 func ResponseDataCentres(c *state.Config, self state.Self, requested []string) []string {
 	if c == nil {
 		return nil
--- a/coordination/membership/freshness.go
+++ b/coordination/membership/freshness.go
@@ -25,9 +25,9 @@
 const reportValidityMargin = 2 * time.Second
 
 // Confirmation returns a local time at which the configuration in force was the
-// newest in the store. It follows from the answer of a VM whose configuration was
-// last confirmed age before it answered. The age is subtracted from the time at
-// which the request was sent, because the delay of the answer is not known. The
+// newest in the store. It follows from the response of a VM whose configuration was
+// last confirmed age before it responded. The age is subtracted from the time at
+// which the request was sent, because the delay of the response is not known. The
 // result is valid only if both VMs have the same ticket.
 func Confirmation(same bool, age time.Duration, sentAt time.Time) (at time.Time, valid bool) {
 	if !same || age <= 0 {
@@ -79,7 +79,7 @@
 	Missed  bool // the data centre does not reach the store
 }
 
-// Record stores a data centre's report, which was received in an answer. It counts
+// Record stores a data centre's report, which was received in a response. It counts
 // from the time at which the request was sent.
 func (r StoreReport) Record(ms *state.Members, dataCentre string, sentAt time.Time) {
 	switch {
