--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -1,7 +1,7 @@
-// Package fleetwire encodes the messages between VMs: statements, rate limit tokens
-// and heartbeats. The encoding is binary because traffic between data centres is
-// charged by volume. A statement is a few dozen bytes, which HTTP headers would
-// multiply.
+// Package fleetwire encodes the messages between VMs that run as a Node: statements,
+// rate limit tokens and heartbeats. The encoding is binary because traffic between
+// data centres is charged by volume. A statement is a few dozen bytes, which HTTP
+// headers would multiply.
 package fleetwire
 
 import (
@@ -24,7 +24,8 @@
 // Kind is the type of message that a frame carries.
 type Kind byte
 
-// Kinds of frames. A reply has the ID of the call that it answers.
+// Kinds of frames. A reply has the ID of the call that it answers. KindAbort is sent
+// because the client has disconnected or no longer waits for its statement.
 const (
 	KindStatus        Kind = iota + 1 // a Status in JSON: the state of the sender
 	KindPing                          // heartbeat with the partitions of customers' limits for which the sender is the quota coordinator
@@ -32,10 +33,10 @@
 	KindStatement                     // a statement.RemoteStatement to run
 	KindResult                        // a statement.Result, the reply to KindStatement
 	KindAbort                         // rolls back the transaction with the given number; no reply
-	KindTokenRequest                  // asks a customer's quota coordinator for tokens
+	KindTokenRequest                  // asks the quota coordinator of one partition of a customer's limit for tokens
 	KindTokenGrant                    // number of tokens granted, the reply to KindTokenRequest
-	KindSnapshot                      // asks for the store's objects that the receiver knows
-	KindSnapshotReply                 // those objects in JSON, the reply to KindSnapshot
+	KindSnapshot                      // the latest revision that the sender knows of each kind of the store's objects, in JSON; asks for newer ones
+	KindSnapshotReply                 // the newer objects in JSON, the reply to KindSnapshot
 )
 
 // Frame is one message. ID matches a reply to its call; it is zero in messages
@@ -56,8 +57,9 @@
 	return dst
 }
 
-// ReadFrame reads one frame. It returns io.EOF at the end of the stream, and a
-// descriptive error if the bytes are not a frame.
+// ReadFrame reads one frame. It returns io.EOF if the stream ends before the frame
+// or right after its length, io.ErrUnexpectedEOF if the stream ends elsewhere in the
+// frame, and a descriptive error if the length or the ID is invalid.
 func ReadFrame(r *bufio.Reader) (Frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -133,7 +135,7 @@
 	stmt := &statement.RemoteStatement{RequirePrimary: flags&flagRequirePrimary != 0, BeginsTx: flags&flagBeginsTx != 0, ReadOnlyTx: flags&flagReadOnlyTx != 0}
 	stmt.Command.Verb, stmt.Command.Writes = statement.Verb(verb), flags&flagWrites != 0
 	if !stmt.Command.Verb.Valid() {
-		return nil, eris.Errorf("work with the unknown verb %d", verb)
+		return nil, eris.Errorf("statement with the unknown verb %d", verb)
 	}
 	for _, s := range []*string{&stmt.Customer, &stmt.Group, &stmt.Server, &stmt.Command.ID, &stmt.Command.Name, &stmt.Command.Payload} {
 		*s = d.string()
--- a/protocol/fleetwire/status.go
+++ b/protocol/fleetwire/status.go
@@ -12,7 +12,7 @@
 	Name        string            `json:"name"`
 	Address     string            `json:"address"` // HOST:PORT where it accepts links from other VMs
 	DataCentre  string            `json:"data_centre"`
-	Weight      float64           `json:"weight"`                  // processor share; VMs hold connections in proportion to it
+	Weight      float64           `json:"weight"`                  // processor share in cores; VMs hold connections in proportion to it
 	Incarnation int64             `json:"incarnation"`             // start time of the process, in Unix nanoseconds
 	Leaving     bool              `json:"leaving,omitempty"`       // the VM is shutting down
 	StoreCutOff bool              `json:"store_cut_off,omitempty"` // the VM cannot reach the store
--- a/protocol/peerapi/codec_test.go
+++ b/protocol/peerapi/codec_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against encoding that reduces an age, and against accepting ages that
-// are negative, and so place a contact in the future, or that overflow.
+// Guards against encoding that reduces an age, and against accepting ages that are
+// negative, which would be a time of receipt in the future, or that overflow.
 func TestAge(t *testing.T) {
 	for _, d := range []time.Duration{0, 1, time.Millisecond, 1500 * time.Microsecond, time.Hour + 1} {
 		data, err := json.Marshal(Age(d))
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -1,5 +1,5 @@
-// Package peerapi defines the messages between VMs, which are JSON over HTTP.
-// Bodies are authenticated by an HMAC with the fleet secret.
+// Package peerapi defines the messages between VMs that are configured by tickets.
+// They are JSON over HTTP. Bodies are authenticated by an HMAC with the fleet secret.
 //
 // A VM sends and receives about 40 messages per second within a budget of
 // 21 KB/s, so sections and fields without new information are omitted.
@@ -27,7 +27,7 @@
 	Sequence    uint64             `json:"seq"` // increases with each message of the incarnation
 	DataCentre  string             `json:"data_centre,omitempty"`
 	Address     string             `json:"address,omitempty"`
-	State       state.ServiceState `json:"state,omitempty"` // of the process
+	State       state.ServiceState `json:"state,omitempty"` // service state that the process reports of itself
 }
 
 // Member is a membership entry of a VM. Fields are omitted as in Sender.
@@ -59,7 +59,7 @@
 	Digest       string `json:"digest,omitempty"`           // complete with a snapshot, otherwise its first DigestPrefix characters
 	Applied      uint64 `json:"applied,omitempty"`          // ticket that is fully applied; zero if none or omitted
 	ConfirmedAge Age    `json:"confirmed_age_ms,omitempty"` // since the store confirmed it; zero if never or omitted
-	StoreReached bool   `json:"store_reached,omitempty"`    // the sender is a relay and reaches the store itself
+	StoreReached bool   `json:"store_reached,omitempty"`    // the sender is one of the VMs that watch the store for their data centre (relays), and reaches it
 	StoreMissed  bool   `json:"store_missed,omitempty"`     // the sender finds that its data centre does not reach the store
 }
 
--- a/protocol/pgwire/batch.go
+++ b/protocol/pgwire/batch.go
@@ -1,6 +1,5 @@
 // Package pgwire translates between the PostgreSQL wire protocol (version 3) and
-// the requests and answers that package session decides on. It does no network
-// I/O.
+// the requests and answers of package session. It does no network I/O.
 package pgwire
 
 import (
@@ -23,7 +22,8 @@
 	// Unsynced reports that the batch ends with a Flush, which is refused, and that
 	// its Sync follows later. The refusal is not followed by a ReadyForQuery.
 	Unsynced bool
-	// OnlySync reports that the batch consists of a single Sync.
+	// OnlySync reports that the batch consists of a single Sync. Such a batch may
+	// have no Messages and must not be analysed.
 	OnlySync bool
 
 	// The fields below are set by Statements.Analyse.
@@ -33,7 +33,8 @@
 	// a transaction.
 	MayCommit bool
 	// OnlyBegins reports that the batch begins a transaction and does nothing else,
-	// except that it may end an earlier transaction first.
+	// except that it may end an earlier transaction first. It is false for a
+	// read-only transaction.
 	OnlyBegins bool
 	Hints      Hints
 	// Unsupported is the reason why the batch must be refused. It is empty if the
@@ -61,7 +62,8 @@
 
 // Add adds a message, whose encoded size is given in bytes. The caller must not
 // reuse the message. Add returns the batch that the message completes, or nil. It
-// fails if the batch is larger than MaxBatchBytes.
+// fails if a batch of the extended protocol is larger than MaxBatchBytes. The reader
+// of the connection limits the size of a Query.
 func (f *Framer) Add(msg pgproto3.FrontendMessage, size int) (*Batch, error) {
 	if f.skipping {
 		return f.skipToSync(msg), nil
@@ -151,8 +153,9 @@
 }
 
 // mayHaveSeveralStatements reports whether the text may contain more than one
-// statement. It also counts semicolons in literals; such a read runs on the primary
-// instead of a replica, which is correct but slower.
+// statement. It also counts semicolons in literals. Such a read runs on the primary
+// instead of a replica, which is correct but slower, and such a SET is not replayed
+// on other connections.
 func mayHaveSeveralStatements(sql string) bool {
 	i := strings.IndexByte(sql, ';')
 	return i >= 0 && skipSpace(sql[i+1:]) != ""
--- a/protocol/pgwire/classify.go
+++ b/protocol/pgwire/classify.go
@@ -16,7 +16,8 @@
 
 // classify classifies a statement by its first keywords only. Classifying a write as
 // a read is harmless: reads run in read-only mode, where the backend server refuses
-// a write before running it.
+// a write before running it. Classifying a read as a write only keeps it from running
+// on a replica.
 func classify(sql string) classification {
 	words := firstWords(sql, 4)
 	word := func(i int) string {
--- a/protocol/settings/load.go
+++ b/protocol/settings/load.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// readSecretFile returns the content of a file without one trailing LF or CRLF. It
-// records an error if nothing remains.
+// readSecretFile returns the content of a file without one trailing LF, CRLF or CR.
+// It records an error if nothing remains.
 func (c *checker) readSecretFile(field, path string) Secret {
 	data := c.readFile(field, path)
 	text := strings.TrimSuffix(strings.TrimSuffix(string(data), "\n"), "\r")
--- a/protocol/settings/settings.go
+++ b/protocol/settings/settings.go
@@ -15,7 +15,7 @@
 // complete and valid. Fields without a default are required, unless their comment
 // says otherwise.
 type Settings struct {
-	// VM is the name of this VM, as listed in the ticket.
+	// VM is the name of this VM. The configuration must list it under this name.
 	VM string `yaml:"vm"`
 	// DataCentre is the name of the data centre that this VM runs in.
 	DataCentre string `yaml:"data_centre"`
@@ -37,8 +37,8 @@
 	Seeds []Seed `yaml:"seeds"`
 	// Backend holds the credentials for backend servers.
 	Backend Backend `yaml:"backend"`
-	// Workers is the size of the pool of workers that run decisions. Default one per
-	// CPU.
+	// Workers is the number of workers that process the VM's events, such as the
+	// requests of its sessions. Default one per CPU.
 	Workers int `yaml:"workers"`
 	// Limits bounds the resources of one VM.
 	Limits Limits `yaml:"limits"`
@@ -109,9 +109,9 @@
 // Limits bounds the resources of one VM. The fields are counts, except
 // DefaultDeadline.
 type Limits struct {
-	// Sessions is the maximum number of concurrent client connections; more are
-	// refused with SQLSTATE 53300. Default 4096, about twice the VM's share of the
-	// design target.
+	// Sessions is the maximum number of concurrent client connections; further ones
+	// are refused with SQLSTATE 53300. Default 4096, about twice the number of
+	// clients for each VM in the design target.
 	Sessions int `yaml:"sessions"`
 	// SessionQueue is the maximum number of queued events per session. While the
 	// queue is full, the VM does not read from the client connection. Default 32.
@@ -152,7 +152,8 @@
 	// NoFairQueueing serves the requests for a backend server in order of arrival.
 	// Default false.
 	NoFairQueueing bool `yaml:"no_fair_queueing"`
-	// NoGroupCommit runs a separate position round for every write. Default false.
+	// NoGroupCommit asks the servers of a group for their log positions separately
+	// for every write, instead of once for all writes that wait. Default false.
 	NoGroupCommit bool `yaml:"no_group_commit"`
 }
 
--- a/protocol/ticketfile/size_test.go
+++ b/protocol/ticketfile/size_test.go
@@ -14,8 +14,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Sizes of the design target. It does not include a number of customers; the test
-// assumes 200 with 2 keys each.
+// Numbers of objects in the largest configuration that must fit into the store. The
+// design target does not include a number of customers; the test assumes 200 with 2
+// keys each.
 const (
 	targetGroups      = 800
 	targetVMs         = 490
--- a/protocol/ticketfile/stored.go
+++ b/protocol/ticketfile/stored.go
@@ -154,8 +154,8 @@
 
 // convertFromStore converts objects of one kind from their JSON encoding. If some
 // cannot be converted, it sets invalid to the error of one of them.
-func convertFromStore[W, S any](objects map[string]W, toState func(W, string, reportFunc) *S, invalid *error) map[string]*S {
-	converted := make(map[string]*S, len(objects))
+func convertFromStore[Encoded, State any](objects map[string]Encoded, toState func(Encoded, string, reportFunc) *State, invalid *error) map[string]*State {
+	converted := make(map[string]*State, len(objects))
 	for name, o := range objects {
 		converted[name] = toState(o, name, func(err error, _ ...string) { *invalid = eris.Wrapf(err, "object %q", name) })
 	}
--- a/protocol/ticketfile/ticketfile.go
+++ b/protocol/ticketfile/ticketfile.go
@@ -97,8 +97,8 @@
 
 // convertFromFile converts objects of one kind from their YAML encoding. Values
 // that cannot be converted are recorded in the document.
-func convertFromFile[W, S any](objects map[string]W, toState func(W, string, reportFunc) *S, doc *yamldoc.Document, kind ticket.Kind) map[string]*S {
-	converted := make(map[string]*S, len(objects))
+func convertFromFile[Encoded, State any](objects map[string]Encoded, toState func(Encoded, string, reportFunc) *State, doc *yamldoc.Document, kind ticket.Kind) map[string]*State {
+	converted := make(map[string]*State, len(objects))
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
 		converted[name] = toState(objects[name], name, func(err error, path ...string) {
 			doc.AddInvalid(append(yamldoc.Path{string(kind), name}, path...), "%v", err)
@@ -139,8 +139,8 @@
 }
 
 // convertAll converts objects of one kind to their encoding.
-func convertAll[S, W any](objects map[string]*S, from func(*S) W) map[string]W {
-	converted := make(map[string]W, len(objects))
+func convertAll[State, Encoded any](objects map[string]*State, from func(*State) Encoded) map[string]Encoded {
+	converted := make(map[string]Encoded, len(objects))
 	for name, o := range objects {
 		converted[name] = from(o)
 	}
--- a/protocol/token/token.go
+++ b/protocol/token/token.go
@@ -19,14 +19,14 @@
 // MaxLength is the length limit of an accepted token in bytes.
 const MaxLength = 8 << 10
 
-// Verdict is the result of decoding a token.
-type Verdict int
+// Validity is the result of verifying a token.
+type Validity int
 
-// Verdicts.
+// Values of Validity.
 const (
-	Valid   Verdict = iota
-	Invalid         // malformed, or not signed with the fleet secret
-	Foreign         // token of another customer
+	Valid   Validity = iota
+	Invalid          // malformed, or not signed with the fleet secret
+	Foreign          // token of another customer
 )
 
 // body is the signed part of a token.
@@ -40,8 +40,8 @@
 
 var encoding = base64.RawURLEncoding
 
-// Encode returns a token of the customer with the log point that reads of the
-// session must cover in each group.
+// Encode returns a token of the customer. t holds, by group, the term and log
+// position that a server must have reached before it serves reads of the session.
 func Encode(secret []byte, customer string, t state.Token) string {
 	b := body{Customer: customer, Points: make(map[string]point, len(t))}
 	for group, p := range t {
@@ -56,7 +56,7 @@
 
 // Decode verifies a token and returns its log points by group. An empty text is
 // a valid token of a session that has not written.
-func Decode(secret []byte, customer, text string) (state.Token, Verdict) {
+func Decode(secret []byte, customer, text string) (state.Token, Validity) {
 	if text == "" {
 		return state.Token{}, Valid
 	}
--- a/protocol/token/token_test.go
+++ b/protocol/token/token_test.go
@@ -17,7 +17,7 @@
 	good := Encode(secret, "bindery", points)
 	tests := []struct {
 		name, customer, text string
-		want                 Verdict
+		want                 Validity
 	}{
 		{"own token", "bindery", good, Valid},
 		{"no writes", "bindery", "", Valid},
@@ -29,11 +29,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, verdict := Decode(secret, tt.customer, tt.text)
-			if verdict != tt.want {
-				t.Fatalf("verdict %d, want %d", verdict, tt.want)
+			got, validity := Decode(secret, tt.customer, tt.text)
+			if validity != tt.want {
+				t.Fatalf("validity %d, want %d", validity, tt.want)
 			}
-			if tt.text == good && verdict == Valid {
+			if tt.text == good && validity == Valid {
 				if diff := cmp.Diff(points, got); diff != "" {
 					t.Error(diff)
 				}
@@ -43,13 +43,13 @@
 }
 
 // Guards against a panic on arbitrary input from a client, and against accepting
-// a token whose points do not survive re-encoding.
+// a token whose re-encoding is refused.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(secret, "bindery", state.Token{"ledger": {Term: 3, Position: 17}}))
 	f.Add("e30.e30")
 	f.Fuzz(func(t *testing.T, text string) {
-		points, verdict := Decode(secret, "bindery", text)
-		if verdict == Valid && text != "" {
+		points, validity := Decode(secret, "bindery", text)
+		if validity == Valid && text != "" {
 			if _, again := Decode(secret, "bindery", Encode(secret, "bindery", points)); again != Valid {
 				t.Fatalf("accepted %q but not its re-encoding", text)
 			}
--- a/protocol/yamldoc/decode.go
+++ b/protocol/yamldoc/decode.go
@@ -80,8 +80,9 @@
 	d.addFailure(nil, line, strings.TrimPrefix(text, "yaml: "))
 }
 
-// addFailure records that the value at the path could not be decoded. Later
-// problems at or below the path are dropped.
+// addFailure records that the value at the path could not be decoded. Problems that
+// are added later with AddError, AddInvalid or AddWarning at or below the path are
+// dropped.
 func (d *Document) addFailure(path Path, line int, text string) {
 	d.failed = append(d.failed, slices.Clone(path))
 	d.problems = append(d.problems, Problem{Line: line, Text: text})
--- a/protocol/yamldoc/document.go
+++ b/protocol/yamldoc/document.go
@@ -42,8 +42,8 @@
 	d.add(path, false, fmt.Sprintf(format, args...))
 }
 
-// AddInvalid records an error at the path, under the same rule as AddError, and
-// drops all later problems at or below the path.
+// AddInvalid records that the value at the path cannot be converted, under the same
+// rule as AddError. Problems that are added later at or below the path are dropped.
 func (d *Document) AddInvalid(path Path, format string, args ...any) {
 	d.add(path, false, fmt.Sprintf(format, args...))
 	d.failed = append(d.failed, slices.Clone(path))
