--- a/cmd/chestnutbench/bench/bench.go
+++ b/cmd/chestnutbench/bench/bench.go
@@ -44,7 +44,7 @@
 	cpuProfile string // file name; empty disables profiling
 }
 
-// Defaults of the flags.
+// Defaults of -duration, for scenarios with a load on the whole fleet, and of -seed.
 const (
 	defaultDuration = 20 * time.Second
 	defaultSeed     = 1
--- a/cmd/chestnutbench/bench/bench_test.go
+++ b/cmd/chestnutbench/bench/bench_test.go
@@ -31,7 +31,7 @@
 					t.Fatal(err)
 				}
 				l := steadyLoad(p)
-				l.moveShare, l.utilisation = roamMoveShare, testUtilisation
+				l.moveShare, l.utilisation = frequentMoveShare, testUtilisation
 				res, err := newRun(s, p, l, 1, time.Second, io.Discard).execute(unmodified)
 				if err != nil {
 					t.Fatal(err)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Guards against a failover gap that is not measured, and against lost or duplicated
-// writes that go unnoticed because the check does not run.
+// Guards against a failover gap that is not measured, and against writes that a
+// failover loses or duplicates.
 func TestShortFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := findScenario("failover")
--- a/cmd/chestnutbench/bench/client.go
+++ b/cmd/chestnutbench/bench/client.go
@@ -33,8 +33,9 @@
 	refusedKeyRetryDelay = 500 * time.Millisecond
 )
 
-// client is one session of a customer on a route. It keeps its connection and
-// moves between VMs with its session token.
+// client is one session of a customer on a route. It keeps its connection between
+// jobs. To move to another VM, it disconnects and continues the session there with
+// its session token.
 type client struct {
 	run       *run
 	name      string
@@ -244,8 +245,8 @@
 	return fmt.Sprintf("%s.%d", c.name, c.valueCount)
 }
 
-// recordWrite records what the response tells about a write. The key is empty
-// if there is no key to read back.
+// recordWrite records what the response tells about a write. The key is empty for
+// appends and for writes that were rolled back, which have no key to read back.
 func (c *client) recordWrite(value, key string, r response) {
 	w := write{group: c.group, value: value, outcome: writeOutcomeOf(r.outcome)}
 	c.run.writes.record(w, key, r.sent, time.Now())
@@ -373,13 +374,15 @@
 	for _, sql := range statements {
 		r := c.sendWithRetry(sql, deadline, true)
 		if r.status != answered {
-			c.recordInterruption(r.outcome)
+			c.recordClosedTransaction(r.outcome)
 			c.rollBack(value, r)
 			return r.outcome
 		}
 	}
 	r := c.sendUnmetered("COMMIT")
-	c.recordInterruption(r.outcome)
+	c.recordClosedTransaction(r.outcome)
+	// The response to the COMMIT of an aborted transaction is not an error, but has
+	// the command tag ROLLBACK.
 	if r.status == answered && r.tag != "COMMIT" {
 		r.status = failed
 	}
@@ -390,9 +393,10 @@
 	return r.outcome
 }
 
-// recordInterruption records a violation if the connection was closed within a
-// transaction, before the request was sent.
-func (c *client) recordInterruption(o outcome) {
+// recordClosedTransaction records a violation if the connection was closed within a
+// transaction, before the request was sent. recordRequest records the other
+// interruptions.
+func (c *client) recordClosedTransaction(o outcome) {
 	if o.code == codeClosed {
 		c.run.collector.recordViolation(func(v *violations) { v.Interrupted++ }, c.name+": connection closed within a transaction")
 	}
--- a/cmd/chestnutbench/bench/collector.go
+++ b/cmd/chestnutbench/bench/collector.go
@@ -29,9 +29,9 @@
 	Offered        int
 	InTime         int // answered before the deadline
 	Answered       int
-	Failed         int // error of the backend server
+	Failed         int // any other error
 	Refused        int
-	Unknown        int
+	Unknown        int // outcome unknown, or timed out
 	ConnectionLost int
 	NotSent        int // no free session or no connection in time
 }
@@ -53,14 +53,15 @@
 // violations counts the violations of guarantees that clients observed.
 type violations struct {
 	StaleReads         int
-	StaleViews         int // reads that were older than the route's bound
-	Duplicated         int // inserts that reported their own unique key as a duplicate
-	Interrupted        int // requests and transactions that did not complete
-	RunAfterRevocation int // requests that ran after their API key was revoked
-	Example            string
+	StaleViews         int    // reads that were older than the route's bound
+	Duplicated         int    // inserts that reported their own unique key as a duplicate
+	Interrupted        int    // requests that the fleet interrupted (see outcome.interrupted), and connections closed within a transaction
+	RunAfterRevocation int    // requests that ran after their API key was revoked
+	Example            string // first violation of any kind
 }
 
-// collector collects results from all client workers.
+// collector holds the results of a run so far. Clients and the arrival generators
+// add to it.
 type collector struct {
 	offered, finished atomic.Int64 // jobs, for the progress line
 
@@ -159,7 +160,8 @@
 	}
 }
 
-// recordRequest records the outcome of one request.
+// recordRequest records the outcome of a request or of a failed login. withinRate is
+// false for logins, COMMIT and ROLLBACK, which no rate limit applies to.
 func (c *collector) recordRequest(o outcome, withinRate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,8 +182,8 @@
 	}
 }
 
-// errorName returns the SQLSTATE or, without one, "timeout" or "cut" (connection
-// lost). Reports use these names.
+// errorName returns the code, which is not always a SQLSTATE, or without one
+// "timeout" or "cut" (connection lost). Reports use these names.
 func (o outcome) errorName() string {
 	switch {
 	case o.code != "":
@@ -198,15 +200,16 @@
 	c.moves++
 }
 
-// recordRevocation records that a customer's API key was revoked.
+// recordRevocation records when a customer's API key was revoked. Requests of the
+// customer that are sent more than revokeGrace later and run are violations.
 func (c *collector) recordRevocation(customer string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revoked[customer] = now
 }
 
-// recordExecution records that a request ran. It is a violation if the customer's
-// API key was revoked more than revokeGrace before.
+// recordExecution records a request that was not refused. It is a violation if the
+// customer's API key was revoked more than revokeGrace before the request was sent.
 func (c *collector) recordExecution(customer string, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/chestnutbench/bench/doc.go
+++ b/cmd/chestnutbench/bench/doc.go
@@ -3,8 +3,9 @@
 //
 // The load is an open loop. One goroutine per customer generates arrivals and
 // queues jobs; a fixed pool of workers per customer and route executes them. A
-// worker is one client session with at most one connection. Workers record
-// results in shared tables.
+// worker is one client session with at most one connection. It executes one job at
+// a time; further jobs wait in the queue. Workers record results in the rateLimits,
+// the writeHistory and the collector of the run.
 //
 // Lock order: rateLimit (one per customer), writeHistory, collector. No two rate
 // limits are locked at the same time, and no lock is held during a request.
--- a/cmd/chestnutbench/bench/events.go
+++ b/cmd/chestnutbench/bench/events.go
@@ -11,10 +11,10 @@
 
 const (
 	// leaveGrace is how long a data centre that was taken out of service may still
-	// run statements. Guarantee P8 says "a few seconds".
+	// run statements. Guarantee P8 of the design page says "a few seconds".
 	leaveGrace = 3 * time.Second
 	// revokeGrace is how long a revoked API key may still be accepted. Guarantee P6
-	// says "within seconds".
+	// of the design page says "within seconds".
 	revokeGrace = 5 * time.Second
 )
 
@@ -40,9 +40,9 @@
 	return true
 }
 
-// leaveDataCentre takes a data centre out of service in the two steps that
-// operators use, leaving and out, and brings it back.
-func leaveDataCentre(ctx context.Context, r *run) error {
+// takeDataCentreOutOfService takes a data centre out of service in the two steps
+// that operators use, leaving and out, and brings it back.
+func takeDataCentreOutOfService(ctx context.Context, r *run) error {
 	t, f := newTimeline(ctx, r), r.fleet
 	dc := r.profile.DataCentres[0]
 	if !t.startPhaseAt(0.2, "leaving") {
@@ -76,8 +76,8 @@
 	statements uint64
 }
 
-// statementsIn returns the number of statements that the backend servers of a data
-// centre have run.
+// statementsIn returns the number of statements that used data on the backend
+// servers of a data centre.
 func (r *run) statementsIn(dc string) uint64 {
 	var n uint64
 	for _, g := range r.fleet.Groups {
--- a/cmd/chestnutbench/bench/failover.go
+++ b/cmd/chestnutbench/bench/failover.go
@@ -114,12 +114,14 @@
 	return m
 }
 
-// quantile returns the smallest value that at least the share q of the sorted
-// values does not exceed, or zero without values.
+// quantile returns the q-quantile of the sorted values by the nearest-rank method,
+// or zero without values.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
+	// Adding slightly less than 1 rounds up, but ignores rounding errors of the
+	// product.
 	i := int(q*float64(len(sorted))+0.999999) - 1
 	return sorted[min(max(i, 0), len(sorted)-1)]
 }
--- a/cmd/chestnutbench/bench/machine.go
+++ b/cmd/chestnutbench/bench/machine.go
@@ -37,6 +37,7 @@
 // processMemory returns the bytes in use for heap and stacks after a garbage
 // collection.
 func processMemory() uint64 {
+	// sync.Pool keeps unused objects for one more garbage collection.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/cmd/chestnutbench/bench/outcome.go
+++ b/cmd/chestnutbench/bench/outcome.go
@@ -15,17 +15,17 @@
 
 const (
 	answered       status = iota // completed without an error
-	failed                       // error of the backend server
-	refused                      // error whose detail says that the request was not run
+	failed                       // any other error, or a COMMIT that rolled back
+	refused                      // not run: the error detail says so, or the connection was closed before the request was sent
 	unknown                      // 08007: the request may have run
 	connectionLost               // the connection ended without a response
 	timedOut                     // no response before the client's own timeout
 )
 
-// SQLSTATE codes with a meaning of their own for the client.
+// SQLSTATE codes that the client or a check handles specially.
 const (
 	codeOutcomeUnknown  = "08007"
-	codeTransactionLost = "08006"
+	codeTransactionLost = "08006" // the connection to the backend server was closed, so the transaction was rolled back
 	codeDuplicateKey    = "23505"
 	codeRolledBack      = "40001" // the backend server stopped being the primary
 	codeKeyRefused      = "28P01"
@@ -35,13 +35,13 @@
 	codeClosed = "closed"
 )
 
-// notRunDetail is the error detail of a refused request.
+// notRunDetail is the error detail of a request that a VM refused.
 const notRunDetail = "The request was not run."
 
 // outcome is the classified result of a request.
 type outcome struct {
 	status     status
-	code       string        // SQLSTATE, codeClosed or "connect"; empty if none
+	code       string        // SQLSTATE, codeClosed, or "connect" for a connection lost during a login; empty if none
 	fatal      bool          // the connection is no longer usable
 	retryAfter time.Duration // hint of a refused request; zero if none
 	err        error
--- a/cmd/chestnutbench/bench/overhead.go
+++ b/cmd/chestnutbench/bench/overhead.go
@@ -24,9 +24,10 @@
 	// both run under the same load of the machine.
 	overheadRounds = 3
 	// overheadDuration is the default length of one measurement. It also limits how
-	// long the connections of a measurement may take to open.
+	// long the connections of a round may take to open.
 	overheadDuration = 4 * time.Second
-	// overheadConnectionLimit is the connection limit of the backend server.
+	// overheadConnectionLimit is the connection limit of the backend server, and the
+	// number of statements that it runs at the same time.
 	overheadConnectionLimit = 256
 	// overheadRate is the customer's rate and burst, high enough to never limit.
 	overheadRate = 1e7
@@ -287,7 +288,7 @@
 		return err
 	}
 	t = newTable(w)
-	t.row("idle connections", "heap and stacks for each", "goroutines for each")
+	t.row("idle connections", "heap and stacks per connection", "goroutines per connection")
 	for _, m := range rep.Memory {
 		t.row(fmt.Sprint(m.Connections), fmt.Sprintf("%.1f KiB", float64(m.BytesEach)/1024), fmt.Sprintf("%.2f", m.GoroutinesEach))
 	}
--- a/cmd/chestnutbench/bench/rate_limit.go
+++ b/cmd/chestnutbench/bench/rate_limit.go
@@ -43,7 +43,8 @@
 	return true
 }
 
-// recordExecution records a request that was not refused.
+// recordExecution records a request that was not refused. A request with an unknown
+// outcome counts as run.
 func (l *rateLimit) recordExecution(s span) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,7 @@
 const excessTolerance = 1e-6
 
 // worstExcess returns the maximum, over all intervals, of the number of requests
-// that certainly ran within the interval minus (burst + rate x length). A request
+// whose whole span lies within the interval, minus (burst + rate x length). A request
 // ran at an unknown moment of its span, so it counts only for intervals that
 // contain the whole span. The worst interval starts where a span starts and ends
 // where a span ends.
--- a/cmd/chestnutbench/bench/report.go
+++ b/cmd/chestnutbench/bench/report.go
@@ -36,8 +36,8 @@
 	return t.w.Flush()
 }
 
-// print prints the measures of all variants side by side, then the customers of
-// each variant.
+// print prints the measures of all variants side by side, then the customers and the
+// kinds of jobs of each variant.
 func (rep *Report) print(w io.Writer) error {
 	fmt.Fprintf(w, "%s, %s, %v, seed %d, machine load %s on %d CPUs\n\n",
 		rep.Profile, rep.Scenario, rep.Duration, rep.Seed, rep.Machine.Load, rep.Machine.CPUs)
@@ -45,7 +45,7 @@
 		return err
 	}
 	for _, r := range rep.Results {
-		if err := r.printCustomers(w); err != nil {
+		if err := r.printDetails(w); err != nil {
 			return err
 		}
 	}
@@ -63,7 +63,7 @@
 	rep.addRow(t, "worst customer: p99", func(r *Result) string {
 		return fmt.Sprintf("%s %s (median %s)", formatMillis(r.Worst.P99), r.Worst.P99Customer, formatMillis(r.Worst.MedianP99))
 	})
-	rep.addRow(t, "refused inside the rate", func(r *Result) string {
+	rep.addRow(t, "refused within the rate limit", func(r *Result) string {
 		return fmt.Sprintf("%d of %d%s", r.RefusedInside, r.RequestsInside, formatCounts(r.RefusedInsideBy))
 	})
 	rep.printFailover(t)
@@ -87,7 +87,7 @@
 	if rep.Results[0].Failover == nil {
 		return
 	}
-	rep.addRow(t, "failovers (unended)", func(r *Result) string {
+	rep.addRow(t, "failovers (unfinished)", func(r *Result) string {
 		return fmt.Sprintf("%d (%d)", r.Failover.Failovers, r.Failover.Unended)
 	})
 	rep.addRow(t, "failover gap p50 / p99 / worst", func(r *Result) string {
@@ -104,7 +104,7 @@
 
 func (rep *Report) printPhases(t *table) {
 	for i, p := range rep.Results[0].Phases {
-		rep.addRow(t, "service: "+p.Name, func(r *Result) string {
+		rep.addRow(t, "answered in time: "+p.Name, func(r *Result) string {
 			if i >= len(r.Phases) {
 				return "-"
 			}
@@ -121,14 +121,15 @@
 			case c.NotChecked != "":
 				return "not checked: " + c.NotChecked
 			case c.Breaks > 0:
-				return fmt.Sprintf("%d BROKEN (%s)", c.Breaks, c.First)
+				return fmt.Sprintf("%d VIOLATIONS (%s)", c.Breaks, c.First)
 			}
 			return "0"
 		})
 	}
 }
 
-func (r *Result) printCustomers(w io.Writer) error {
+// printDetails prints the customers and the kinds of jobs.
+func (r *Result) printDetails(w io.Writer) error {
 	fmt.Fprintf(w, "customers, %s\n", r.Variant)
 	t := newTable(w)
 	t.row("customer", "rate/s", "offered", "in time", "goodput", "p50", "p99", "max", "refused", "unknown", "other")
--- a/cmd/chestnutbench/bench/result.go
+++ b/cmd/chestnutbench/bench/result.go
@@ -16,7 +16,7 @@
 	Variant         string
 	Offered         int               // jobs
 	ReadsOnReplicas float64           // share of the reads outside explicit transactions
-	ReadsOnServer   map[string]uint64 // reads by backend server
+	ReadsOnServer   map[string]uint64 // of these reads, the number by backend server
 	Failover        *FailoverGap      `json:",omitempty"`
 	Customers       []CustomerResult
 	Kinds           []KindResult
@@ -24,15 +24,15 @@
 	RequestsInside  int            // requests sent within their customer's rate limit
 	RefusedInside   int            // of these, refused
 	RefusedInsideBy map[string]int // by SQLSTATE
-	Errors          map[string]int // errors of requests and logins, by SQLSTATE or "cut", "timeout", "connect" or "closed"
+	Errors          map[string]int // errors of requests and logins, by SQLSTATE or "cut" (connection lost), "timeout", "connect" or "closed"
 	Phases          []PhaseResult
 	Moves           int            // times that sessions moved to a new connection
 	Warnings        map[string]int // warnings and errors that VMs logged, by message
 	Checks          []Check
 }
 
-// CustomerResult holds the service that one customer got. Latencies are measured
-// from the arrival of a job to its response.
+// CustomerResult holds the goodput, latency and job counts of one customer. Latencies
+// are measured from the arrival of a job to its response.
 type CustomerResult struct {
 	Name    string
 	Rate    float64 // requests per second over the whole fleet
@@ -44,7 +44,7 @@
 	Max     time.Duration
 	Refused int
 	Unknown int
-	Other   int // error of the backend server, connection lost, or not sent
+	Other   int // other error, connection lost, or not sent
 }
 
 // KindResult holds the latency of one kind of job, from its arrival to its response.
@@ -67,7 +67,8 @@
 	MedianP99     time.Duration
 }
 
-// PhaseResult holds the service of all customers in a phase of the run.
+// PhaseResult holds the share of jobs of all customers that were answered in time in
+// a phase of the run.
 type PhaseResult struct {
 	Name    string
 	Offered int
@@ -78,8 +79,10 @@
 // the run fails if it is above 0.
 type Check struct {
 	Name   string
-	Breaks int    // violations
-	First  string `json:",omitempty"` // example of a violation
+	Breaks int // violations
+	// First is the first violation of the run, possibly of another guarantee. For the
+	// rate limit it is a customer, for a data centre out of service its name.
+	First string `json:",omitempty"`
 	// NotChecked is the reason why the check does not apply to the run, or empty.
 	NotChecked string `json:",omitempty"`
 }
@@ -173,7 +176,7 @@
 
 // goodput returns the jobs answered in time, relative to the offered jobs within
 // the rate limit. It is capped at 1, because jobs that are answered after the last
-// arrival could raise it above.
+// arrival could raise it above 1.
 func goodput(c counts, jobsWithinRate float64) float64 {
 	expected := min(float64(c.Offered), jobsWithinRate)
 	if expected <= 0 {
@@ -224,13 +227,14 @@
 	return float64(part) / float64(whole)
 }
 
-// checks returns the result of each check.
+// checks returns the checks of the run, from the violations that clients observed
+// and those found in the logs of the backend servers.
 func (r *run) checks(v violations, w writeViolations) []Check {
 	return []Check{
 		{Name: "stale reads", Breaks: v.StaleReads, First: v.Example},
 		{Name: "views older than their bound", Breaks: v.StaleViews, First: v.Example},
 		{Name: "acknowledged writes lost", Breaks: w.Lost, First: w.Example},
-		{Name: "writes doubled", Breaks: w.Duplicated + v.Duplicated, First: w.Example},
+		{Name: "writes committed more than once", Breaks: w.Duplicated + v.Duplicated, First: w.Example},
 		{Name: "writes run though refused", Breaks: w.CommittedThoughRefused, First: w.Example},
 		r.interruptionCheck(v),
 		r.rateLimitCheck(),
@@ -242,7 +246,7 @@
 // rateLimitCheck counts the requests by which customers exceeded their rate limit,
 // each in its worst interval.
 func (r *run) rateLimitCheck() Check {
-	c := Check{Name: "limits overspent"}
+	c := Check{Name: "requests above the rate limit"}
 	for name, l := range r.rateLimits {
 		if excess := l.excess(); excess > 0 {
 			c.Breaks += int(excess) + 1
@@ -252,18 +256,18 @@
 	return c
 }
 
-// interruptionCheck applies only to planned changes: the failure of a server may
-// interrupt requests and transactions.
+// interruptionCheck applies only to planned changes: faults may interrupt requests
+// and transactions.
 func (r *run) interruptionCheck(v violations) Check {
-	c := Check{Name: "requests cut", Breaks: v.Interrupted, First: v.Example}
+	c := Check{Name: "requests interrupted", Breaks: v.Interrupted, First: v.Example}
 	if r.scenario.unplanned {
-		c.NotChecked = fmt.Sprintf("servers fail in this scenario; %d cut", v.Interrupted)
+		c.NotChecked = fmt.Sprintf("faults are injected in this scenario; %d interrupted", v.Interrupted)
 	}
 	return c
 }
 
 func (r *run) revokedKeyCheck(v violations) Check {
-	c := Check{Name: "requests after a revoked key", Breaks: v.RunAfterRevocation, First: v.Example}
+	c := Check{Name: "requests run with a revoked key", Breaks: v.RunAfterRevocation, First: v.Example}
 	if len(r.collector.revokedCustomers()) == 0 {
 		c.NotChecked = "no key was revoked"
 	}
@@ -271,7 +275,7 @@
 }
 
 func (r *run) outOfServiceCheck() Check {
-	c := Check{Name: "work in a data centre that left", NotChecked: "no data centre left"}
+	c := Check{Name: "statements in a data centre out of service", NotChecked: "no data centre was taken out of service and returned"}
 	if out := r.outOfServiceWork; out != nil {
 		c.NotChecked, c.Breaks, c.First = "", int(out.statements), out.dataCentre
 	}
--- a/cmd/chestnutbench/bench/run.go
+++ b/cmd/chestnutbench/bench/run.go
@@ -46,7 +46,9 @@
 	queues         map[queueKey]chan job
 	faultLog       faultLog
 
-	outOfServiceWork *outOfServiceWork // nil unless a data centre was out of service
+	// outOfServiceWork is nil unless a data centre was taken out of service and the
+	// run lasted until its return.
+	outOfServiceWork *outOfServiceWork
 }
 
 // queueKey identifies the sessions of a customer on a route.
@@ -118,16 +120,16 @@
 	r.collector.startPhase(r.scenario.firstPhase(), start)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	var arriving sync.WaitGroup
+	var background sync.WaitGroup
 	for _, c := range r.profile.Customers {
-		arriving.Go(func() { r.generateArrivals(c, start, end) })
+		background.Go(func() { r.generateArrivals(c, start, end) })
 	}
-	arriving.Go(func() { r.reportProgress(ctx, start) })
+	background.Go(func() { r.reportProgress(ctx, start) })
 	var err error
 	if r.scenario.events != nil {
 		err = r.scenario.events(ctx, r)
 	}
-	arriving.Wait()
+	background.Wait()
 	return err
 }
 
--- a/cmd/chestnutbench/bench/scale.go
+++ b/cmd/chestnutbench/bench/scale.go
@@ -31,9 +31,10 @@
 	Memory      uint64  // bytes
 }
 
-// Traffic holds the messages and bytes per second of one VM.
+// Traffic holds the messages and bytes per second of one VM, on the connections that
+// it opens.
 type Traffic struct {
-	Messages float64 // requests sent
+	Messages float64 // writes, about one for each request
 	Bytes    float64 // sent and received, without the headers of lower layers
 }
 
@@ -104,7 +105,7 @@
 	return &Scale{
 		VMs: vms, Groups: groups,
 		Status:   traffic.perSecond(trafficStatus, n, duration),
-		Exchange: traffic.perSecond(trafficExchange, n, duration),
+		Exchange: traffic.perSecond(trafficPeer, n, duration),
 		CPU:      max(0, usage.cpu-baseline.cpu) / n,
 		Memory:   uint64(float64(max(usage.memory, baseline.memory)-baseline.memory) / n),
 	}, nil
@@ -151,8 +152,8 @@
 	}{
 		{"status queries/s", func(s Scale) float64 { return s.Status.Messages }},
 		{"status bytes/s", func(s Scale) float64 { return s.Status.Bytes }},
-		{"exchange messages/s", func(s Scale) float64 { return s.Exchange.Messages }},
-		{"exchange bytes/s", func(s Scale) float64 { return s.Exchange.Bytes }},
+		{"messages to VMs/s", func(s Scale) float64 { return s.Exchange.Messages }},
+		{"bytes to and from VMs/s", func(s Scale) float64 { return s.Exchange.Bytes }},
 		{"CPU, % of a core", func(s Scale) float64 { return 100 * s.CPU }},
 		{"memory, KiB", func(s Scale) float64 { return float64(s.Memory) / 1024 }},
 	}
@@ -214,7 +215,7 @@
 func (rep *ScaleReport) print(w io.Writer) error {
 	fmt.Fprintf(w, "one VM without load, machine load %s on %d CPUs\n\n", rep.Machine.Load, rep.Machine.CPUs)
 	t := newTable(w)
-	t.row("VMs", "groups", "status queries/s", "status bytes/s", "exchange messages/s", "exchange bytes/s", "CPU (of a core)", "memory")
+	t.row("VMs", "groups", "status queries/s", "status bytes/s", "messages to VMs/s", "bytes to and from VMs/s", "CPU (of a core)", "memory")
 	for _, p := range rep.Points {
 		t.row(fmt.Sprint(p.VMs), fmt.Sprint(p.Groups),
 			fmt.Sprintf("%.1f", p.Status.Messages), fmt.Sprintf("%.0f", p.Status.Bytes),
--- a/cmd/chestnutbench/bench/scenarios.go
+++ b/cmd/chestnutbench/bench/scenarios.go
@@ -11,7 +11,7 @@
 type scenario struct {
 	name    string
 	summary string
-	// unplanned is set if servers fail, which may interrupt requests.
+	// unplanned is set if the events are faults, which may interrupt requests.
 	unplanned bool
 	adjust    func(l *load)                           // changes the steady load; nil if none
 	events    func(ctx context.Context, r *run) error // faults and changes during the run; nil if none
@@ -28,9 +28,9 @@
 	// overloadFactor is the load that an overloading customer offers, relative to its
 	// rate.
 	overloadFactor = 5
-	// roamMoveShare is the share of jobs after which a session moves to another VM
-	// in the scenario roam.
-	roamMoveShare = 0.3
+	// frequentMoveShare is the share of jobs after which a session moves to another
+	// VM in the scenario roam.
+	frequentMoveShare = 0.3
 )
 
 // scenarios lists the scenarios with a load on the whole fleet. Overhead and scale
@@ -40,15 +40,16 @@
 	{
 		name: "overload", summary: "one large customer sends five times its rate",
 		adjust: func(l *load) {
+			// bindery is a large customer of the profile fes, frontdesk of peachtree.
 			l.overloadFactors = map[string]float64{"bindery": overloadFactor, "frontdesk": overloadFactor}
 		},
 	},
 	{name: "failover", summary: "primaries crash or stop answering, one group after the other", unplanned: true, events: failPrimaries},
-	{name: "dc-leave", summary: "a data centre leaves, is out and returns, by tickets", events: leaveDataCentre},
+	{name: "dc-leave", summary: "a data centre is taken out of service and returned to service, by tickets", events: takeDataCentreOutOfService},
 	{name: "cutoff", summary: "a data centre is cut off from the others and the platform", unplanned: true, events: isolateDataCentre},
 	{name: "store-down", summary: "the store is down, and a primary fails meanwhile", unplanned: true, events: failStore},
 	{name: "key-withdraw", summary: "the key of a customer is revoked while its clients work", events: revokeKey},
-	{name: "roam", summary: "sessions move to another VM after 30 % of their requests", adjust: func(l *load) { l.moveShare = roamMoveShare }},
+	{name: "roam", summary: "sessions move to another VM after 30 % of their jobs", adjust: func(l *load) { l.moveShare = frequentMoveShare }},
 }
 
 func findScenario(name string) (*scenario, error) {
@@ -73,6 +74,7 @@
 var baselines = []variant{
 	{name: "reads on primary", adjust: func(o *chestnutdyke.Options) { o.Session.ReadsOnPrimary = true }},
 	{name: "no fair queueing", adjust: func(o *chestnutdyke.Options) { o.Queueing.FIFO = true }},
+	// Every VM has the same share of each customer's rate; VMs don't lend rate.
 	{name: "static shares", adjust: func(o *chestnutdyke.Options) { o.StaticShares = true }},
 	{name: "no group commit", adjust: func(o *chestnutdyke.Options) { o.Session.NoGroupCommit = true }},
 }
--- a/cmd/chestnutbench/bench/traffic.go
+++ b/cmd/chestnutbench/bench/traffic.go
@@ -15,9 +15,9 @@
 type trafficKind int
 
 const (
-	trafficOther    trafficKind = iota
-	trafficStatus               // control interfaces of backend servers
-	trafficExchange             // other VMs
+	trafficOther  trafficKind = iota
+	trafficStatus             // control interfaces of backend servers
+	trafficPeer               // other VMs
 	trafficKindCount
 )
 
@@ -34,7 +34,7 @@
 	case port == fleet.ControlPort:
 		return trafficStatus
 	case port == fleet.PeerPort:
-		return trafficExchange
+		return trafficPeer
 	}
 	return trafficOther
 }
--- a/cmd/chestnutbench/bench/workload.go
+++ b/cmd/chestnutbench/bench/workload.go
@@ -8,11 +8,11 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// jobKind is the kind of work of a job.
+// jobKind is the operation that a job performs.
 type jobKind int
 
 const (
-	jobReadOwn     jobKind = iota // reads a key that the session wrote
+	jobReadOwn     jobKind = iota // reads a key that the session wrote; like jobReadAny before its first write
 	jobReadAny                    // reads a key that any session wrote
 	jobView                       // like jobReadAny, through a route with bounded staleness
 	jobInsert                     // inserts a unique key: a reservation or an intake
@@ -80,7 +80,8 @@
 	return l
 }
 
-// requestsPerJob returns the mean number of requests of a job.
+// requestsPerJob returns the mean number of requests of a job that count against the
+// rate.
 func (m mix) requestsPerJob() float64 {
 	n := 1.0
 	for _, s := range m {
--- a/cmd/chestnutbench/bench/write_history.go
+++ b/cmd/chestnutbench/bench/write_history.go
@@ -21,7 +21,7 @@
 
 const (
 	writeAcknowledged writeOutcome = iota
-	writeUnknown                   // 08007, or no answer
+	writeUnknown                   // 08007, or no response
 	writeNotRun                    // refused, failed or rolled back
 )
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// record adds a write. The key is empty if there is no key to read back.
+// record adds a write. The key is empty for appends and for writes that were rolled
+// back, which have no key to read back.
 func (h *writeHistory) record(w write, key string, sent, ended time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,10 +95,10 @@
 // writeViolations counts the writes for which the backend servers' logs contradict
 // what the client was told.
 type writeViolations struct {
-	Lost                   int // acknowledged, and missing from the primary's log
-	Duplicated             int // committed more than once
-	CommittedThoughRefused int // reported as not run, and committed
-	Example                string
+	Lost                   int    // acknowledged, and missing from the primary's log
+	Duplicated             int    // committed more than once
+	CommittedThoughRefused int    // reported as not run, and committed
+	Example                string // first violation of any kind
 }
 
 func (v *writeViolations) noteExample(kind, value string) {
--- a/docs/operators_test.go
+++ b/docs/operators_test.go
@@ -12,7 +12,7 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/ticketfile"
 )
 
-func guide(t *testing.T) string {
+func operationsPage(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("OPERATIONS.md")
 	if err != nil {
@@ -23,12 +23,13 @@
 
 // Guards against a settings reference that differs from the code.
 func TestSettingsReference(t *testing.T) {
-	if want := settings.ReferenceTable(); !strings.Contains(guide(t), want) {
+	if want := settings.ReferenceTable(); !strings.Contains(operationsPage(t), want) {
 		t.Errorf("OPERATIONS.md lacks the table:\n%s", want)
 	}
 }
 
-// Guards against exit codes that differ between the guide and the help text.
+// Guards against exit codes that differ between the operations page and the help
+// text.
 func TestExitCodes(t *testing.T) {
 	var help bytes.Buffer
 	ctl.Run(t.Context(), ctl.Env{Stdout: &help, Stderr: &help}, []string{"-h"})
@@ -36,7 +37,7 @@
 	if !found {
 		t.Fatalf("no exit codes in the help text:\n%s", &help)
 	}
-	text := guide(t)
+	text := operationsPage(t)
 	for _, line := range strings.Split(strings.TrimSpace(codes), "\n") {
 		code, meaning, _ := strings.Cut(strings.TrimSpace(line), "  ")
 		if row := "| " + code + " | " + meaning + " |"; !strings.Contains(text, row) {
@@ -45,9 +46,10 @@
 	}
 }
 
-// Guards against an example of a ticket that is refused.
+// Guards against a ticket example on the operations page that does not pass the
+// checks of a ticket.
 func TestTicketExample(t *testing.T) {
-	_, rest, _ := strings.Cut(guide(t), "```yaml\n")
+	_, rest, _ := strings.Cut(operationsPage(t), "```yaml\n")
 	example, _, found := strings.Cut(rest, "```")
 	if !found {
 		t.Fatal("no example")
@@ -58,20 +60,21 @@
 	}
 }
 
-// Guards against commands and flags in the guide that do not exist.
+// Guards against commands and flags of the lists below that are missing from the
+// operations page or from the program.
 func TestCommandsExist(t *testing.T) {
 	var help bytes.Buffer
 	for _, words := range []string{"ticket check", "ticket apply", "ticket diff", "ticket show", "ticket history", "ticket status", "status", "key new"} {
-		if !strings.Contains(guide(t), "chestnutctl "+words) {
+		if !strings.Contains(operationsPage(t), "chestnutctl "+words) {
 			t.Errorf("OPERATIONS.md does not mention %q", words)
 		}
 		if code := ctl.Run(t.Context(), ctl.Env{Stdout: &help, Stderr: &help}, append(strings.Fields(words), "-h")); code != ctl.ExitOK {
-			t.Errorf("%s -h ended with %d", words, code)
+			t.Errorf("%s -h exited with status %d", words, code)
 		}
 	}
 	for _, flag := range []string{"store", "vm", "wait", "strict", "accept-warnings"} {
-		if !strings.Contains(guide(t), "-"+flag) || !strings.Contains(help.String(), "  -"+flag) {
-			t.Errorf("flag -%s is not in both the guide and the help text", flag)
+		if !strings.Contains(operationsPage(t), "-"+flag) || !strings.Contains(help.String(), "  -"+flag) {
+			t.Errorf("flag -%s is not both on the operations page and in the help text", flag)
 		}
 	}
 }
--- a/docs/platform_pages_test.go
+++ b/docs/platform_pages_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Guards against log lines on the operations page that the program does not
-// print any more.
-func TestOperationsPageShowsRealLines(t *testing.T) {
+// Guards against log lines on the operations page whose message or fields no source
+// file contains.
+func TestOperationsPageLogLines(t *testing.T) {
 	page, err := os.ReadFile("OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -34,20 +34,23 @@
 			continue
 		}
 		if !strings.Contains(sources, `"`+entry.Message+`"`) {
-			t.Errorf("no part logs %q", entry.Message)
+			t.Errorf("no source file contains the log message %q", entry.Message)
 		}
 		for field := range entry.Fields {
 			if !strings.Contains(sources, `"`+field+`"`) {
-				t.Errorf("no part logs the field %q", field)
+				t.Errorf("no source file contains the log field %q", field)
 			}
 		}
 	}
+	// The lower bound detects that the page's log lines are no longer recognised, for
+	// example after a change of their format.
 	if lines < 6 {
-		t.Errorf("the page shows %d lines", lines)
+		t.Errorf("the page shows %d log lines, want at least 6", lines)
 	}
 }
 
-// platformNames are words of the users' platform that only its adapter knows.
+// platformNames matches identifiers of the users' platform. Only its adapter, the
+// folder platform, may contain them.
 var platformNames = regexp.MustCompile(`databaseName|routeKind|apiKeys|maxStalenessMs|coldLeftMs|AFTERLSN|dbRole|ratePerS|txIdleMs|X-Chestnutdyke`)
 
 // Guards against names of the users' platform outside of its adapter.
@@ -57,7 +60,7 @@
 			return
 		}
 		if name := platformNames.FindString(text); name != "" {
-			t.Errorf("%s names %s", path, name)
+			t.Errorf("%s contains the platform name %s, which belongs in the folder platform", path, name)
 		}
 	})
 }
