--- a/cmd/chestnutbench/bench/bench.go
+++ b/cmd/chestnutbench/bench/bench.go
@@ -185,7 +185,7 @@
 		return exitStatus(stderr, err)
 	}
 	for _, r := range report.Results {
-		if r.Broken() {
+		if r.HasViolations() {
 			return exitFailed
 		}
 	}
--- a/cmd/chestnutbench/bench/bench_test.go
+++ b/cmd/chestnutbench/bench/bench_test.go
@@ -81,7 +81,7 @@
 		if res.Failover.P50 <= 0 {
 			t.Errorf("median failover gap %v, want more than 0", res.Failover.P50)
 		}
-		if res.Broken() {
+		if res.HasViolations() {
 			t.Errorf("checks: %+v", res.Checks)
 		}
 	})
--- a/cmd/chestnutbench/bench/result.go
+++ b/cmd/chestnutbench/bench/result.go
@@ -87,9 +87,9 @@
 	NotChecked string `json:",omitempty"`
 }
 
-// Broken reports whether a check that applies to the run found violations. The
-// command then exits with status 1.
-func (r *Result) Broken() bool {
+// HasViolations reports whether a check that applies to the run found violations.
+// The command then exits with status 1.
+func (r *Result) HasViolations() bool {
 	return slices.ContainsFunc(r.Checks, func(c Check) bool { return c.NotChecked == "" && c.Breaks > 0 })
 }
 
--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -24,23 +24,23 @@
 // Kind is the type of message that a frame carries.
 type Kind byte
 
-// Kinds of frames. A reply has the ID of the call that it answers. KindAbort is sent
-// because the client has disconnected or no longer waits for its statement.
+// Kinds of frames. A response has the ID of its request. KindAbort is sent because
+// the client has disconnected or no longer waits for its statement.
 const (
 	KindStatus        Kind = iota + 1 // a Status in JSON: the state of the sender
 	KindPing                          // heartbeat with the partitions of customers' limits for which the sender is the quota coordinator
-	KindPong                          // a Pong, the reply to KindPing
+	KindPong                          // a Pong, the response to KindPing
 	KindStatement                     // a statement.RemoteStatement to run
-	KindResult                        // a statement.Result, the reply to KindStatement
-	KindAbort                         // rolls back the transaction with the given number; no reply
+	KindResult                        // a statement.Result, the response to KindStatement
+	KindAbort                         // rolls back the transaction with the given number; no response
 	KindTokenRequest                  // asks the quota coordinator of one partition of a customer's limit for tokens
-	KindTokenGrant                    // number of tokens granted, the reply to KindTokenRequest
+	KindTokenGrant                    // number of tokens granted, the response to KindTokenRequest
 	KindSnapshot                      // the latest revision that the sender knows of each kind of the store's objects, in JSON; asks for newer ones
-	KindSnapshotReply                 // the newer objects in JSON, the reply to KindSnapshot
+	KindSnapshotReply                 // the newer objects in JSON, the response to KindSnapshot
 )
 
-// Frame is one message. ID matches a reply to its call; it is zero in messages
-// without a reply.
+// Frame is one message. ID matches a response to its request; it is zero in messages
+// without a response.
 type Frame struct {
 	Kind Kind
 	ID   uint64
@@ -195,10 +195,10 @@
 	Group  string
 	Server string
 	Point  state.Point   // end of the server's log at that time
-	Age    time.Duration // when encoded; rounded up to whole milliseconds, so that the confirmation never looks fresher
+	Age    time.Duration // when encoded; rounded up to whole milliseconds, so that the confirmation never appears fresher than it is
 }
 
-// Pong is the reply to a ping.
+// Pong is the response to a ping.
 type Pong struct {
 	Lent          []catalog.LimitPartition // partitions of limits of which the sender lends its share to the receiver
 	Lease         time.Duration            // duration of the loans; whole milliseconds
--- a/protocol/fleetwire/fleetwire_test.go
+++ b/protocol/fleetwire/fleetwire_test.go
@@ -59,8 +59,8 @@
 			t.Errorf("result with an unknown %s is decoded as %+v", name, r)
 		}
 	}
-	if w, err := DecodeStatement(AppendStatement(nil, &statement.RemoteStatement{Command: statement.Command{Verb: unknown}})); err == nil {
-		t.Errorf("a statement with an unknown verb is decoded as %+v", w)
+	if stmt, err := DecodeStatement(AppendStatement(nil, &statement.RemoteStatement{Command: statement.Command{Verb: unknown}})); err == nil {
+		t.Errorf("a statement with an unknown verb is decoded as %+v", stmt)
 	}
 }
 
@@ -70,7 +70,7 @@
 	f.Add(AppendResult(nil, &statement.Result{Answer: statement.Answer{Rows: []string{"a"}}}))
 	f.Add((&Pong{Lent: []catalog.LimitPartition{{Customer: "c"}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if w, err := DecodeStatement(b); err == nil && w == nil {
+		if stmt, err := DecodeStatement(b); err == nil && stmt == nil {
 			t.Error("DecodeStatement returned neither a statement nor an error")
 		}
 		DecodeResult(b)
--- a/protocol/settings/settings.go
+++ b/protocol/settings/settings.go
@@ -147,7 +147,8 @@
 type Baselines struct {
 	// ReadsOnPrimary sends every read to the primary. Default false.
 	ReadsOnPrimary bool `yaml:"reads_on_primary"`
-	// StaticShares disables loans of customers' rates between VMs. Default false.
+	// StaticShares divides each customer's rate equally among all VMs in service, and
+	// disables loans of rates and connections between VMs. Default false.
 	StaticShares bool `yaml:"static_shares"`
 	// NoFairQueueing serves the requests for a backend server in order of arrival.
 	// Default false.
--- a/protocol/yamldoc/document.go
+++ b/protocol/yamldoc/document.go
@@ -31,7 +31,7 @@
 type Document struct {
 	name     string
 	root     *yaml.Node // nil if the file is empty or not valid YAML
-	failed   []Path     // values that could not be decoded
+	failed   []Path     // values that could not be decoded or converted
 	problems []Problem
 }
 
