--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -122,7 +122,7 @@
 	sessions         *sessions.Sessions
 	backends         *pgbackend.Backends
 	groups           *groups.Driver
-	groupViews       *groups.Views
+	groupViews       *groups.ViewGossip
 	limits           *limits.Limits
 	exchange         *exchange.Exchange
 	lifecycle        *lifecycle.Lifecycle
@@ -151,7 +151,7 @@
 	v.buildGroups()
 	v.buildLimits()
 	v.buildBackends()
-	v.sessions.Connect(v.backends, v.groups, v.limits)
+	v.sessions.SetDependencies(v.backends, v.groups, v.limits)
 	v.buildLifecycle()
 	if err := v.buildExchange(); err != nil {
 		return nil, errors.Join(err, v.closeListeners())
@@ -257,7 +257,7 @@
 // ends first.
 func (v *VM) Drain(ctx context.Context) error {
 	v.exchange.SetState(state.Leaving)
-	v.limits.Leave()
+	v.limits.StopBorrowing()
 	select {
 	case <-v.sessions.Drain():
 		return nil
--- a/cmd/chestnutbench/bench/write_history.go
+++ b/cmd/chestnutbench/bench/write_history.go
@@ -123,7 +123,7 @@
 			return c, fmt.Errorf("group %q has no primary at the end of the run", name)
 		}
 		countValues(c.all, g.Commits())
-		countValues(c.surviving, g.Survivors(primary.Name()))
+		countValues(c.surviving, g.SurvivingCommits(primary.Name()))
 	}
 	return c, nil
 }
--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -144,11 +144,11 @@
 		r.lastError = result.Err.Error()
 	}
 	switch result.Outcome {
-	case store.Done:
+	case store.PutApplied:
 		return ticket.Written{}
-	case store.Conflict:
+	case store.PutConflict:
 		return storedEvent(result.Object)
-	case store.NotDone:
+	case store.PutRejected:
 		return ticket.NotWritten{Reason: r.lastError}
 	default:
 		return ticket.WriteLost{Reason: r.lastError}
--- a/cmd/chestnutctl/ctl/apply_test.go
+++ b/cmd/chestnutctl/ctl/apply_test.go
@@ -53,13 +53,13 @@
 	if fault != "before" && p.Version == s.object.Version {
 		s.object = storeapi.Object{Name: "config", Version: p.Version + 1, Value: p.Value}
 		if fault == "" {
-			return store.PutResult{Outcome: store.Done}
+			return store.PutResult{Outcome: store.PutApplied}
 		}
 	}
 	if fault != "" {
-		return store.PutResult{Outcome: store.Unknown, Err: eris.New("answer lost")}
+		return store.PutResult{Outcome: store.PutUnknown, Err: eris.New("answer lost")}
 	}
-	return store.PutResult{Outcome: store.Conflict, Object: s.object}
+	return store.PutResult{Outcome: store.PutConflict, Object: s.object}
 }
 
 func (s *fakeStore) records(t *testing.T) []ticket.Record {
--- a/cmd/chestnutctl/ctl/ctl_test.go
+++ b/cmd/chestnutctl/ctl/ctl_test.go
@@ -80,9 +80,9 @@
 	}
 	result := fleet.store.Put(r.Context(), "", p)
 	switch result.Outcome {
-	case store.Unknown:
+	case store.PutUnknown:
 		panic(http.ErrAbortHandler)
-	case store.Conflict:
+	case store.PutConflict:
 		w.WriteHeader(http.StatusConflict)
 	}
 	_ = json.NewEncoder(w).Encode(result.Object)
--- a/cmd/chestnutsoak/soak/soak.go
+++ b/cmd/chestnutsoak/soak/soak.go
@@ -86,7 +86,7 @@
 	stop()
 	wg.Wait()
 	r.Served, r.Refused, r.Unknown = w.served.Load(), w.refused.Load(), w.unknown.Load()
-	r.Violations = append(r.Violations, w.checker.Finish(tb.groups)...)
+	r.Violations = append(r.Violations, w.checker.Violations(tb.groups)...)
 	return r, nil
 }
 
@@ -122,11 +122,11 @@
 	{"deaf-replicas", func(tb *testbed, rng *rand.Rand) func() {
 		replicas := tb.randomGroup(rng).Replicas()
 		for _, s := range replicas {
-			s.SetDeaf(true)
+			s.SetReplicationPaused(true)
 		}
 		return func() {
 			for _, s := range replicas {
-				s.SetDeaf(false)
+				s.SetReplicationPaused(false)
 			}
 		}
 	}},
@@ -138,7 +138,7 @@
 		return func() {}
 	}},
 	{"configuration", func(tb *testbed, _ *rand.Rand) func() { tb.publishConfig(); return func() {} }},
-	{"lost-history", func(tb *testbed, _ *rand.Rand) func() { tb.store.Forget(); return func() {} }},
+	{"lost-history", func(tb *testbed, _ *rand.Rand) func() { tb.store.CompactHistory(); return func() {} }},
 }
 
 // injectFaults starts random faults, which may overlap, for the time in the options.
@@ -239,7 +239,7 @@
 func (w *workload) writeAndRead(c *client, g *managed.Group, item string, value *int, bound time.Duration) bool {
 	*value++
 	id, a := c.send(statement.Write, fmt.Sprintf("%s %d", item, *value))
-	w.checker.Wrote(g, item, *value, id, a.Code)
+	w.checker.RecordWrite(g, item, *value, id, a.Code)
 	w.count(a.Code)
 	if a.Code == statement.OK {
 		w.lastWriteAt.Store(time.Now().UnixNano())
@@ -252,7 +252,7 @@
 	_, a = c.send(statement.Read, item)
 	w.count(a.Code)
 	if a.Code == statement.OK {
-		w.checker.Read(g, item, bound, start, a)
+		w.checker.CheckRead(g, item, bound, start, a)
 	}
 	return a.Code != statement.Lost
 }
--- a/fleettest/harness_test.go
+++ b/fleettest/harness_test.go
@@ -147,7 +147,7 @@
 }
 
 // cutOffVM cuts a VM off from everything except its clients.
-func (h *harness) cutOffVM(i int) *memnet.Cut {
+func (h *harness) cutOffVM(i int) *memnet.Partition {
 	h.t.Helper()
 	host, _, err := net.SplitHostPort(h.fleet.VM(i).Address())
 	if err != nil {
@@ -269,6 +269,6 @@
 }
 
 // cutHosts cuts two sets of hosts off from each other.
-func (h *harness) cutHosts(a, b []string) *memnet.Cut {
+func (h *harness) cutHosts(a, b []string) *memnet.Partition {
 	return h.fleet.Net.Partition(memnet.Hosts(a...), memnet.Hosts(b...))
 }
--- a/golden_test.go
+++ b/golden_test.go
@@ -31,7 +31,7 @@
 		{"late-answer", goldenLateAnswer},
 		{"lost-before-commit", goldenLost(dbgroup.BeforeCommit)},
 		{"lost-after-commit", goldenLost(dbgroup.AfterCommit)},
-		{"lost-in-answer", goldenLost(dbgroup.MidAnswer)},
+		{"lost-in-answer", goldenLost(dbgroup.MidResponse)},
 	}
 	for _, s := range sessions {
 		t.Run(s.name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 func goldenLateAnswer(h *harness) {
 	c := h.connect(0, "")
 	h.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
-	h.group.Server("ledger-a").DelayNextAnswer(8 * time.Second)
+	h.group.Server("ledger-a").DelayNextResponse(8 * time.Second)
 	if _, err := c.Exec(background, "UPDATE kv SET value = 'late' WHERE key = 'skin-1'"); sqlState(err) != "08007" {
 		h.t.Errorf("late answer: %v", err)
 	}
@@ -127,10 +127,10 @@
 	h.close(c)
 }
 
-func goldenLost(m dbgroup.Moment) func(h *harness) {
+func goldenLost(m dbgroup.BreakPoint) func(h *harness) {
 	return func(h *harness) {
 		c := h.connect(0, "")
-		h.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: m})
+		h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: m})
 		if _, err := c.Exec(background, "INSERT INTO kv VALUES ('skin-1', 'free')", pgx.QueryExecModeSimpleProtocol); sqlState(err) != "08007" {
 			h.t.Errorf("lost connection: %v", err)
 		}
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -32,7 +32,7 @@
 	{"isolate-replication", isolateReplication},
 	{"break-before-commit", func(r *scenarioRun) { r.breakConnections(dbgroup.BeforeCommit) }},
 	{"break-after-commit", func(r *scenarioRun) { r.breakConnections(dbgroup.AfterCommit) }},
-	{"break-answer", func(r *scenarioRun) { r.breakConnections(dbgroup.MidAnswer) }},
+	{"break-answer", func(r *scenarioRun) { r.breakConnections(dbgroup.MidResponse) }},
 	{"late-answer", lateAnswer},
 	{"reset-connections", func(r *scenarioRun) { r.fleet.ResetVM(r.focusVM()) }},
 	{"kill-vm", killVM},
@@ -154,9 +154,9 @@
 
 // breakConnections makes each server break 1 to 4 connections at the given moment
 // of a request.
-func (r *scenarioRun) breakConnections(m dbgroup.Moment) {
+func (r *scenarioRun) breakConnections(m dbgroup.BreakPoint) {
 	for _, s := range r.group.Servers() {
-		s.BreakConnections(dbgroup.Break{Moment: m, Count: 1 + r.rng.IntN(4)})
+		s.BreakConnections(dbgroup.ConnectionFault{Moment: m, Count: 1 + r.rng.IntN(4)})
 		r.onHeal(s.ClearFaults)
 	}
 }
@@ -166,7 +166,7 @@
 func lateAnswer(r *scenarioRun) {
 	for _, s := range r.group.Servers() {
 		for range 1 + r.rng.IntN(4) {
-			s.DelayNextAnswer(time.Duration(r.rng.Int64N(int64(2 * r.fleet.Profile.Deadline))))
+			s.DelayNextResponse(time.Duration(r.rng.Int64N(int64(2 * r.fleet.Profile.Deadline))))
 		}
 		r.onHeal(s.ClearFaults)
 	}
--- a/matrix/result_test.go
+++ b/matrix/result_test.go
@@ -57,9 +57,9 @@
 }
 
 // groundTruth returns what the servers did, with the given final primary.
-func groundTruth(g *dbgroup.Group, primary *server) history.Truth {
+func groundTruth(g *dbgroup.Group, primary *server) history.ServerRecord {
 	st := primary.Status()
-	t := history.Truth{Final: history.Point{Term: st.LogTerm, Position: st.Position}}
+	t := history.ServerRecord{Final: history.Point{Term: st.LogTerm, Position: st.Position}}
 	for _, s := range g.TermStarts() {
 		base := history.Point{Term: s.Base.Term, Position: s.Base.Position}
 		t.Terms = append(t.Terms, history.TermStart{Term: s.Term, Base: base})
--- a/node.go
+++ b/node.go
@@ -44,12 +44,12 @@
 	Workers       int
 	Grace         time.Duration // from the call of Drain until the process must have exited
 
-	Network  network.Network
-	Clients  sqlfront.Dialect
-	Servers  sqlback.Dialect
-	Source   directory.Source
-	Duties   promotion.Duties
-	Platform promotion.Platform
+	Network       network.Network
+	ClientDialect sqlfront.Dialect
+	ServerDialect sqlback.Dialect
+	Source        directory.Source
+	Duties        promotion.Duties
+	Platform      promotion.Platform
 
 	Logger  log.Interface
 	Scope   tally.Scope
@@ -90,7 +90,7 @@
 	links      *fleetlink.Links
 	dispatcher *dispatch.Dispatcher
 	executor   *sqlback.Executor
-	admission  *admission.Gate
+	admission  *admission.Controller
 	frontend   *sqlfront.Server
 	directory  *directory.Directory
 	promoter   *promotion.Coordinator
@@ -110,13 +110,13 @@
 		Name: o.Name, Address: o.LinkAddress, DataCentre: o.DataCentre, Weight: o.Weight, Incarnation: time.Now().UnixNano(),
 	}, o.Logger)
 	n.executor = sqlback.New(sqlback.Options{
-		Network: o.Network, Dialect: o.Servers, Pool: n.pool, Table: n.catalog, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
-		Chosen: func(customer string, s *catalog.Server) bool {
+		Network: o.Network, Dialect: o.ServerDialect, Pool: n.pool, Table: n.catalog, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
+		HoldsConnections: func(customer string, s *catalog.Server) bool {
 			vm, ok := n.links.View().ConnectionOwner(customer, s)
 			return ok && vm == o.Name
 		},
-		Reached: func(unreachable []string) {
-			n.links.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Unreachable = unreachable })
+		ReportUnreachable: func(unreachable []string) {
+			n.links.UpdateStatus(fleetlink.All, func(s *fleetwire.Status) { s.Unreachable = unreachable })
 		},
 	})
 	n.admission = admission.New(n.catalog, n.quota, n.links, o.Logger, o.Scope)
@@ -124,14 +124,14 @@
 		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.admission, Quota: n.quota, Leadership: n.leaders, Table: n.catalog, Logger: o.Logger,
 	})
 	n.frontend = sqlfront.New(sqlfront.Options{
-		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.Clients, Pool: n.pool, Table: n.catalog,
+		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.ClientDialect, Pool: n.pool, Table: n.catalog,
 		Leadership: n.leaders, View: n.links.View, Runner: n.dispatcher, Admitter: n.admission, Logger: o.Logger, Scope: o.Scope, Tracer: o.Tracer,
 	})
 	member := directory.Member{Name: o.Name, Address: o.LinkAddress}
 	n.directory = directory.New(o.Source, n.links, n.catalog, n.leaders, member, o.Logger, o.Scope)
-	n.dispatcher.Use(n.directory)
+	n.dispatcher.SetDirectory(n.directory)
 	n.promoter = promotion.New(promotion.Options{
-		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.Servers, Table: n.catalog, Leadership: n.leaders,
+		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.ServerDialect, Table: n.catalog, Leadership: n.leaders,
 		View: n.links.View, Logger: o.Logger, Scope: o.Scope,
 	})
 	return n
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, seed := range n.options.Seeds {
-		n.links.Meet(seed)
+		n.links.Connect(seed)
 	}
 	return g.Wait()
 }
@@ -189,7 +189,7 @@
 			n.isolated.Store(isolated)
 			n.options.Logger.WithField("isolated", isolated).Warn("vm: isolation changed.")
 		}
-		n.frontend.Shed(isolated || n.deregistered())
+		n.frontend.SetCloseIdle(isolated || n.deregistered())
 	}
 }
 
@@ -242,8 +242,8 @@
 	start := clock.Now()
 	n.draining.Store(true)
 	n.drainStartedAt.Store(int64(start))
-	n.options.Logger.WithField("sessions", n.frontend.Open()).Info("vm: planned stop.")
-	n.links.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Leaving = true })
+	n.options.Logger.WithField("sessions", n.frontend.SessionCount()).Info("vm: planned stop.")
+	n.links.UpdateStatus(fleetlink.All, func(s *fleetwire.Status) { s.Leaving = true })
 	transactionsEnded := false
 	for {
 		elapsed := clock.Now() - start
@@ -251,7 +251,7 @@
 			n.frontend.EndTransactions()
 			transactionsEnded = true
 		}
-		if elapsed >= n.options.Grace-exitMargin || elapsed >= deregistrationDelay && n.frontend.Open() == 0 && n.executor.Open() == 0 {
+		if elapsed >= n.options.Grace-exitMargin || elapsed >= deregistrationDelay && n.frontend.SessionCount() == 0 && n.executor.OpenCount() == 0 {
 			return
 		}
 		time.Sleep(isolationCheckInterval)
--- a/session_test.go
+++ b/session_test.go
@@ -147,16 +147,16 @@
 // Guards against a write that runs twice, or whose unknown outcome is reported as
 // "not run", when the backend connection breaks around the commit.
 func TestLostConnectionAroundCommit(t *testing.T) {
-	moments := map[string]dbgroup.Moment{
+	moments := map[string]dbgroup.BreakPoint{
 		"before the commit":      dbgroup.BeforeCommit,
 		"after the commit":       dbgroup.AfterCommit,
-		"in the answer's middle": dbgroup.MidAnswer,
+		"in the answer's middle": dbgroup.MidResponse,
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(h *harness) {
 				c := h.connect(0, "")
-				h.group.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: moment})
+				h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: moment})
 				_, err := c.Exec(background, "APPEND log 'lot 7'")
 				if got := sqlState(err); got != "08007" {
 					t.Errorf("SQLSTATE %q, want 08007 (%v)", got, err)
@@ -209,7 +209,7 @@
 }
 
 func breakAfterCommit(g *dbgroup.Group) {
-	g.Server("ledger-a").BreakConnections(dbgroup.Break{Moment: dbgroup.AfterCommit})
+	g.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: dbgroup.AfterCommit})
 }
 
 func pauseReplication(g *dbgroup.Group) {
--- a/standin/dbgroup/control.go
+++ b/standin/dbgroup/control.go
@@ -68,7 +68,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	answered := make(chan groupapi.Response, 1)
-	s.queue.PostAlways(func() {
+	s.queue.PostUnbounded(func() {
 		refusal := execute(order)
 		answered <- groupapi.Response{Refused: refusal, Status: s.node.status()}
 	})
--- a/standin/dbgroup/execution.go
+++ b/standin/dbgroup/execution.go
@@ -67,7 +67,7 @@
 		}
 		c.tx.writeText = st.Text
 	}
-	duration := c.server.options.StatementCost
+	duration := c.server.options.StatementDuration
 	if st.Kind == sqltext.SelectSleep {
 		seconds, err := strconv.ParseFloat(c.execution.args[0], 64)
 		if err != nil {
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -7,22 +7,22 @@
 	"github.com/chestnutdyke/chestnutdyke/state/lockrank"
 )
 
-// Moment is the point of a statement or commit at which a client connection is
+// BreakPoint is the point of a statement or commit at which a client connection is
 // broken.
-type Moment int
+type BreakPoint int
 
 // Points at which a connection is broken.
 const (
-	BeforeCommit Moment = iota + 1 // the transaction is rolled back
-	AfterCommit                    // the transaction is committed, but no response is sent
-	MidAnswer                      // the first half of the bytes of the response is sent
+	BeforeCommit BreakPoint = iota + 1 // the transaction is rolled back
+	AfterCommit                        // the transaction is committed, but no response is sent
+	MidResponse                        // the first half of the bytes of the response is sent
 )
 
-// Break is a fault that closes client connections. Without a Match, BeforeCommit
-// and AfterCommit apply to commits of transactions that wrote, and MidAnswer to
-// statements that read or change data.
-type Break struct {
-	Moment Moment
+// ConnectionFault is a fault that closes client connections. Without a Match,
+// BeforeCommit and AfterCommit apply to commits of transactions that wrote, and
+// MidResponse to statements that read or change data.
+type ConnectionFault struct {
+	Moment BreakPoint
 	Match  string // substring of the statement text, for a commit that of its latest write; empty matches all
 	Count  int    // number of connections to break; zero means 1
 }
@@ -36,7 +36,7 @@
 // faultTable holds the pending faults that tests injected, and counts statements.
 type faultTable struct {
 	mu         lockrank.Mutex // guards the fields below
-	breaks     []Break
+	breaks     []ConnectionFault
 	delays     []time.Duration
 	statements uint64
 	reads      Reads
@@ -51,7 +51,7 @@
 
 func newFaultTable() *faultTable { return &faultTable{mu: lockrank.New(rankFaults)} }
 
-func (t *faultTable) addBreak(b Break) {
+func (t *faultTable) addBreak(b ConnectionFault) {
 	b.Count = max(b.Count, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,20 +76,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !usesData {
-		return responseFault{truncate: t.takeBreak(MidAnswer, text, true)}
+		return responseFault{truncate: t.takeBreak(MidResponse, text, true)}
 	}
 	t.statements++
 	var f responseFault
 	if len(t.delays) > 0 {
 		f.delay, t.delays = t.delays[0], t.delays[1:]
 	}
-	f.truncate = t.takeBreak(MidAnswer, text, false)
+	f.truncate = t.takeBreak(MidResponse, text, false)
 	return f
 }
 
 // takeCommitBreak reports whether the connection must be broken at the given point
 // of a commit, and uses up the fault.
-func (t *faultTable) takeCommitBreak(m Moment, text string) bool {
+func (t *faultTable) takeCommitBreak(m BreakPoint, text string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.takeBreak(m, text, false)
@@ -97,7 +97,7 @@
 
 // takeBreak uses up one count of the first break that applies, and reports whether
 // there was one. The caller holds t.mu.
-func (t *faultTable) takeBreak(m Moment, text string, requireMatch bool) bool {
+func (t *faultTable) takeBreak(m BreakPoint, text string, requireMatch bool) bool {
 	for i := range t.breaks {
 		b := &t.breaks[i]
 		if b.Moment != m || requireMatch && b.Match == "" || !strings.Contains(text, b.Match) {
--- a/standin/dbgroup/faults_test.go
+++ b/standin/dbgroup/faults_test.go
@@ -9,21 +9,21 @@
 )
 
 // Guards against connections broken at the wrong point: whether the transaction
-// is committed depends on the Moment of the break.
+// is committed depends on the BreakPoint of the break.
 func TestBrokenConnections(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		a := env.group.Server("a")
 		for _, f := range []struct {
-			moment    Moment
+			moment    BreakPoint
 			committed bool
 		}{
 			{BeforeCommit, false},
 			{AfterCommit, true},
-			{MidAnswer, true},
+			{MidResponse, true},
 		} {
 			c := env.mustConnect("a")
 			before := len(env.group.Commits())
-			a.BreakConnections(Break{Moment: f.moment, Match: "APPEND"})
+			a.BreakConnections(ConnectionFault{Moment: f.moment, Match: "APPEND"})
 			env.mustExec(c, "UPSERT kv ('k', 'v')")
 			if _, err := exec(c, "APPEND log 'x'"); err == nil {
 				t.Fatalf("moment %d: the statement was answered", f.moment)
@@ -41,7 +41,7 @@
 func TestDelayedResponse(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		c := env.mustConnect("a")
-		env.group.Server("a").DelayNextAnswer(time.Second)
+		env.group.Server("a").DelayNextResponse(time.Second)
 		start := time.Now()
 		env.mustExec(c, "APPEND log '1'")
 		if took := time.Since(start); took < time.Second {
--- a/standin/dbgroup/group.go
+++ b/standin/dbgroup/group.go
@@ -112,9 +112,9 @@
 // so that a test can check that a customer's key never reaches a backend server.
 func (g *Group) Startups() []Startup { return g.history.copyStartups() }
 
-// Survivors returns the commits whose records are in the log of the given
+// SurvivingCommits returns the commits whose records are in the log of the given
 // server, in the order in which they happened.
-func (g *Group) Survivors(server string) []Commit {
+func (g *Group) SurvivingCommits(server string) []Commit {
 	records := g.byName[server].Log()
 	var survivors []Commit
 	for _, c := range g.Commits() {
@@ -130,6 +130,6 @@
 // scheduleReplication makes all servers check their primary for new log records.
 func (g *Group) scheduleReplication() {
 	for _, s := range g.servers {
-		s.queue.PostAlways(s.replicate)
+		s.queue.PostUnbounded(s.replicate)
 	}
 }
--- a/standin/dbgroup/options.go
+++ b/standin/dbgroup/options.go
@@ -56,16 +56,16 @@
 
 // ServerOptions configure a backend server.
 type ServerOptions struct {
-	Name             string // unique within the group
-	DataCentre       string // reported by Server.DataCentre only
-	Network          network.Network
-	Address          string        // of the wire protocol; port 0 picks a free port
-	ControlAddress   string        // of the control interface; port 0 picks a free port
-	Slots            int           // statements that execute at the same time; zero means 3
-	Connections      int           // maximum number of connections; zero means 100
-	ConnectCost      time.Duration // from the startup message to its response
-	StatementCost    time.Duration // execution time of a statement, during which it holds a slot
-	ReplicationDelay time.Duration // from a commit on the primary until the record arrives at this server
+	Name              string // unique within the group
+	DataCentre        string // reported by Server.DataCentre only
+	Network           network.Network
+	Address           string        // of the wire protocol; port 0 picks a free port
+	ControlAddress    string        // of the control interface; port 0 picks a free port
+	Slots             int           // statements that execute at the same time; zero means 3
+	Connections       int           // maximum number of connections; zero means 100
+	ConnectDelay      time.Duration // from the startup message to its response
+	StatementDuration time.Duration // execution time of a statement, during which it holds a slot
+	ReplicationDelay  time.Duration // from a commit on the primary until the record arrives at this server
 }
 
 func (o *ServerOptions) setDefaults() {
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -43,7 +43,7 @@
 		return
 	}
 	s.nextReplication = at
-	time.AfterFunc(at.Sub(now), func() { s.queue.PostAlways(s.replicate) })
+	time.AfterFunc(at.Sub(now), func() { s.queue.PostUnbounded(s.replicate) })
 }
 
 // replicationSource is the primary that a replica replicates from, with the state
--- a/standin/dbgroup/replication_test.go
+++ b/standin/dbgroup/replication_test.go
@@ -144,7 +144,7 @@
 		if _, exists := env.group.Server("a").Value("k"); exists {
 			t.Fatal("the dropped tail still shows")
 		}
-		if all, kept := len(env.group.Commits()), len(env.group.Survivors("b")); all != 5 || kept != 2 {
+		if all, kept := len(env.group.Commits()), len(env.group.SurvivingCommits("b")); all != 5 || kept != 2 {
 			t.Fatalf("%d commits of which %d survive, want 5 and 2", all, kept)
 		}
 	})
@@ -178,7 +178,7 @@
 // Guards against the commit of a write that was in progress when its server
 // adopted a higher term or was stopped.
 func TestWriteInProgressDoesNotCommitAfterFencing(t *testing.T) {
-	slowStatements := func(o *Options) { o.Servers[0].StatementCost = 10 * time.Millisecond }
+	slowStatements := func(o *Options) { o.Servers[0].StatementDuration = 10 * time.Millisecond }
 	inBubble(t, slowStatements, func(t *testing.T, env *testEnv) {
 		tx := env.mustConnect("a")
 		env.mustExec(tx, "BEGIN; APPEND log 'transaction'")
--- a/standin/dbgroup/server.go
+++ b/standin/dbgroup/server.go
@@ -12,7 +12,7 @@
 )
 
 // queueLimit is the capacity of the event queue of a session or server. Events
-// here are posted with PostAlways, which ignores it; inboxLimit bounds the
+// here are posted with PostUnbounded, which ignores it; inboxLimit bounds the
 // messages of a session.
 const queueLimit = 128
 
@@ -154,14 +154,14 @@
 
 // BreakConnections injects a fault that closes client connections. Several faults
 // may be pending at once.
-func (s *Server) BreakConnections(b Break) { s.faults.addBreak(b) }
+func (s *Server) BreakConnections(b ConnectionFault) { s.faults.addBreak(b) }
 
-// DelayNextAnswer delays the response to the next statement that uses data, while
+// DelayNextResponse delays the response to the next statement that uses data, while
 // the statement executes and commits without the delay. Each further call applies
 // to one more statement.
-func (s *Server) DelayNextAnswer(d time.Duration) { s.faults.addDelay(d) }
+func (s *Server) DelayNextResponse(d time.Duration) { s.faults.addDelay(d) }
 
-// ClearFaults removes the pending faults of BreakConnections and DelayNextAnswer.
+// ClearFaults removes the pending faults of BreakConnections and DelayNextResponse.
 func (s *Server) ClearFaults() { s.faults.clear() }
 
 // Name returns the name of the server from its options.
--- a/standin/dbgroup/session.go
+++ b/standin/dbgroup/session.go
@@ -70,7 +70,7 @@
 }
 
 // post appends an event to the queue of the session.
-func (c *session) post(event func()) { c.queue.PostAlways(event) }
+func (c *session) post(event func()) { c.queue.PostUnbounded(event) }
 
 // receive adds a message to the inbox and handles it once the session is neither
 // waiting nor paused.
@@ -183,7 +183,7 @@
 		c.endWithError(fatalf(codeTooManyConnections, "too many connections for server %s", c.server.Name()))
 		return
 	}
-	c.continueAfter(c.server.options.ConnectCost, c.authenticate)
+	c.continueAfter(c.server.options.ConnectDelay, c.authenticate)
 }
 
 func (c *session) authenticate() {
--- a/standin/dbgroup/wire.go
+++ b/standin/dbgroup/wire.go
@@ -78,7 +78,7 @@
 	case <-c.ended:
 		return false
 	}
-	return c.queue.PostAlways(func() { c.receive(m) })
+	return c.queue.PostUnbounded(func() { c.receive(m) })
 }
 
 // forwardCancel passes a cancel request to the session it refers to, if that
--- a/standin/dbgroup/wire_test.go
+++ b/standin/dbgroup/wire_test.go
@@ -99,7 +99,7 @@
 func TestSlotsQueueStatements(t *testing.T) {
 	twoSlots := func(o *Options) {
 		o.Servers[0].Slots = 2
-		o.Servers[0].StatementCost = 10 * time.Millisecond
+		o.Servers[0].StatementDuration = 10 * time.Millisecond
 	}
 	inBubble(t, twoSlots, func(t *testing.T, env *testEnv) {
 		const clients = 6
@@ -143,7 +143,7 @@
 func TestConnectionLimit(t *testing.T) {
 	twoConnections := func(o *Options) {
 		o.Servers[0].Connections = 2
-		o.Servers[0].ConnectCost = 30 * time.Millisecond
+		o.Servers[0].ConnectDelay = 30 * time.Millisecond
 	}
 	inBubble(t, twoConnections, func(t *testing.T, env *testEnv) {
 		start := time.Now()
--- a/standin/fleet/faults.go
+++ b/standin/fleet/faults.go
@@ -4,13 +4,13 @@
 
 // CutOffVM cuts a VM off from all data centres and from the platform. Clients still
 // reach it.
-func (f *Fleet) CutOffVM(vm int) *memnet.Cut {
+func (f *Fleet) CutOffVM(vm int) *memnet.Partition {
 	others := append([]string{storeZone}, f.Profile.DataCentres...)
 	return f.Net.Partition(memnet.Hosts(vmHost(vm)), memnet.Zones(others...))
 }
 
 // CutOffClients cuts the clients off from a VM.
-func (f *Fleet) CutOffClients(vm int) *memnet.Cut {
+func (f *Fleet) CutOffClients(vm int) *memnet.Partition {
 	return f.Net.Partition(memnet.Hosts(vmHost(vm)), memnet.Zones(clientZone))
 }
 
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -127,16 +127,16 @@
 	for s := range p.ServersPerGroup {
 		dc, host := p.serverDataCentre(i, s), serverHost(i, s)
 		o.Servers = append(o.Servers, dbgroup.ServerOptions{
-			Name:             fmt.Sprintf("%s-%c", name, 'a'+s),
-			DataCentre:       dc,
-			Network:          f.Host(host, dc),
-			Address:          address(host, postgresPort),
-			ControlAddress:   address(host, controlPort),
-			Slots:            p.Slots,
-			Connections:      p.Connections,
-			ConnectCost:      p.ConnectCost,
-			StatementCost:    p.StatementCost,
-			ReplicationDelay: p.ReplicationDelay,
+			Name:              fmt.Sprintf("%s-%c", name, 'a'+s),
+			DataCentre:        dc,
+			Network:           f.Host(host, dc),
+			Address:           address(host, postgresPort),
+			ControlAddress:    address(host, controlPort),
+			Slots:             p.Slots,
+			Connections:       p.Connections,
+			ConnectDelay:      p.ConnectCost,
+			StatementDuration: p.StatementCost,
+			ReplicationDelay:  p.ReplicationDelay,
 		})
 	}
 	g, err := dbgroup.New(o)
@@ -224,7 +224,7 @@
 type Isolation struct {
 	fleet     *Fleet
 	dc        string
-	partition *memnet.Cut
+	partition *memnet.Partition
 }
 
 // Isolate cuts a data centre, and the replication of its servers, off from the other
--- a/standin/history/check.go
+++ b/standin/history/check.go
@@ -37,7 +37,7 @@
 // Check runs all checks on what clients saw and what the servers did. It returns one
 // verdict per check, always in the same order, and panics if two requests write the
 // same value.
-func Check(h History, t Truth) []Verdict {
+func Check(h History, t ServerRecord) []Verdict {
 	c := newChecker(h, t)
 	checks := []struct {
 		name string
@@ -101,14 +101,14 @@
 // check has found.
 type checker struct {
 	history    History
-	index      *truthIndex
+	index      *recordIndex
 	units      []*unit
 	unitOf     map[string]*unit // by value written
 	violations []string
 }
 
-func newChecker(h History, t Truth) *checker {
-	c := &checker{history: h, index: newTruthIndex(t), unitOf: make(map[string]*unit)}
+func newChecker(h History, t ServerRecord) *checker {
+	c := &checker{history: h, index: newRecordIndex(t), unitOf: make(map[string]*unit)}
 	open := make(map[int]*unit) // by ID of the Begin
 	for i := range h.Requests {
 		c.collect(&h.Requests[i], open)
--- a/standin/history/check_test.go
+++ b/standin/history/check_test.go
@@ -8,11 +8,11 @@
 // scenario builds a history and the matching truth. Term 1 begins at position 1.
 type scenario struct {
 	history History
-	truth   Truth
+	truth   ServerRecord
 }
 
 func newScenario() *scenario {
-	return &scenario{truth: Truth{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
+	return &scenario{truth: ServerRecord{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
 }
 
 // request adds a request, with its result, and returns its ID.
--- a/standin/history/truth.go
+++ b/standin/history/server_record.go
@@ -25,23 +25,24 @@
 	Base Point // zero if the log was empty
 }
 
-// Truth is what the servers of a database group did, as the group recorded it.
-type Truth struct {
+// ServerRecord is what the servers of a database group did, as the group recorded
+// it.
+type ServerRecord struct {
 	Commits []CommitRecord // in the order in which they happened
 	Terms   []TermStart    // in any order
 	Final   Point          // last record of the primary at the end
 }
 
-// truthIndex finds commits of a Truth. Commits are identified by their index in
-// Truth.Commits.
-type truthIndex struct {
-	truth   Truth
+// recordIndex finds commits of a ServerRecord. Commits are identified by their
+// index in Truth.Commits.
+type recordIndex struct {
+	truth   ServerRecord
 	bases   map[uint64]Point // by term
 	byValue map[string][]int // commits that hold a value, in ascending order
 }
 
-func newTruthIndex(t Truth) *truthIndex {
-	x := &truthIndex{truth: t, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
+func newRecordIndex(t ServerRecord) *recordIndex {
+	x := &recordIndex{truth: t, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
 	for _, s := range t.Terms {
 		x.bases[s.Term] = s.Base
 	}
@@ -54,7 +55,7 @@
 }
 
 // logContains reports whether the log that ends at end contains the record at p.
-func (x *truthIndex) logContains(end, p Point) bool {
+func (x *recordIndex) logContains(end, p Point) bool {
 	for end.Term > p.Term {
 		end = x.bases[end.Term]
 	}
@@ -62,7 +63,7 @@
 }
 
 // commitsOf returns the commits that hold a value of any of the changes.
-func (x *truthIndex) commitsOf(changes []Change) []int {
+func (x *recordIndex) commitsOf(changes []Change) []int {
 	var found []int
 	for _, c := range changes {
 		found = append(found, x.byValue[c.Value]...)
@@ -72,12 +73,12 @@
 }
 
 // inFinalLog reports whether the primary at the end holds the commit.
-func (x *truthIndex) inFinalLog(commit int) bool {
+func (x *recordIndex) inFinalLog(commit int) bool {
 	return x.logContains(x.truth.Final, x.truth.Commits[commit].Point)
 }
 
 // commitsUpTo returns the commits of the log that ends at the given record, in order.
-func (x *truthIndex) commitsUpTo(end Point) []int {
+func (x *recordIndex) commitsUpTo(end Point) []int {
 	var found []int
 	for i := range x.truth.Commits {
 		if x.logContains(end, x.truth.Commits[i].Point) {
@@ -92,7 +93,7 @@
 
 // logEntries returns the values without a key in the log that ends at the given
 // record, in order.
-func (x *truthIndex) logEntries(end Point) []string {
+func (x *recordIndex) logEntries(end Point) []string {
 	var entries []string
 	for _, i := range x.commitsUpTo(end) {
 		for _, c := range x.truth.Commits[i].Changes {
--- a/standin/managed/check.go
+++ b/standin/managed/check.go
@@ -38,9 +38,9 @@
 	return &Checker{acked: make(map[string][]ackedWrite), unknown: make(map[string]map[int]string)}
 }
 
-// Wrote records the code of the answer to a write, or to the commit of its
+// RecordWrite records the code of the answer to a write, or to the commit of its
 // transaction. id is that of the write.
-func (c *Checker) Wrote(g *Group, item string, value int, id string, code statement.Code) {
+func (c *Checker) RecordWrite(g *Group, item string, value int, id string, code statement.Code) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch code {
@@ -56,12 +56,12 @@
 	}
 }
 
-// Read checks the answer to a read that was sent at sentAt. The read must see
+// CheckRead checks the answer to a read that was sent at sentAt. The read must see
 // every commit that was acknowledged more than maxStaleness before, unless a
 // promotion dropped the commit. A write with an unknown outcome may be committed
 // late, because the network can delay its bytes until after its client got an
 // answer; reads then return the older value of that write again.
-func (c *Checker) Read(g *Group, item string, maxStaleness time.Duration, sentAt time.Time, a statement.Answer) {
+func (c *Checker) CheckRead(g *Group, item string, maxStaleness time.Duration, sentAt time.Time, a statement.Answer) {
 	got := 0
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,9 +84,10 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Finish checks the complete logs for rejected writes and for repeated ones, and
-// returns all violations that were found. It is called once, after the last write.
-func (c *Checker) Finish(groups map[string]*Group) []string {
+// Violations checks the complete logs for rejected writes and for repeated ones,
+// and returns all violations that were found. It is called once, after the last
+// write.
+func (c *Checker) Violations(groups map[string]*Group) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.rejected {
--- a/standin/managed/deployment.go
+++ b/standin/managed/deployment.go
@@ -95,7 +95,7 @@
 // be called in a synctest bubble, and the caller must call Stop.
 func Start(o Options) *Deployment {
 	epoch := time.Now().Add(-time.Hour)
-	clock.SetSource(func() time.Duration { return time.Since(epoch) })
+	clock.SetForTest(func() time.Duration { return time.Since(epoch) })
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Deployment{
 		Options: o, Net: memnet.New(1), Store: newStore(), Groups: make(map[string]*Group), VMs: make(map[string]*VM),
@@ -130,7 +130,7 @@
 	d.Net.Close()
 	// All goroutines that are left end within a second of virtual time.
 	time.Sleep(time.Second)
-	clock.SetSource(nil)
+	clock.SetForTest(nil)
 }
 
 func zoneName(z int) string { return fmt.Sprintf("zone-%d", z) }
@@ -235,8 +235,8 @@
 	s.answersToDrop = n
 }
 
-// SetDeaf pauses or resumes replication to the server.
-func (s *Server) SetDeaf(paused bool) {
+// SetReplicationPaused pauses or resumes replication to the server.
+func (s *Server) SetReplicationPaused(paused bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	s.logLength() // updates received
@@ -345,7 +345,7 @@
 		Name: name, DataCentre: zone, Weight: 1, Workers: 2, Grace: 6 * time.Second,
 		ClientAddress: fmt.Sprintf("%s:%d", name, clientPort), LinkAddress: fmt.Sprintf("%s:%d", name, linkPort),
 		ReadyAddress: fmt.Sprintf("%s:%d", name, readyPort),
-		Network:      host, Clients: Clients{}, Servers: Servers{}, Source: c, Duties: c, Platform: c,
+		Network:      host, ClientDialect: Clients{}, ServerDialect: Servers{}, Source: c, Duties: c, Platform: c,
 		Logger: d.Logger.WithField("vm", name), Scope: tally.NoopScope, Tracer: d.Tracer,
 	})
 	d.mu.Lock()
--- a/standin/managed/faults_test.go
+++ b/standin/managed/faults_test.go
@@ -195,13 +195,13 @@
 		time.Sleep(time.Second)
 		for _, g := range d.Groups {
 			for _, s := range g.Replicas() {
-				s.SetDeaf(true)
+				s.SetReplicationPaused(true)
 			}
 		}
 		time.Sleep(4 * time.Second)
 		for _, g := range d.Groups {
 			for _, s := range g.Replicas() {
-				s.SetDeaf(false)
+				s.SetReplicationPaused(false)
 			}
 		}
 		time.Sleep(time.Second)
@@ -256,7 +256,7 @@
 		d.Store.SetOutage("", Unresponsive)
 		time.Sleep(500 * time.Millisecond)
 		d.Configure(func(c *catalog.Config) { c.Customers[0].Keys = nil })
-		d.Store.Forget()
+		d.Store.CompactHistory()
 		d.Store.SetOutage("", Available)
 		time.Sleep(configWithin)
 		for _, vm := range d.VMs {
--- a/standin/managed/load_test.go
+++ b/standin/managed/load_test.go
@@ -58,7 +58,7 @@
 	l.stop = true
 	l.mu.Unlock()
 	l.clients.Wait()
-	for _, v := range l.checker.Finish(l.d.Groups) {
+	for _, v := range l.checker.Violations(l.d.Groups) {
 		l.t.Error(v)
 	}
 }
@@ -124,7 +124,7 @@
 			value++
 			id, a := l.writeOnce(c, fmt.Sprintf("%s %d", item, value), value%4 == 0)
 			l.countAnswer(a)
-			l.checker.Wrote(g, item, value, id, a.Code)
+			l.checker.RecordWrite(g, item, value, id, a.Code)
 			switch a.Code {
 			case statement.OK:
 				l.recordSuccess(database)
@@ -172,7 +172,7 @@
 			switch a.Code {
 			case statement.OK:
 				l.recordSuccess(database)
-				l.checker.Read(g, item, maxStaleness[kind], sentAt, a)
+				l.checker.CheckRead(g, item, maxStaleness[kind], sentAt, a)
 			case statement.Lost:
 				return
 			}
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -86,9 +86,9 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history of changes. Watches after an older revision then fail
-// with directory.ErrHistoryGone.
-func (s *Store) Forget() {
+// CompactHistory drops the history of changes. Watches after an older revision
+// then fail with directory.ErrHistoryGone.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.revision
--- a/standin/memnet/network.go
+++ b/standin/memnet/network.go
@@ -36,7 +36,7 @@
 	hosts          map[string]*Host
 	listeners      map[Addr]*listener
 	pipes          map[*pipe]struct{}
-	partitions     map[*Cut]struct{}
+	partitions     map[*Partition]struct{}
 	healed         chan struct{} // closed and replaced when a partition is healed
 	zoneDelays     map[zonePair]time.Duration
 	sameZoneDelay  time.Duration
@@ -62,7 +62,7 @@
 		hosts:      make(map[string]*Host),
 		listeners:  make(map[Addr]*listener),
 		pipes:      make(map[*pipe]struct{}),
-		partitions: make(map[*Cut]struct{}),
+		partitions: make(map[*Partition]struct{}),
 		healed:     make(chan struct{}),
 		zoneDelays: make(map[zonePair]time.Duration),
 		lastPort:   firstPort,
--- a/standin/memnet/partition.go
+++ b/standin/memnet/partition.go
@@ -28,8 +28,9 @@
 	return a.contains(hostA) && b.contains(hostB) || a.contains(hostB) && b.contains(hostA)
 }
 
-// Cut is a partition between two sets of hosts. It lasts until Heal is called.
-type Cut struct {
+// Partition is a partition between two sets of hosts. It lasts until Heal is
+// called.
+type Partition struct {
 	net  *Network
 	a, b HostSet
 }
@@ -38,17 +39,17 @@
 // Dials wait, and data and ends of streams in transit on open connections are
 // held back. Data that has already arrived can still be read. A host always
 // reaches itself, so Partition(Hosts(x), All()) isolates x.
-func (n *Network) Partition(a, b HostSet) *Cut {
+func (n *Network) Partition(a, b HostSet) *Partition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &Cut{net: n, a: a, b: b}
+	c := &Partition{net: n, a: a, b: b}
 	n.partitions[c] = struct{}{}
 	n.applyPartitions()
 	return c
 }
 
 // Heal ends the partition. Held data arrives one connection delay later.
-func (c *Cut) Heal() {
+func (c *Partition) Heal() {
 	n := c.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,7 +61,7 @@
 
 // Break resets the connections across the partition at both ends. Unread data is
 // lost. The partition stays.
-func (c *Cut) Break() { c.net.Break(c.a, c.b) }
+func (c *Partition) Break() { c.net.Break(c.a, c.b) }
 
 // Break resets the connections between two sets of hosts at both ends. Data in
 // transit or unread is lost.
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -114,7 +114,7 @@
 func (s *Store) decide(ctx context.Context, name string, decision func()) bool {
 	done := make(chan struct{})
 	queue := s.queues[maphash.String(s.hashSeed, name)%queueCount]
-	queue.PostAlways(func() {
+	queue.PostUnbounded(func() {
 		decision()
 		close(done)
 	})
--- a/transport/admission/admission.go
+++ b/transport/admission/admission.go
@@ -55,9 +55,9 @@
 // retryAfter is the time after which a retry can succeed.
 type Done func(admitted bool, retryAfter time.Duration)
 
-// Gate admits operations of this VM's clients and, as a quota coordinator, grants
-// tokens to other VMs.
-type Gate struct {
+// Controller admits operations of this VM's clients and, as a quota coordinator,
+// grants tokens to other VMs.
+type Controller struct {
 	table  *catalog.Table
 	quota  *quota.Table
 	caller Caller
@@ -72,9 +72,9 @@
 	coordinators     map[string][catalog.LimitPartitions]string
 }
 
-// New returns a gate.
-func New(table *catalog.Table, q *quota.Table, caller Caller, logger log.Interface, scope tally.Scope) *Gate {
-	return &Gate{
+// New returns a Controller.
+func New(table *catalog.Table, q *quota.Table, caller Caller, logger log.Interface, scope tally.Scope) *Controller {
+	return &Controller{
 		table: table, quota: q, caller: caller, logger: logger,
 		admitted: scope.Counter("operations_admitted"), refused: scope.Counter("operations_over_limit"),
 		mu: lockrank.New(lockrank.Session), waiting: make(map[string][]waiter), slowUntil: make(map[string]time.Duration),
@@ -83,7 +83,7 @@
 
 // Admit implements sqlfront.Admitter. Operations without a configured customer
 // are not limited.
-func (g *Gate) Admit(customer string, done func(bool, time.Duration)) {
+func (g *Controller) Admit(customer string, done func(bool, time.Duration)) {
 	config := g.table.Current().Config
 	if config == nil || config.Customer(customer) == nil {
 		done(true, 0)
@@ -117,7 +117,7 @@
 }
 
 // requestTokens requests n tokens from the customer's quota coordinators.
-func (g *Gate) requestTokens(customer string, n int) {
+func (g *Controller) requestTokens(customer string, n int) {
 	view := g.caller.View()
 	r := &tokenRequest{customer: customer, want: n, coordinators: g.cachedCoordinators(customer, view)}
 	for _, i := range g.coordinatorOrder(view, r.coordinators) {
@@ -128,7 +128,7 @@
 
 // cachedCoordinators returns the customer's quota coordinators. They are cached
 // until the view changes, because their computation inspects all VMs.
-func (g *Gate) cachedCoordinators(customer string, view *placement.View) [catalog.LimitPartitions]string {
+func (g *Controller) cachedCoordinators(customer string, view *placement.View) [catalog.LimitPartitions]string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.coordinatorsView != view {
@@ -145,7 +145,7 @@
 // coordinatorOrder returns the partitions in the order in which their quota
 // coordinators are asked: slow quota coordinators last, otherwise quota
 // coordinators of this data centre first.
-func (g *Gate) coordinatorOrder(view *placement.View, coordinators [catalog.LimitPartitions]string) []uint8 {
+func (g *Controller) coordinatorOrder(view *placement.View, coordinators [catalog.LimitPartitions]string) []uint8 {
 	now := clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -169,7 +169,7 @@
 // requestNext requests the missing tokens from the next quota coordinator. If
 // there are enough tokens or no quota coordinators left, it distributes the
 // tokens.
-func (g *Gate) requestNext(r *tokenRequest) {
+func (g *Controller) requestNext(r *tokenRequest) {
 	for r.granted < r.want && len(r.remaining) > 0 {
 		p := r.remaining[0]
 		r.remaining = r.remaining[1:]
@@ -188,7 +188,7 @@
 
 // requestFrom requests tokens from another VM and continues the token request
 // when it answers or times out. It returns false if there is no link to the VM.
-func (g *Gate) requestFrom(r *tokenRequest, coordinator string, p catalog.LimitPartition) bool {
+func (g *Controller) requestFrom(r *tokenRequest, coordinator string, p catalog.LimitPartition) bool {
 	var resumed atomic.Bool // the token request has continued
 	timeout := time.AfterFunc(answerTimeout, func() {
 		if resumed.CompareAndSwap(false, true) {
@@ -214,7 +214,7 @@
 }
 
 // markSlow makes the quota coordinator be asked after the other one for slowPeriod.
-func (g *Gate) markSlow(coordinator, customer string) {
+func (g *Controller) markSlow(coordinator, customer string) {
 	now := clock.Now()
 	g.mu.Lock()
 	known := g.slowUntil[coordinator] > now
@@ -227,7 +227,7 @@
 
 // decodeGrant returns the tokens that a quota coordinator granted, or 0 if the
 // link was lost.
-func (g *Gate) decodeGrant(f fleetwire.Frame, ok bool) int {
+func (g *Controller) decodeGrant(f fleetwire.Frame, ok bool) int {
 	if !ok {
 		return 0
 	}
@@ -242,7 +242,7 @@
 // distribute passes the granted tokens to waiting operations and refuses those
 // that have waited too long. If operations remain, it requests tokens again
 // after retryDelay.
-func (g *Gate) distribute(r *tokenRequest) {
+func (g *Controller) distribute(r *tokenRequest) {
 	customer := r.customer
 	config := g.table.Current().Config
 	retryAfter := time.Second
@@ -288,7 +288,7 @@
 
 // Grant grants up to n tokens of a partition of a customer's limit, as its quota
 // coordinator.
-func (g *Gate) Grant(p catalog.LimitPartition, n int) int {
+func (g *Controller) Grant(p catalog.LimitPartition, n int) int {
 	config := g.table.Current().Config
 	if config == nil {
 		return 0
--- a/transport/clock/clock.go
+++ b/transport/clock/clock.go
@@ -12,9 +12,9 @@
 // override replaces the system clock if set. Tests set it to virtual time.
 var override atomic.Pointer[func() time.Duration]
 
-// SetSource makes Now return the readings of f; nil restores the system clock.
+// SetForTest makes Now return the readings of f; nil restores the system clock.
 // It is for tests only.
-func SetSource(f func() time.Duration) {
+func SetForTest(f func() time.Duration) {
 	if f == nil {
 		override.Store(nil)
 		return
--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -73,7 +73,7 @@
 	Call(vm string, kind fleetwire.Kind, body []byte, done func(fleetwire.Frame, bool)) bool
 	Peers() []fleetwire.Status
 	View() *placement.View
-	Describe(scope fleetlink.Scope, change func(*fleetwire.Status))
+	UpdateStatus(scope fleetlink.Scope, change func(*fleetwire.Status))
 	SetMembers(addresses []string)
 }
 
@@ -215,7 +215,7 @@
 		} else {
 			entry.Info("directory: the store answers.")
 		}
-		d.fleet.Describe(fleetlink.All, func(s *fleetwire.Status) { s.StoreCutOff = failed })
+		d.fleet.UpdateStatus(fleetlink.All, func(s *fleetwire.Status) { s.StoreCutOff = failed })
 	}
 	return err
 }
@@ -294,7 +294,7 @@
 	case view.Relays():
 		scope = fleetlink.Near
 	}
-	d.fleet.Describe(scope, func(s *fleetwire.Status) { s.Revisions = revisions })
+	d.fleet.UpdateStatus(scope, func(s *fleetwire.Status) { s.Revisions = revisions })
 }
 
 // rebuildDeployment derives the deployment from the documents. The caller holds
--- a/transport/directory/directory_test.go
+++ b/transport/directory/directory_test.go
@@ -32,8 +32,8 @@
 func (singleVMFleet) View() *placement.View {
 	return &placement.View{Self: "vm", Members: 1, VMs: []placement.VM{{Name: "vm", Alive: true, Weight: 1}}}
 }
-func (singleVMFleet) Describe(fleetlink.Scope, func(*fleetwire.Status)) {}
-func (singleVMFleet) SetMembers([]string)                               {}
+func (singleVMFleet) UpdateStatus(fleetlink.Scope, func(*fleetwire.Status)) {}
+func (singleVMFleet) SetMembers([]string)                                   {}
 
 // compactedStore answers the first list, refuses all others, and has no history
 // for watches.
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 	Self       string
 	Links      *fleetlink.Links
 	Executor   *sqlback.Executor
-	Gate       *admission.Gate
+	Gate       *admission.Controller
 	Quota      *quota.Table
 	Leadership *leadership.Table
 	Table      *catalog.Table
@@ -82,8 +82,8 @@
 	HandleRevisions(revisions map[string]uint64)
 }
 
-// Use sets the directory. It must be called before the links run.
-func (d *Dispatcher) Use(directory Directory) { d.directory = directory }
+// SetDirectory sets the directory. It must be called before the links run.
+func (d *Dispatcher) SetDirectory(directory Directory) { d.directory = directory }
 
 // Run runs a statement on the named VM and calls done once on a pool worker.
 func (d *Dispatcher) Run(vm string, w *statement.RemoteStatement, done func(statement.Result)) {
@@ -112,10 +112,10 @@
 	return statement.Result{Answer: statement.Refusal(code, why)}
 }
 
-// Abort aborts a transaction on the named VM.
-func (d *Dispatcher) Abort(vm string, tx uint64) {
+// AbortTxOn aborts a transaction on the named VM.
+func (d *Dispatcher) AbortTxOn(vm string, tx uint64) {
 	if vm == d.Self {
-		d.Executor.Abort(selfOrigin, tx)
+		d.Executor.AbortTx(selfOrigin, tx)
 		return
 	}
 	d.Links.Send(vm, fleetwire.KindAbort, fleetwire.AppendNumber(nil, tx))
@@ -127,11 +127,11 @@
 }
 
 // AbortTx implements fleetlink.Handler.
-func (d *Dispatcher) AbortTx(origin string, tx uint64) { d.Executor.Abort(origin, tx) }
+func (d *Dispatcher) AbortTx(origin string, tx uint64) { d.Executor.AbortTx(origin, tx) }
 
 // LinkClosed implements fleetlink.Handler.
 func (d *Dispatcher) LinkClosed(origin string) {
-	d.Executor.AbortAll(origin)
+	d.Executor.AbortLink(origin)
 	d.Quota.LinkClosed(origin, clock.Now())
 }
 
--- a/transport/exchange/config.go
+++ b/transport/exchange/config.go
@@ -214,7 +214,7 @@
 	}
 	p.encoding = p.e.tasks.start(func() {
 		data, err := p.marshalSnapshot(c)
-		p.e.queue.PostAlways(func() { p.finishEncoding(snapshot{ticket: c.Ticket, data: data}, err) })
+		p.e.queue.PostUnbounded(func() { p.finishEncoding(snapshot{ticket: c.Ticket, data: data}, err) })
 	})
 }
 
--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -226,12 +226,12 @@
 
 // SetState sets the state that this VM announces, such as leaving.
 func (e *Exchange) SetState(s state.ServiceState) {
-	e.queue.PostAlways(func() { e.state = s })
+	e.queue.PostUnbounded(func() { e.state = s })
 }
 
 // SetSeeds replaces the seeds, the VMs named by the platform or in the settings.
 func (e *Exchange) SetSeeds(seeds []membership.Peer) {
-	e.queue.PostAlways(func() { e.seeds = seeds })
+	e.queue.PostUnbounded(func() { e.seeds = seeds })
 }
 
 // SendCancel forwards a client's cancel request to the VM that holds its session.
--- a/transport/exchange/fleet_test.go
+++ b/transport/exchange/fleet_test.go
@@ -93,7 +93,7 @@
 // pause blocks the VM's event queue until the returned function is called.
 func (v *vm) pause() (resume func()) {
 	release := make(chan struct{})
-	v.exchange.queue.PostAlways(func() { <-release })
+	v.exchange.queue.PostUnbounded(func() { <-release })
 	return func() { close(release) }
 }
 
--- a/transport/exchange/round.go
+++ b/transport/exchange/round.go
@@ -118,7 +118,7 @@
 	if err == nil && len(a.Snapshot) > 0 {
 		received, err = e.config.decodeSnapshot(a.Config, a.Snapshot)
 	}
-	e.queue.PostAlways(func() { e.handleResult(p, sentAt, m, a, received, err) })
+	e.queue.PostUnbounded(func() { e.handleResult(p, sentAt, m, a, received, err) })
 }
 
 // handleResult is the event for an exchange that ended.
--- a/transport/exchange/watch.go
+++ b/transport/exchange/watch.go
@@ -58,11 +58,11 @@
 		case err != nil:
 			wait, margin = 0, min(2*margin, maxTimeoutMargin)
 			delay = retryInterval/2 + rand.N(retryInterval)
-			p.e.queue.PostAlways(func() { p.handleStoreError(err) })
+			p.e.queue.PostUnbounded(func() { p.handleStoreError(err) })
 		default:
 			margin = min(max(2*(duration-wait), minTimeoutMargin), maxTimeoutMargin)
 			wait, after = watchWait, response.version
-			p.e.queue.PostAlways(func() { p.handleStoreResponse(response) })
+			p.e.queue.PostUnbounded(func() { p.handleStoreResponse(response) })
 		}
 		sleep(ctx, delay)
 	}
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -60,7 +60,7 @@
 // useLink uses a link that this VM dialled until it is lost.
 func (l *Links) useLink(ctx context.Context, p *peer, conn net.Conn) {
 	k := newLink(conn)
-	stop := context.AfterFunc(ctx, k.out.Abort)
+	stop := context.AfterFunc(ctx, k.out.CloseNow)
 	defer stop()
 	l.mu.Lock()
 	p.link, p.lastHeard, p.lastPing = k, clock.Now(), 0
@@ -75,7 +75,7 @@
 		}
 		k.handleAnswer(f)
 	})
-	k.out.Abort()
+	k.out.CloseNow()
 	l.markLost(p, k, err)
 	k.failCalls()
 }
@@ -88,7 +88,7 @@
 		l.logger.WithError(err).Error("fleet: a status cannot be decoded.")
 		return ""
 	}
-	l.Meet(s.Address)
+	l.Connect(s.Address)
 	l.applyStatus(s, k)
 	l.handler.HandleStatus(&s)
 	return s.Name
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		if !queue.PostWait(func() { f(frame) }) {
+		if !queue.PostBlocking(func() { f(frame) }) {
 			return context.Cause(ctx)
 		}
 	}
@@ -114,7 +114,7 @@
 // serveLink handles the calls on a link that another VM dialled.
 func (l *Links) serveLink(ctx context.Context, conn net.Conn) {
 	k := newLink(conn)
-	stop := context.AfterFunc(ctx, k.out.Abort)
+	stop := context.AfterFunc(ctx, k.out.CloseNow)
 	defer stop()
 	l.mu.Lock()
 	body := l.self.Encode()
@@ -133,7 +133,7 @@
 		}
 		l.handleCall(from, number, k, f)
 	})
-	k.out.Abort()
+	k.out.CloseNow()
 	l.logger.WithFields(log.Fields{"link": number, "why": err.Error()}).Debug("fleet: VM closed its link.")
 	l.handler.LinkClosed(number)
 }
@@ -169,6 +169,6 @@
 	}
 	if err != nil {
 		l.logger.WithError(err).WithField("vm", from).Error("fleet: a call cannot be decoded.")
-		k.out.Abort()
+		k.out.CloseNow()
 	}
 }
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -129,7 +129,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { l.runChecks(ctx) })
-	network.Accept(ctx, listener, tickInterval, func(conn net.Conn) { l.serveLink(ctx, conn) }, func(err error) {
+	network.Serve(ctx, listener, tickInterval, func(conn net.Conn) { l.serveLink(ctx, conn) }, func(err error) {
 		l.logger.WithError(err).Warn("fleet: a link could not be accepted.")
 	})
 	return nil
@@ -174,10 +174,10 @@
 	None
 )
 
-// Describe changes this VM's status and sends it to the VMs in the scope. It is
+// UpdateStatus changes this VM's status and sends it to the VMs in the scope. It is
 // sent at once, or delayed to keep statusSpacing and then sent together with
 // later changes.
-func (l *Links) Describe(scope Scope, change func(*fleetwire.Status)) {
+func (l *Links) UpdateStatus(scope Scope, change func(*fleetwire.Status)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.self)
@@ -230,13 +230,13 @@
 	l.view = nil
 	l.mu.Unlock()
 	for _, a := range addresses {
-		l.Meet(a)
+		l.Connect(a)
 	}
 }
 
-// Meet connects to the VM at the address, and reconnects whenever the link is
+// Connect connects to the VM at the address, and reconnects whenever the link is
 // lost.
-func (l *Links) Meet(address string) {
+func (l *Links) Connect(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address == l.self.Address || l.peers[address] != nil {
@@ -329,7 +329,7 @@
 	case p.link.incarnation != 0 && p.link.incarnation != s.Incarnation:
 		// The VM has restarted, and the old process at the other end of the
 		// link is gone.
-		p.link.out.Abort()
+		p.link.out.CloseNow()
 	}
 	// A VM that was replaced by a VM with the same name at another address will
 	// not answer any more.
@@ -385,8 +385,8 @@
 
 func (k *link) send(f fleetwire.Frame) {
 	if k.out.Full() {
-		k.out.Abort()
+		k.out.CloseNow()
 		return
 	}
-	k.out.Write(f.Append(nil))
+	k.out.Enqueue(f.Append(nil))
 }
--- a/transport/fleetlink/fleetlink_test.go
+++ b/transport/fleetlink/fleetlink_test.go
@@ -87,8 +87,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now().Add(-time.Hour)
-		clock.SetSource(func() time.Duration { return time.Since(begin) })
-		defer clock.SetSource(nil)
+		clock.SetForTest(func() time.Duration { return time.Since(begin) })
+		defer clock.SetForTest(nil)
 		n := memnet.New(1)
 		defer n.Close()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -259,7 +259,7 @@
 		time.Sleep(2 * time.Second)
 		before := h.received.Load()
 		for i := range 100 {
-			first.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Revisions = map[string]uint64{"kind": uint64(i + 1)} })
+			first.UpdateStatus(fleetlink.All, func(s *fleetwire.Status) { s.Revisions = map[string]uint64{"kind": uint64(i + 1)} })
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(400 * time.Millisecond)
--- a/transport/fleetlink/ping.go
+++ b/transport/fleetlink/ping.go
@@ -51,7 +51,7 @@
 	body := l.handler.PingBody()
 	pings, silent := l.collectDue(body, clock.Now())
 	for _, k := range silent {
-		k.out.Abort()
+		k.out.CloseNow()
 	}
 	for _, d := range pings {
 		l.sendPing(d.peer, d.link, body)
--- a/transport/groups/executor.go
+++ b/transport/groups/executor.go
@@ -55,7 +55,7 @@
 // post queues a decision that must not be lost. The number of such decisions is
 // bounded by the number of sessions and of control calls in progress.
 func (e *executor) post(decide decision) {
-	e.queue.PostAlways(func() { e.run(decide) })
+	e.queue.PostUnbounded(func() { e.run(decide) })
 }
 
 // tryPost queues a decision, or drops it if the queue is full.
--- a/transport/groups/views.go
+++ b/transport/groups/views.go
@@ -19,9 +19,9 @@
 	repairViewsPerMessage = 2
 )
 
-// Views disseminates the primaries of the database groups among VMs by gossip. It is
-// a part of the regular exchange between VMs.
-type Views struct {
+// ViewGossip disseminates the primaries of the database groups among VMs by
+// gossip. It is a part of the regular exchange between VMs.
+type ViewGossip struct {
 	driver *Driver
 
 	mu             sync.Mutex     // guards the fields below; no other lock is taken under it
@@ -29,26 +29,26 @@
 	repairIndex    int            // position of the round-robin order
 }
 
-// NewViews returns Views without a driver. SetDriver must be called before the first
-// exchange.
-func NewViews() *Views { return &Views{pendingUpdates: make(map[string]int)} }
+// NewViewGossip returns a ViewGossip without a driver. SetDriver must be called
+// before the first exchange.
+func NewViewGossip() *ViewGossip { return &ViewGossip{pendingUpdates: make(map[string]int)} }
 
 // SetDriver sets the driver that provides this VM's views and merges received ones.
-func (v *Views) SetDriver(d *Driver) { v.driver = d }
+func (v *ViewGossip) SetDriver(d *Driver) { v.driver = d }
 
 // Announce schedules the changed view of a group for the next messages.
-func (v *Views) Announce(g peerapi.GroupView) {
+func (v *ViewGossip) Announce(g peerapi.GroupView) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.pendingUpdates[g.Group] = updateRepeats
 }
 
 // AddSections adds views to an outgoing message.
-func (v *Views) AddSections(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
+func (v *ViewGossip) AddSections(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
 
 // HandleRequest merges the views of another VM, and adds this VM's view to the
 // answer wherever it is newer.
-func (v *Views) HandleRequest(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
+func (v *ViewGossip) HandleRequest(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range m.Groups {
 		if local, newer := v.merge(remote); newer {
 			a.Groups = append(a.Groups, local)
@@ -57,7 +57,7 @@
 }
 
 // HandleResponse merges the views in an answer.
-func (v *Views) HandleResponse(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeResponse) {
+func (v *ViewGossip) HandleResponse(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range a.Groups {
 		v.merge(remote)
 	}
@@ -65,7 +65,7 @@
 
 // merge merges a view of another VM. It returns this VM's view and whether that has
 // the higher term.
-func (v *Views) merge(remote peerapi.GroupView) (local peerapi.GroupView, newer bool) {
+func (v *ViewGossip) merge(remote peerapi.GroupView) (local peerapi.GroupView, newer bool) {
 	v.driver.opts.Tables.Groups.With(remote.Group, func(g *state.GroupState) { local = view(g) })
 	switch {
 	case local.Term > remote.Term:
@@ -81,7 +81,7 @@
 
 // selectViews returns the scheduled changes, followed by further views in round-robin
 // order.
-func (v *Views) selectViews() []peerapi.GroupView {
+func (v *ViewGossip) selectViews() []peerapi.GroupView {
 	all := v.driver.Views()
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/transport/limits/limits.go
+++ b/transport/limits/limits.go
@@ -31,12 +31,13 @@
 type Options struct {
 	Pool   *pool.Pool
 	Tables *state.Tables
-	// Decide delivers the decision on a waiting request. It must not block.
-	Decide func(share.Decision)
-	// Send requests an exchange with the named VMs soon.
-	Send func(names ...string)
-	// Lower applies a reduced connection limit of a backend server immediately.
-	Lower func(server string)
+	// DeliverDecision delivers the decision on a waiting request. It must not block.
+	DeliverDecision func(share.Decision)
+	// RequestExchange requests an exchange with the named VMs soon.
+	RequestExchange func(names ...string)
+	// LowerConnectionLimit applies a reduced connection limit of a backend server
+	// immediately.
+	LowerConnectionLimit func(server string)
 	// Store holds the lease objects of VMs in data centres with fewer than
 	// three VMs. It is nil if there is no store.
 	Store LeaseStore
@@ -108,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			store.Wait()
-			l.queue.PostAlways(func() {
+			l.queue.PostUnbounded(func() {
 				if l.timer != nil {
 					l.timer.Stop()
 				}
@@ -128,17 +129,18 @@
 		l.advanceNow()
 		return
 	}
-	l.queue.PostAlways(func() { l.armTimer(at) })
+	l.queue.PostUnbounded(func() { l.armTimer(at) })
 }
 
 func (l *Limits) advanceNow() {
-	if l.advanceQueued.CompareAndSwap(false, true) && !l.queue.PostAlways(l.advance) {
+	if l.advanceQueued.CompareAndSwap(false, true) && !l.queue.PostUnbounded(l.advance) {
 		l.advanceQueued.Store(false)
 	}
 }
 
-// Leave starts to lend what this VM does not use itself, and stops borrowing.
-func (l *Limits) Leave() {
+// StopBorrowing starts to lend what this VM does not use itself, and stops
+// borrowing.
+func (l *Limits) StopBorrowing() {
 	share.Drain(l.Tables.Shares, time.Now())
 	l.advanceNow()
 }
@@ -195,7 +197,7 @@
 	if hold.Since.IsZero() || sentAt.Before(hold.Since) || l.Tables.Shares.Agreed() >= agreed {
 		return
 	}
-	l.queue.PostAlways(func() {
+	l.queue.PostUnbounded(func() {
 		cfg := l.Tables.Config.Current()
 		if cfg != nil && cfg == l.sharesConfig && cfg.Ticket.Number == agreed {
 			l.recompute(cfg, agreed, time.Now())
@@ -223,7 +225,7 @@
 	l.timerAt = time.Time{}
 	effects := share.Advance(l.Tables, time.Now())
 	for _, d := range effects.Decisions {
-		l.Decide(d)
+		l.DeliverDecision(d)
 	}
 	for _, b := range effects.Batches {
 		l.enqueueLoans(b)
@@ -243,7 +245,7 @@
 	l.mu.Unlock()
 	l.metrics.asked.Inc(int64(len(loans)))
 	l.metrics.dropped.Inc(int64(len(b.Loans) - len(loans)))
-	l.Send(b.Peer)
+	l.RequestExchange(b.Peer)
 }
 
 // armTimer makes the timer expire at the given time or earlier.
@@ -285,7 +287,7 @@
 		answer := share.Grant(l.Tables, request, borrower, now)
 		a.Loans = append(a.Loans, answer)
 		if answer.Units > 0 {
-			l.Lower(request.Name)
+			l.LowerConnectionLimit(request.Name)
 		}
 		if answer.Units > 0 || answer.Rate > 0 || answer.Burst > 0 {
 			l.metrics.granted.Inc(1)
--- a/transport/outbox/outbox.go
+++ b/transport/outbox/outbox.go
@@ -32,10 +32,10 @@
 	return o
 }
 
-// Write queues b without blocking. The caller must not modify b afterwards.
-// Bytes queued after a failure, Seal or Finish are dropped; a failure is
-// reported to the goroutine that reads from the connection.
-func (o *Outbox) Write(b []byte) {
+// Enqueue queues b without blocking. The caller must not modify b afterwards.
+// Bytes queued after a failure, StopWrites or CloseAfterFlush are dropped; a
+// failure is reported to the goroutine that reads from the connection.
+func (o *Outbox) Enqueue(b []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err != nil || o.sealed || len(b) == 0 {
@@ -46,10 +46,10 @@
 	o.startWriter()
 }
 
-// Wait blocks until the queue is at or below the high-water mark. Goroutines
-// that read from connections call it; workers must not. It reports false if the
-// connection has failed.
-func (o *Outbox) Wait() bool {
+// WaitForSpace blocks until the queue is at or below the high-water mark.
+// Goroutines that read from connections call it; workers must not. It reports
+// false if the connection has failed.
+func (o *Outbox) WaitForSpace() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for o.size > o.highWaterMark && o.err == nil {
@@ -65,10 +65,10 @@
 	return o.size > o.highWaterMark
 }
 
-// Seal drops all later writes. What is queued is still written and the
+// StopWrites drops all later writes. What is queued is still written and the
 // connection stays open, so that the other side can read it. Reads from the
 // connection fail after readTimeout.
-func (o *Outbox) Seal(readTimeout time.Duration) {
+func (o *Outbox) StopWrites(readTimeout time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.sealed = true
@@ -77,8 +77,8 @@
 	}
 }
 
-// Finish closes the connection after everything queued so far is written.
-func (o *Outbox) Finish() {
+// CloseAfterFlush closes the connection after everything queued so far is written.
+func (o *Outbox) CloseAfterFlush() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closing {
@@ -88,8 +88,8 @@
 	o.startWriter()
 }
 
-// WaitClosed blocks until the connection is closed by Finish, Abort or a
-// failure. Workers must not call it.
+// WaitClosed blocks until the connection is closed by CloseAfterFlush, CloseNow
+// or a failure. Workers must not call it.
 func (o *Outbox) WaitClosed() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Abort closes the connection at once and discards the queued bytes.
-func (o *Outbox) Abort() {
+// CloseNow closes the connection at once and discards the queued bytes.
+func (o *Outbox) CloseNow() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fail(net.ErrClosed)
--- a/transport/pgbackend/backends.go
+++ b/transport/pgbackend/backends.go
@@ -39,13 +39,13 @@
 	// Limit returns the maximum number of connections that this VM may currently
 	// have open to the server.
 	Limit func(server *state.BackendServer) int
-	// Wanted is called with the number of connections to a server that this VM
+	// OnDemand is called with the number of connections to a server that this VM
 	// could use.
-	Wanted func(server string, conns int)
-	// Failed is called after a connection attempt to the server has failed.
-	Failed func(server string)
-	Logger log.Interface
-	Scope  tally.Scope
+	OnDemand func(server string, conns int)
+	// OnConnectFailure is called after a connection attempt to the server has failed.
+	OnConnectFailure func(server string)
+	Logger           log.Interface
+	Scope            tally.Scope
 }
 
 // Backends manages this VM's connections to all backend servers.
@@ -107,9 +107,9 @@
 	}
 }
 
-// Lower applies a reduced connection limit of a server immediately instead of at
-// the next refresh.
-func (b *Backends) Lower(server string) {
+// ApplyLimit applies a reduced connection limit of a server immediately instead
+// of at the next refresh.
+func (b *Backends) ApplyLimit(server string) {
 	if cfg := b.Tables.Config.Current(); cfg != nil {
 		if s, _ := findServer(cfg, server); s != nil {
 			b.refresh(s, time.Now())
@@ -131,7 +131,7 @@
 		wanted = s.Wanted()
 	})
 	b.execute(server.Name, effects)
-	b.Wanted(server.Name, wanted)
+	b.OnDemand(server.Name, wanted)
 }
 
 // Acquire requests a connection. The result is passed to Waiters.
@@ -146,7 +146,7 @@
 	})
 	b.execute(server.Name, effects)
 	if wanted > limit {
-		b.Wanted(server.Name, wanted)
+		b.OnDemand(server.Name, wanted)
 	}
 }
 
@@ -254,7 +254,7 @@
 		var effects []queueing.Effect
 		b.Tables.Backends.With(server, func(s *state.ServerConns) { effects = queueing.OpenFailed(s, now) })
 		b.execute(server, effects)
-		b.Failed(server)
+		b.OnConnectFailure(server)
 		return
 	}
 	if !b.add(c) {
--- a/transport/pgbackend/conn.go
+++ b/transport/pgbackend/conn.go
@@ -130,7 +130,7 @@
 	}
 	c.holder, c.holderRequest = h, request
 	c.current = &pendingRequest{handler: h, request: request, batch: b, response: pgwire.NewAnswer(p.Preparations)}
-	c.out.Write(p.Bytes)
+	c.out.Enqueue(p.Bytes)
 	return true
 }
 
@@ -187,7 +187,7 @@
 
 // fail closes the connection and returns its holder. Later calls return nil.
 func (c *Conn) fail() (ResponseHandler, uint64) {
-	c.out.Abort()
+	c.out.CloseNow()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -201,7 +201,7 @@
 	c.mu.Lock()
 	c.holder = nil
 	c.mu.Unlock()
-	c.out.Abort()
+	c.out.CloseNow()
 }
 
 // cancel asks the backend server to cancel the statement that runs on the
--- a/transport/pgserver/pgserver.go
+++ b/transport/pgserver/pgserver.go
@@ -72,7 +72,7 @@
 }
 
 // Write queues encoded messages. The caller must not change b afterwards.
-func (c *Client) Write(b []byte) { c.out.Write(b) }
+func (c *Client) Write(b []byte) { c.out.Enqueue(b) }
 
 // Send encodes and queues messages. It panics if a message cannot be encoded.
 func (c *Client) Send(messages ...pgproto3.BackendMessage) {
@@ -84,12 +84,12 @@
 			panic("encode message to the client: " + err.Error())
 		}
 	}
-	c.out.Write(raw)
+	c.out.Enqueue(raw)
 }
 
 // Wait blocks until at most outputHighWaterBytes are queued. It returns false if
 // the connection has failed. Workers of the pool must not call it.
-func (c *Client) Wait() bool { return c.out.Wait() }
+func (c *Client) Wait() bool { return c.out.WaitForSpace() }
 
 // Full reports whether more than outputHighWaterBytes are queued, because the
 // client reads too slowly.
@@ -98,10 +98,10 @@
 // Finish closes the connection after all queued output is written. A request that
 // the client sends at the same time is read and discarded: if the connection was
 // closed immediately, the client would see a network error instead of the reason.
-func (c *Client) Finish() { c.out.Seal(lingerTimeout) }
+func (c *Client) Finish() { c.out.StopWrites(lingerTimeout) }
 
 // Abort closes the connection immediately and drops queued output.
-func (c *Client) Abort() { c.out.Abort() }
+func (c *Client) Abort() { c.out.CloseNow() }
 
 // Server accepts client connections. Set the exported fields before calling Run.
 type Server struct {
@@ -237,7 +237,7 @@
 	if err := conn.SetWriteDeadline(time.Now().Add(flushTimeout)); err != nil {
 		return false
 	}
-	c.out.Finish()
+	c.out.CloseAfterFlush()
 	return true
 }
 
--- a/transport/pool/pool.go
+++ b/transport/pool/pool.go
@@ -69,10 +69,10 @@
 	return true
 }
 
-// PostWait appends an event and blocks while the queue is full. It returns false
-// if the queue or the pool is closed. Connection readers use it for back
+// PostBlocking appends an event and blocks while the queue is full. It returns
+// false if the queue or the pool is closed. Connection readers use it for back
 // pressure. Workers must not call it, because it would block them.
-func (q *Queue) PostWait(event func()) bool {
+func (q *Queue) PostBlocking(event func()) bool {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	for !q.closed && !q.pool.closed && len(q.events) >= q.limit {
@@ -85,11 +85,11 @@
 	return true
 }
 
-// PostAlways appends an event even if the queue is full. It is for events that
+// PostUnbounded appends an event even if the queue is full. It is for events that
 // must not be lost and whose number is bounded by other means, such as the end
 // of a connection or a timer. It returns false if the queue or the pool is
 // closed.
-func (q *Queue) PostAlways(event func()) bool {
+func (q *Queue) PostUnbounded(event func()) bool {
 	q.pool.mu.Lock()
 	defer q.pool.mu.Unlock()
 	if q.closed || q.pool.closed {
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -37,7 +37,7 @@
 			queues[i] = p.NewQueue(16)
 			wg.Go(func() {
 				for n := range events {
-					queues[i].PostWait(func() { got[i] = append(got[i], n) })
+					queues[i].PostBlocking(func() { got[i] = append(got[i], n) })
 				}
 			})
 		}
@@ -57,7 +57,7 @@
 	})
 }
 
-// Guards against a PostWait call that blocks forever because the pool stopped
+// Guards against a PostBlocking call that blocks forever because the pool stopped
 // while the queue was full.
 func TestStopUnblocksPostWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -71,7 +71,7 @@
 			t.Fatal("Post on a full queue returned true")
 		}
 		accepted := make(chan bool)
-		go func() { accepted <- q.PostWait(func() {}) }()
+		go func() { accepted <- q.PostBlocking(func() {}) }()
 		synctest.Wait()
 		go stop()
 		if <-accepted {
@@ -93,7 +93,7 @@
 		ran := make(chan struct{})
 		event := func() { ran <- struct{}{} }
 		for pb.Next() {
-			q.PostAlways(event)
+			q.PostUnbounded(event)
 			<-ran
 		}
 		q.Close()
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -43,7 +43,7 @@
 
 // post queues a decision. It returns false if the session has ended.
 func (c *clientSession) post(decide func(now time.Time) []session.Effect) bool {
-	return c.queue.PostAlways(func() { c.run(decide) })
+	return c.queue.PostUnbounded(func() { c.run(decide) })
 }
 
 // run makes a decision under the session's lock and then executes its effects.
@@ -64,13 +64,13 @@
 	case <-c.ended:
 		return false
 	}
-	return c.queue.PostAlways(func() { c.startRequest(b) })
+	return c.queue.PostUnbounded(func() { c.startRequest(b) })
 }
 
 // Disconnected implements pgserver.Session.
 func (c *clientSession) Disconnected() {
 	c.post(func(time.Time) []session.Effect { return c.sessions.Decider.HandleDisconnect(c.st) })
-	c.queue.PostAlways(c.end)
+	c.queue.PostUnbounded(c.end)
 }
 
 // end removes the session and releases its resources. It runs as an event of the
@@ -228,7 +228,7 @@
 	if !c.out.Wait() {
 		return
 	}
-	c.queue.PostWait(func() {
+	c.queue.PostBlocking(func() {
 		c.run(func(time.Time) []session.Effect {
 			return c.sessions.Decider.HandlePart(c.st, conn, request, p.Kind, p.Bytes)
 		})
@@ -237,7 +237,7 @@
 
 // HandleEnd implements pgbackend.ResponseHandler.
 func (c *clientSession) HandleEnd(conn state.ConnID, request uint64, end session.End, prepared int) {
-	posted := c.queue.PostAlways(func() {
+	posted := c.queue.PostUnbounded(func() {
 		if c.st.Conn == conn && c.st.Request.Number == request && c.st.Phase == state.PhaseExecuting {
 			c.recordResponse(conn, end, prepared)
 		}
@@ -346,7 +346,7 @@
 	}
 	delay := time.Until(next)
 	if c.timer == nil {
-		c.timer = time.AfterFunc(delay, func() { c.queue.PostAlways(c.timerFired) })
+		c.timer = time.AfterFunc(delay, func() { c.queue.PostUnbounded(c.timerFired) })
 		return
 	}
 	c.timer.Reset(delay)
--- a/transport/sessions/sessions.go
+++ b/transport/sessions/sessions.go
@@ -91,8 +91,8 @@
 	return &Sessions{Options: o, metrics: newMetrics(o.Scope), byID: make(map[uint64]*clientSession), byCancel: make(map[uint32]*clientSession), allEnded: make(chan struct{})}
 }
 
-// Connect sets the dependencies that in turn depend on Sessions.
-func (s *Sessions) Connect(b *pgbackend.Backends, g Groups, l Limits) {
+// SetDependencies sets the dependencies that in turn depend on Sessions.
+func (s *Sessions) SetDependencies(b *pgbackend.Backends, g Groups, l Limits) {
 	s.backends, s.groups, s.limits = b, g, l
 }
 
@@ -117,7 +117,7 @@
 	}
 	decided := make(chan *session.Outcome, 1)
 	refused := &session.Outcome{Kind: session.NotRun, Reason: session.ShuttingDown}
-	if c.queue.PostAlways(func() { decided <- c.login(l.Parameters) }) {
+	if c.queue.PostUnbounded(func() { decided <- c.login(l.Parameters) }) {
 		refused = <-decided
 	}
 	if refused != nil {
@@ -281,12 +281,12 @@
 		s.ForwardCancel(index, processID&(1<<cancelIDBits-1), secret)
 		return
 	}
-	s.CancelOwn(processID&(1<<cancelIDBits-1), secret)
+	s.CancelLocal(processID&(1<<cancelIDBits-1), secret)
 }
 
-// CancelOwn cancels the running request of a session of this VM. The ID is the low
-// part of the process ID. An unknown ID or a wrong secret has no effect.
-func (s *Sessions) CancelOwn(id, secret uint32) {
+// CancelLocal cancels the running request of a session of this VM. The ID is the
+// low part of the process ID. An unknown ID or a wrong secret has no effect.
+func (s *Sessions) CancelLocal(id, secret uint32) {
 	s.mu.Lock()
 	c := s.byCancel[id]
 	s.mu.Unlock()
--- a/transport/sqlback/conn.go
+++ b/transport/sqlback/conn.go
@@ -111,7 +111,7 @@
 	for {
 		answer, err := e.dialect.ReadAnswer(r)
 		if err != nil {
-			out.Abort()
+			out.CloseNow()
 			e.post(func() { e.connectionBroken(c, err) })
 			return
 		}
--- a/transport/sqlback/executor.go
+++ b/transport/sqlback/executor.go
@@ -120,15 +120,15 @@
 
 // Options are the dependencies of an Executor.
 type Options struct {
-	Network network.Network
-	Dialect Dialect
-	Pool    *pool.Pool
-	Table   *catalog.Table
-	Logger  log.Interface
-	Scope   tally.Scope
-	Tracer  trace.Tracer
-	Chosen  func(customer string, s *catalog.Server) bool // this VM holds the customer's connections to the server
-	Reached func(unreachable []string)                    // called after each change, with all unreachable servers in order
+	Network           network.Network
+	Dialect           Dialect
+	Pool              *pool.Pool
+	Table             *catalog.Table
+	Logger            log.Interface
+	Scope             tally.Scope
+	Tracer            trace.Tracer
+	HoldsConnections  func(customer string, s *catalog.Server) bool // this VM holds the customer's connections to the server
+	ReportUnreachable func(unreachable []string)                    // called after each change, with all unreachable servers in order
 }
 
 // New returns an executor. Run must be called to maintain its connections.
@@ -136,7 +136,7 @@
 	return &Executor{
 		net: o.Network, dialect: o.Dialect, queue: o.Pool.NewQueue(queueLimit), table: o.Table, logger: o.Logger,
 		connectionsOpened: o.Scope.Counter("server_connections_opened"), connectionWait: o.Scope.Histogram("connection_wait", connectionWaitBuckets),
-		tracer: o.Tracer, holdsConnections: o.Chosen, reportUnreachable: o.Reached,
+		tracer: o.Tracer, holdsConnections: o.HoldsConnections, reportUnreachable: o.ReportUnreachable,
 		mu: lockrank.New(lockrank.Backends), pools: make(map[poolKey]*serverPool), txs: make(map[uint64]*conn),
 		failingSince: make(map[string]time.Time), unreachable: make(map[string]bool),
 	}
@@ -145,7 +145,7 @@
 // post runs an event in order with the executor's other events, and then the
 // callbacks that the event queued, without holding mu.
 func (e *Executor) post(event func()) {
-	e.queue.PostAlways(func() {
+	e.queue.PostUnbounded(func() {
 		event()
 		e.mu.Lock()
 		callbacks := e.callbacks
@@ -164,9 +164,9 @@
 	e.post(func() { e.submit(j) })
 }
 
-// Abort rolls back a transaction of origin whose client has disconnected. It
+// AbortTx rolls back a transaction of origin whose client has disconnected. It
 // does nothing if the transaction has ended.
-func (e *Executor) Abort(origin string, tx uint64) {
+func (e *Executor) AbortTx(origin string, tx uint64) {
 	e.post(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -176,9 +176,9 @@
 	})
 }
 
-// AbortAll rolls back all transactions that were opened over a link that has
+// AbortLink rolls back all transactions that were opened over a link that has
 // closed.
-func (e *Executor) AbortAll(origin string) {
+func (e *Executor) AbortLink(origin string) {
 	e.post(func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -254,7 +254,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.state == connClosed {
-		out.Abort()
+		out.CloseNow()
 		return
 	}
 	c.out = out
@@ -344,7 +344,7 @@
 func (e *Executor) removeConn(c *conn) {
 	c.state = connClosed
 	if c.out != nil {
-		c.out.Abort()
+		c.out.CloseNow()
 	}
 	p := c.pool
 	p.conns = slices.DeleteFunc(p.conns, func(other *conn) bool { return other == c })
--- a/transport/sqlback/executor_test.go
+++ b/transport/sqlback/executor_test.go
@@ -134,10 +134,10 @@
 		})
 		e := sqlback.New(sqlback.Options{
 			Network: s, Dialect: managed.Servers{}, Pool: workers, Table: table, Scope: tally.NoopScope,
-			Tracer: noop.NewTracerProvider().Tracer(""),
-			Logger: &log.Logger{Handler: discard.Default},
-			Chosen: func(string, *catalog.Server) bool { return true },
-			Reached: func(unreachable []string) {
+			Tracer:           noop.NewTracerProvider().Tracer(""),
+			Logger:           &log.Logger{Handler: discard.Default},
+			HoldsConnections: func(string, *catalog.Server) bool { return true },
+			ReportUnreachable: func(unreachable []string) {
 				if s.reached != nil {
 					s.reached(unreachable)
 				}
--- a/transport/sqlback/job.go
+++ b/transport/sqlback/job.go
@@ -127,7 +127,7 @@
 
 func (e *Executor) send(c *conn, kind commandKind, command statement.Command) {
 	c.unanswered = append(c.unanswered, kind)
-	c.out.Write(e.dialect.AppendCommand(nil, &command))
+	c.out.Enqueue(e.dialect.AppendCommand(nil, &command))
 }
 
 // handleAnswer handles the answer to the oldest unanswered command.
--- a/transport/sqlback/maintenance.go
+++ b/transport/sqlback/maintenance.go
@@ -59,7 +59,7 @@
 		for _, c := range p.conns {
 			c.state = connClosed
 			if c.out != nil {
-				c.out.Abort()
+				c.out.CloseNow()
 			}
 		}
 	}
@@ -172,9 +172,9 @@
 	}
 }
 
-// Open returns the number of running or waiting statements plus the number of open
-// transactions. A VM that drains waits until it is zero.
-func (e *Executor) Open() int {
+// OpenCount returns the number of running or waiting statements plus the number
+// of open transactions. A VM that drains waits until it is zero.
+func (e *Executor) OpenCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runningJobs + len(e.txs)
--- a/transport/sqlfront/attempt.go
+++ b/transport/sqlfront/attempt.go
@@ -36,7 +36,7 @@
 	c.send(ex, target, now)
 	if delay, may := ex.op.HedgeAfter(); may {
 		c.server.Leadership.With(ex.op.Route.Group, func(g *leadership.Group) { g.CountRead() })
-		ex.hedgeTimer = time.AfterFunc(delay, func() { c.queue.PostAlways(func() { c.runHedge(ex) }) })
+		ex.hedgeTimer = time.AfterFunc(delay, func() { c.queue.PostUnbounded(func() { c.runHedge(ex) }) })
 	}
 }
 
@@ -80,9 +80,9 @@
 	s.Runner.Run(target.VM, &w, func(r statement.Result) {
 		hop.end(&r)
 		c.observe(&w, &r, now)
-		posted := c.queue.PostAlways(func() { c.handleResult(ex, target.VM, &w, r) })
+		posted := c.queue.PostUnbounded(func() { c.handleResult(ex, target.VM, &w, r) })
 		if !posted && r.Tx != 0 {
-			s.Runner.Abort(target.VM, r.Tx)
+			s.Runner.AbortTxOn(target.VM, r.Tx)
 		}
 	})
 }
@@ -92,7 +92,7 @@
 func (c *session) handleResult(ex *execution, vm string, w *statement.RemoteStatement, r statement.Result) {
 	if c.current != ex {
 		if r.Tx != 0 {
-			c.server.Runner.Abort(vm, r.Tx)
+			c.server.Runner.AbortTxOn(vm, r.Tx)
 		}
 		return
 	}
@@ -150,5 +150,5 @@
 		return
 	}
 	clear(ex.tried)
-	time.AfterFunc(retryDelay, func() { c.queue.PostAlways(func() { c.startAttempt(ex) }) })
+	time.AfterFunc(retryDelay, func() { c.queue.PostUnbounded(func() { c.startAttempt(ex) }) })
 }
--- a/transport/sqlfront/server.go
+++ b/transport/sqlfront/server.go
@@ -47,9 +47,9 @@
 type Runner interface {
 	// Run runs the statement on the named VM and calls done once, on a pool worker.
 	Run(vm string, w *statement.RemoteStatement, done func(statement.Result))
-	// Abort rolls back a transaction whose client has disconnected, or that was
+	// AbortTxOn rolls back a transaction whose client has disconnected, or that was
 	// idle for too long.
-	Abort(vm string, tx uint64)
+	AbortTxOn(vm string, tx uint64)
 }
 
 // Admitter enforces the rate limits of customers.
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	network.Accept(ctx, listener, pollInterval, func(conn net.Conn) { s.serveConn(ctx, conn) }, func(err error) {
+	network.Serve(ctx, listener, pollInterval, func(conn net.Conn) { s.serveConn(ctx, conn) }, func(err error) {
 		s.Logger.WithError(err).Warn("session: a client could not be accepted.")
 	})
 	return nil
@@ -113,7 +113,7 @@
 	defer stop()
 	r := bufio.NewReaderSize(conn, readBufferSize)
 	out := outbox.New(conn, outboxLimit)
-	defer out.Finish()
+	defer out.CloseAfterFlush()
 	start, err := s.Dialect.ReadStart(r)
 	if err != nil {
 		return
@@ -122,13 +122,13 @@
 		// A new session would be closed as soon as it is idle, and its first request
 		// might already be on its way.
 		refusal := statement.Refusal(statement.Busy, "this VM takes no sessions, connect to another one")
-		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
+		out.Enqueue(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
 	config := s.awaitConfig(ctx)
 	if config == nil {
 		refusal := statement.Refusal(statement.Busy, "no configuration is known yet")
-		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
+		out.Enqueue(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
 	core, refusal := sqlsession.Open(config, start.Database, hashKey(start.Key))
@@ -136,28 +136,28 @@
 		s.outcomes[refusal.Code].Inc(1)
 		s.Logger.WithFields(log.Fields{"database": start.Database, "code": refusal.Code.String(), "config": config.Version}).
 			Info("session: start refused.")
-		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
+		out.Enqueue(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
 	c := &session{server: s, core: core, conn: conn, out: out, queue: s.Pool.NewQueue(queueLimit)}
 	defer c.queue.Close()
 	s.add(c)
 	defer s.remove(c)
-	out.Write(s.Dialect.AppendReady(nil))
-	for out.Wait() {
+	out.Enqueue(s.Dialect.AppendReady(nil))
+	for out.WaitForSpace() {
 		request, ok, err := s.Dialect.ReadRequest(r)
 		if err != nil || !ok {
 			break
 		}
-		if !c.queue.PostWait(func() { c.receive(request) }) {
+		if !c.queue.PostBlocking(func() { c.receive(request) }) {
 			break
 		}
 	}
 	if c.readStopped.Load() {
-		c.queue.PostAlways(c.readerStopped)
+		c.queue.PostUnbounded(c.readerStopped)
 		out.WaitClosed()
 	}
-	c.queue.PostAlways(c.disconnected)
+	c.queue.PostUnbounded(c.disconnected)
 }
 
 func hashKey(key string) state.KeyHash { return sha256.Sum256([]byte(key)) }
@@ -200,10 +200,10 @@
 	return all
 }
 
-// Shed turns load shedding on or off. While it is on, new sessions are refused, and
-// open ones are closed when they are idle outside a transaction, so that their
-// clients reconnect to other VMs.
-func (s *Server) Shed(on bool) {
+// SetCloseIdle turns load shedding on or off. While it is on, new sessions are
+// refused, and open ones are closed when they are idle outside a transaction, so
+// that their clients reconnect to other VMs.
+func (s *Server) SetCloseIdle(on bool) {
 	s.mu.Lock()
 	changed := s.shedding != on
 	s.shedding = on
@@ -212,7 +212,7 @@
 		return
 	}
 	for _, c := range s.allSessions() {
-		c.queue.PostAlways(c.becomeIdle)
+		c.queue.PostUnbounded(c.becomeIdle)
 	}
 }
 
@@ -223,7 +223,7 @@
 	s.draining = true
 	s.mu.Unlock()
 	for _, c := range s.allSessions() {
-		c.queue.PostAlways(c.abortIdleTx)
+		c.queue.PostUnbounded(c.abortIdleTx)
 	}
 }
 
@@ -233,8 +233,9 @@
 	return s.shedding
 }
 
-// Open returns the number of open sessions. A VM that drains waits until it is zero.
-func (s *Server) Open() int {
+// SessionCount returns the number of open sessions. A VM that drains waits until
+// it is zero.
+func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
--- a/transport/sqlfront/session.go
+++ b/transport/sqlfront/session.go
@@ -76,7 +76,7 @@
 	}
 	if c.busy() {
 		if len(c.backlog) >= maxBacklog {
-			c.out.Abort()
+			c.out.CloseNow()
 			return
 		}
 		c.backlog = append(c.backlog, r)
@@ -91,7 +91,7 @@
 	config := c.server.Table.Current().Config
 	step := c.core.Handle(r, config)
 	if step.End != nil {
-		c.server.Runner.Abort(step.End.VM, step.End.ID)
+		c.server.Runner.AbortTxOn(step.End.VM, step.End.ID)
 	}
 	switch {
 	case step.Run != nil:
@@ -115,7 +115,7 @@
 func (c *session) admitTx(r statement.Request, step sqlsession.Step) {
 	c.admitting = true
 	c.server.Admitter.Admit(step.Customer, func(admitted bool, retryAfter time.Duration) {
-		c.queue.PostAlways(func() {
+		c.queue.PostUnbounded(func() {
 			c.admitting = false
 			if c.closed {
 				return
@@ -152,7 +152,7 @@
 		return
 	}
 	c.server.Admitter.Admit(op.Customer, func(admitted bool, retryAfter time.Duration) {
-		c.queue.PostAlways(func() {
+		c.queue.PostUnbounded(func() {
 			if c.current != ex {
 				return
 			}
@@ -190,7 +190,7 @@
 
 func (c *session) sendAnswer(a statement.Answer) {
 	if !c.closed {
-		c.out.Write(c.server.Dialect.AppendAnswer(nil, &a))
+		c.out.Enqueue(c.server.Dialect.AppendAnswer(nil, &a))
 	}
 }
 
@@ -226,7 +226,7 @@
 	}
 	if config := c.server.Table.Current().Config; config.TxIdle > 0 {
 		c.stopIdleTxTimer()
-		c.idleTxTimer = time.AfterFunc(config.TxIdle, func() { c.queue.PostAlways(c.abortIdleTx) })
+		c.idleTxTimer = time.AfterFunc(config.TxIdle, func() { c.queue.PostUnbounded(c.abortIdleTx) })
 	}
 }
 
@@ -243,7 +243,7 @@
 		return
 	}
 	if tx := c.core.FailTx(); tx != nil {
-		c.server.Runner.Abort(tx.VM, tx.ID)
+		c.server.Runner.AbortTxOn(tx.VM, tx.ID)
 	}
 	c.server.Logger.Info("session: idle transaction rolled back.")
 }
@@ -272,7 +272,7 @@
 func (c *session) closeAfterOutput() {
 	c.closed = true
 	c.stopIdleTxTimer()
-	c.out.Finish()
+	c.out.CloseAfterFlush()
 }
 
 // disconnected handles the end of the connection: it rolls back the open
@@ -281,7 +281,7 @@
 	c.closed = true
 	c.stopIdleTxTimer()
 	if tx := c.core.FailTx(); tx != nil {
-		c.server.Runner.Abort(tx.VM, tx.ID)
+		c.server.Runner.AbortTxOn(tx.VM, tx.ID)
 	}
 	if c.current != nil {
 		c.current.stopHedge()
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -79,22 +79,22 @@
 		want    Outcome
 		version uint64
 	}{
-		"done":                     {respondWith(200, `{"name":"config","version":4,"value":{}}`), Done, 0},
-		"done, answer unreadable":  {respondWith(200, `{"na`), Done, 0},
-		"conflict":                 {respondWith(409, `{"name":"config","version":7,"value":{}}`), Conflict, 7},
-		"conflict without object":  {respondWith(409, ``), NotDone, 0},
-		"too large":                {respondWith(413, `too large`), NotDone, 0},
-		"error after the request":  {respondWith(500, ``), Unknown, 0},
-		"gateway timeout":          {respondWith(504, ``), Unknown, 0},
-		"redirect":                 {respondWith(307, ``), Unknown, 0},
-		"connection cut":           {abortConnection, Unknown, 0},
-		"no answer within timeout": {neverRespond, Unknown, 0},
+		"done":                     {respondWith(200, `{"name":"config","version":4,"value":{}}`), PutApplied, 0},
+		"done, answer unreadable":  {respondWith(200, `{"na`), PutApplied, 0},
+		"conflict":                 {respondWith(409, `{"name":"config","version":7,"value":{}}`), PutConflict, 7},
+		"conflict without object":  {respondWith(409, ``), PutRejected, 0},
+		"too large":                {respondWith(413, `too large`), PutRejected, 0},
+		"error after the request":  {respondWith(500, ``), PutUnknown, 0},
+		"gateway timeout":          {respondWith(504, ``), PutUnknown, 0},
+		"redirect":                 {respondWith(307, ``), PutUnknown, 0},
+		"connection cut":           {abortConnection, PutUnknown, 0},
+		"no answer within timeout": {neverRespond, PutUnknown, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			run(t, test.handler, func(t *testing.T, x *fixture) {
 				r := x.client.Put(t.Context(), "config", storeapi.Put{Version: 3, Value: json.RawMessage(`{}`)})
-				if r.Outcome != test.want || r.Object.Version != test.version || (r.Err == nil) != (r.Outcome == Done || r.Outcome == Conflict) {
+				if r.Outcome != test.want || r.Object.Version != test.version || (r.Err == nil) != (r.Outcome == PutApplied || r.Outcome == PutConflict) {
 					t.Errorf("got outcome %v, version %d, error %v", r.Outcome, r.Object.Version, r.Err)
 				}
 			})
@@ -103,7 +103,7 @@
 	t.Run("not connected", func(t *testing.T) {
 		run(t, neverRespond, func(t *testing.T, x *fixture) {
 			x.net.SetDown(address, true)
-			if r := x.client.Put(t.Context(), "config", storeapi.Put{Value: json.RawMessage(`{}`)}); r.Outcome != NotDone {
+			if r := x.client.Put(t.Context(), "config", storeapi.Put{Value: json.RawMessage(`{}`)}); r.Outcome != PutRejected {
 				t.Errorf("got outcome %v", r.Outcome)
 			}
 		})
--- a/transport/telemetry/bounded.go
+++ b/transport/telemetry/rate_limited.go
@@ -15,10 +15,10 @@
 	maxBurstLines = 200
 )
 
-// Bounded forwards lines to a writer and never blocks its callers. Lines that
-// exceed the rate, or that the reader of a pipe does not consume in time, are
-// dropped and counted. A line with their number is written later.
-type Bounded struct {
+// RateLimitedWriter forwards lines to a writer and never blocks its callers.
+// Lines that exceed the rate, or that the reader of a pipe does not consume in
+// time, are dropped and counted. A line with their number is written later.
+type RateLimitedWriter struct {
 	out   io.Writer
 	lines chan []byte
 
@@ -30,15 +30,16 @@
 	reportedAt time.Time
 }
 
-// NewBounded returns a Bounded that writes at most rate lines per second.
-func NewBounded(out io.Writer, rate float64) *Bounded {
-	b := &Bounded{out: out, lines: make(chan []byte, maxBufferedLines), rate: rate, tokens: maxBurstLines, refilledAt: time.Now()}
+// NewRateLimitedWriter returns a RateLimitedWriter that writes at most rate lines
+// per second.
+func NewRateLimitedWriter(out io.Writer, rate float64) *RateLimitedWriter {
+	b := &RateLimitedWriter{out: out, lines: make(chan []byte, maxBufferedLines), rate: rate, tokens: maxBurstLines, refilledAt: time.Now()}
 	go b.writeLoop()
 	return b
 }
 
 // Write implements io.Writer for a single line. It never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *RateLimitedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -63,7 +64,7 @@
 	return len(line), nil
 }
 
-func (b *Bounded) enqueue(line []byte) bool {
+func (b *RateLimitedWriter) enqueue(line []byte) bool {
 	select {
 	case b.lines <- line:
 		return true
@@ -72,7 +73,7 @@
 	}
 }
 
-func (b *Bounded) writeLoop() {
+func (b *RateLimitedWriter) writeLoop() {
 	for line := range b.lines {
 		// There is no other place to report a failure of the log.
 		_, _ = b.out.Write(line)
--- a/transport/telemetry/bounded_test.go
+++ b/transport/telemetry/rate_limited_test.go
@@ -25,10 +25,10 @@
 
 // Guards against a log that blocks requests when nobody reads it, and against
 // lines that are dropped without being counted.
-func TestBoundedLog(t *testing.T) {
+func TestRateLimitedLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedWriter{release: make(chan struct{})}
-		b := NewBounded(out, 10)
+		b := NewRateLimitedWriter(out, 10)
 		for range 10 * maxBufferedLines {
 			if _, err := b.Write([]byte("x\n")); err != nil {
 				t.Fatal(err)
--- a/wiring.go
+++ b/wiring.go
@@ -39,7 +39,7 @@
 
 func (v *VM) buildGroups() {
 	o := v.options
-	v.groupViews = groups.NewViews()
+	v.groupViews = groups.NewViewGossip()
 	v.groups = groups.New(groups.Options{
 		Pool:     v.pool,
 		Tables:   v.tables,
@@ -63,32 +63,32 @@
 		leases = v.store
 	}
 	v.limits = limits.New(limits.Options{
-		Pool:         v.pool,
-		Tables:       v.tables,
-		Decide:       func(d share.Decision) { v.sessions.Admitted(d) },
-		Send:         func(names ...string) { v.exchange.SendNow(names...) },
-		Lower:        func(server string) { v.backends.Lower(server) },
-		Store:        leases,
-		Static:       o.StaticShares,
-		FirstProcess: o.FirstProcess,
-		Logger:       o.Logger,
-		Scope:        o.Scope,
+		Pool:                 v.pool,
+		Tables:               v.tables,
+		DeliverDecision:      func(d share.Decision) { v.sessions.Admitted(d) },
+		RequestExchange:      func(names ...string) { v.exchange.SendNow(names...) },
+		LowerConnectionLimit: func(server string) { v.backends.ApplyLimit(server) },
+		Store:                leases,
+		Static:               o.StaticShares,
+		FirstProcess:         o.FirstProcess,
+		Logger:               o.Logger,
+		Scope:                o.Scope,
 	})
 }
 
 func (v *VM) buildBackends() {
 	o := v.options
 	v.backends = pgbackend.New(pgbackend.Options{
-		Tables:      v.tables,
-		Network:     o.Network,
-		Credentials: o.Backend,
-		Waiters:     v.sessions,
-		Queueing:    o.Queueing,
-		Limit:       v.connectionLimit,
-		Wanted:      v.setConnectionsWanted,
-		Failed:      v.suspectServer,
-		Logger:      o.Logger,
-		Scope:       o.Scope,
+		Tables:           v.tables,
+		Network:          o.Network,
+		Credentials:      o.Backend,
+		Waiters:          v.sessions,
+		Queueing:         o.Queueing,
+		Limit:            v.connectionLimit,
+		OnDemand:         v.setConnectionsWanted,
+		OnConnectFailure: v.suspectServer,
+		Logger:           o.Logger,
+		Scope:            o.Scope,
 	})
 }
 
@@ -127,7 +127,7 @@
 		Applied:    v.limits.Applied,
 		Extensions: []exchange.Extension{v.limits, v.groupViews},
 		Config:     config,
-		Cancel:     func(id uint64, secret uint32) { v.sessions.CancelOwn(uint32(id), secret) },
+		Cancel:     func(id uint64, secret uint32) { v.sessions.CancelLocal(uint32(id), secret) },
 		Logger:     o.Logger,
 		Scope:      o.Scope,
 		Tracer:     o.Tracer,
