--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -177,7 +177,7 @@
 		return ExitError
 	case ticket.Conflict:
 		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.ConflictingRecord))
-		return ExitLost
+		return ExitConflict
 	case ticket.NotApplied:
 		env.errorf("ticket %d was not applied: %s", number, r.Reason)
 		return ExitError
--- a/cmd/chestnutctl/ctl/ctl.go
+++ b/cmd/chestnutctl/ctl/ctl.go
@@ -21,12 +21,12 @@
 
 // Exit codes, which scripts rely on.
 const (
-	ExitOK      = 0
-	ExitError   = 1 // nothing was changed
-	ExitUsage   = 2 // the command line was wrong
-	ExitLagging = 3 // a VM has not applied the ticket
-	ExitLost    = 4 // another operator's ticket came first; nothing was changed
-	ExitUnknown = 5 // the answer was lost; the change may have been made
+	ExitOK       = 0
+	ExitError    = 1 // nothing was changed
+	ExitUsage    = 2 // the command line was wrong
+	ExitLagging  = 3 // a VM has not applied the ticket
+	ExitConflict = 4 // another operator's ticket came first; nothing was changed
+	ExitUnknown  = 5 // the answer was lost; the change may have been made
 )
 
 // DefaultTimeout is the longest time that a command tries to reach the store or
--- a/cmd/chestnutctl/ctl/ctl_test.go
+++ b/cmd/chestnutctl/ctl/ctl_test.go
@@ -136,7 +136,7 @@
 		fleet.expect("ticket apply STORE 4.yaml", ExitOK, "ticket 4 was applied before")
 		fleet.expect("ticket check STORE 5.yaml", ExitOK, "ticket 5 changes 1 objects", "~ rate: 14 -> 15")
 		fleet.expect("ticket apply STORE 5.yaml", ExitOK, "~ customers/seffarine")
-		fleet.expect("ticket apply STORE taken.yaml", ExitLost, "the number 5 was taken by ticket 5 of amina, 2000-01-01T00:00:00Z")
+		fleet.expect("ticket apply STORE taken.yaml", ExitConflict, "the number 5 was taken by ticket 5 of amina, 2000-01-01T00:00:00Z")
 		fleet.expect("ticket check STORE 4.yaml", ExitError, "4.yaml:1: ticket 4 is not above ticket 5")
 		fleet.expect("ticket diff STORE 4.yaml", ExitOK, "~ rate: 15 -> 14")
 		fleet.expect("ticket check bad.yaml", ExitError, "bad.yaml:7: burst must be at least 1", "bad.yaml:8: unknown field \"colour\"")
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -72,9 +72,9 @@
 	return len(others) > 1
 }
 
-// Isolated reports whether no majority of the VMs is alive from this VM's
+// InMinority reports whether no majority of the VMs is alive from this VM's
 // perspective. It is then probably on the minority side of a partition.
-func (v *View) Isolated() bool { return v.Members > 2 && 2*v.AliveCount() <= v.Members }
+func (v *View) InMinority() bool { return v.Members > 2 && 2*v.AliveCount() <= v.Members }
 
 // ConnectionOwner returns the VM that holds the customer's connections to the
 // server. It reports false if no VM that is alive can reach the server.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -124,12 +124,12 @@
 	for i := 2; i < 6; i++ {
 		v.VMs[i].Alive = false
 	}
-	if !v.Isolated() {
-		t.Error("two of six VMs are not isolated")
+	if !v.InMinority() {
+		t.Error("two of six VMs are not in the minority")
 	}
 	v.VMs[2].Alive, v.VMs[3].Alive = true, true
-	if v.Isolated() {
-		t.Error("four of six VMs are isolated")
+	if v.InMinority() {
+		t.Error("four of six VMs are in the minority")
 	}
 }
 
--- a/fleettest/ticket_test.go
+++ b/fleettest/ticket_test.go
@@ -117,8 +117,8 @@
 		if a.code != ctl.ExitOK {
 			a, b = b, a
 		}
-		if a.code != ctl.ExitOK || b.code != ctl.ExitLost {
-			t.Fatalf("exit codes %d and %d, want %d and %d", a.code, b.code, ctl.ExitOK, ctl.ExitLost)
+		if a.code != ctl.ExitOK || b.code != ctl.ExitConflict {
+			t.Fatalf("exit codes %d and %d, want %d and %d", a.code, b.code, ctl.ExitOK, ctl.ExitConflict)
 		}
 		if winner := h.stored(); !strings.Contains(b.stderr, "by ticket 2 of ") || winner.Ticket.Number != 2 {
 			t.Errorf("the other operator is told %q", b.stderr)
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -172,7 +172,7 @@
 	if !r.ok() {
 		s.failed++
 	}
-	for _, v := range r.verdicts {
+	for _, v := range r.checkResults {
 		if !v.OK() {
 			s.violations[v.Name]++
 		} else {
--- a/matrix/result_test.go
+++ b/matrix/result_test.go
@@ -16,7 +16,7 @@
 
 // result is the outcome of a scenario.
 type result struct {
-	verdicts     []history.Verdict
+	checkResults []history.CheckResult
 	problems     []string
 	history      history.History
 	recoveryTime time.Duration
@@ -27,7 +27,7 @@
 func (r *scenarioRun) evaluate() *result {
 	h := r.recorder.History()
 	return &result{
-		verdicts:     history.Check(h, groundTruth(r.group, r.primary())),
+		checkResults: history.Check(h, groundTruth(r.group, r.primary())),
 		problems:     r.problems,
 		history:      h,
 		recoveryTime: r.recoveryTime,
@@ -35,12 +35,12 @@
 	}
 }
 
-func (r *result) ok() bool { return len(r.problems) == 0 && len(history.Broken(r.verdicts)) == 0 }
+func (r *result) ok() bool { return len(r.problems) == 0 && len(history.Violated(r.checkResults)) == 0 }
 
 // String lists the problems and the violated checks.
 func (r *result) String() string {
 	lines := append([]string(nil), r.problems...)
-	for _, v := range history.Broken(r.verdicts) {
+	for _, v := range history.Violated(r.checkResults) {
 		lines = append(lines, v.String())
 	}
 	return strings.Join(lines, "\n")
@@ -48,7 +48,7 @@
 
 // violates reports whether the named check failed.
 func (r *result) violates(check string) bool {
-	for _, v := range history.Broken(r.verdicts) {
+	for _, v := range history.Violated(r.checkResults) {
 		if v.Name == check {
 			return true
 		}
--- a/node.go
+++ b/node.go
@@ -201,7 +201,7 @@
 		return unconfirmed > 0
 	}
 	unconfirmed, groups := n.countUnconfirmed(maxConfirmationAge)
-	return view.Isolated() && 2*unconfirmed > groups
+	return view.InMinority() && 2*unconfirmed > groups
 }
 
 // countUnconfirmed returns the number of groups, and how many of them have a
--- a/standin/history/check.go
+++ b/standin/history/check.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Names of the checks, which verdicts and failing tests print.
+// Names of the checks, which results and failing tests print.
 const (
 	LostWrite        = "no acknowledged write is missing"
 	DoubleWrite      = "no write is in the final log twice"
@@ -18,16 +18,16 @@
 	AppendOrder      = "appends of a session keep their order"
 )
 
-// Verdict is the result of one check. Name is one of the constants above.
-type Verdict struct {
+// CheckResult is the result of one check. Name is one of the constants above.
+type CheckResult struct {
 	Name       string
 	Violations []string // descriptions; empty if the check passed
 }
 
 // OK reports whether the check found no violation.
-func (v *Verdict) OK() bool { return len(v.Violations) == 0 }
+func (v *CheckResult) OK() bool { return len(v.Violations) == 0 }
 
-func (v *Verdict) String() string {
+func (v *CheckResult) String() string {
 	if v.OK() {
 		return v.Name + ": ok"
 	}
@@ -35,9 +35,9 @@
 }
 
 // Check runs all checks on what clients saw and what the servers did. It returns one
-// verdict per check, always in the same order, and panics if two requests write the
+// result per check, always in the same order, and panics if two requests write the
 // same value.
-func Check(h History, t ServerRecord) []Verdict {
+func Check(h History, t ServerRecord) []CheckResult {
 	c := newChecker(h, t)
 	checks := []struct {
 		name string
@@ -53,24 +53,24 @@
 		{WrongAnswer, (*checker).checkAnswers},
 		{AppendOrder, (*checker).checkAppendOrder},
 	}
-	var verdicts []Verdict
+	var results []CheckResult
 	for _, check := range checks {
 		c.violations = nil
 		check.run(c)
-		verdicts = append(verdicts, Verdict{Name: check.name, Violations: c.violations})
+		results = append(results, CheckResult{Name: check.name, Violations: c.violations})
 	}
-	return verdicts
+	return results
 }
 
-// Broken returns the verdicts with violations.
-func Broken(verdicts []Verdict) []Verdict {
-	var broken []Verdict
-	for _, v := range verdicts {
+// Violated returns the results with violations.
+func Violated(results []CheckResult) []CheckResult {
+	var violated []CheckResult
+	for _, v := range results {
 		if !v.OK() {
-			broken = append(broken, v)
+			violated = append(violated, v)
 		}
 	}
-	return broken
+	return violated
 }
 
 // unit is an atomic unit of work: a transaction, or a write outside of one.
--- a/standin/history/check_test.go
+++ b/standin/history/check_test.go
@@ -60,9 +60,9 @@
 // a correct history.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		build  func(s *scenario)
-		broken []string
+		name     string
+		build    func(s *scenario)
+		violated []string
 	}{
 		{"empty", func(*scenario) {}, nil},
 		{"write and read", func(s *scenario) {
@@ -290,13 +290,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newScenario()
 			c.build(s)
-			var broken []string
-			for _, v := range Broken(Check(s.history, s.truth)) {
-				broken = append(broken, v.Name)
+			var violated []string
+			for _, v := range Violated(Check(s.history, s.truth)) {
+				violated = append(violated, v.Name)
 				t.Log(v.String())
 			}
-			if !slices.Equal(broken, c.broken) {
-				t.Errorf("broken checks %q, want %q", broken, c.broken)
+			if !slices.Equal(violated, c.violated) {
+				t.Errorf("violated checks %q, want %q", violated, c.violated)
 			}
 		})
 	}
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -269,7 +269,7 @@
 
 func (c *Coordinator) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
 	now, d := clock.Now(), r.deployment
-	status := succession.GroupStatus{Now: now, Isolated: c.View().Isolated(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
+	status := succession.GroupStatus{Now: now, Isolated: c.View().InMinority(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
 	c.Leadership.With(group, func(l *leadership.Group) {
 		status.Primary = l.Primary(d.GroupServers(group), now)
 		status.ConfirmedAt = l.ConfirmedAt()
