--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -128,7 +128,7 @@
 	lifecycle        *lifecycle.Lifecycle
 	groupControl     *groupctl.HTTP
 	store            *store.Client // nil without Options.Store
-	liveVMs          liveVMCache
+	aliveVMs         aliveVMCache
 	forwardedCancels sync.WaitGroup // cancel requests being forwarded to other VMs
 	clientListener   net.Listener
 	adminListener    net.Listener // nil without Options.AdminAddress
@@ -241,20 +241,20 @@
 	case cfg == nil:
 		return "no configuration"
 	case !drain.TakesWork(drain.VMState(cfg, self.Name, self.DataCentre)):
-		return "leaving"
+		return "leaving" // also for a VM that is out of service
 	case !v.limits.Usable():
-		return "not confirmed by its voters"
+		return "no valid lease, or shares not computed yet"
 	}
 	return ""
 }
 
 // Ready reports whether the VM accepts requests: it has a configuration, is in
-// service, and a majority of its voters confirms its incarnation.
+// service, holds a valid lease and has computed its shares.
 func (v *VM) Ready() bool { return v.notReadyReason() == "" }
 
-// Drain refuses new sessions, lends the VM's shares to other VMs, and waits until
-// no session has a running request or transaction. It returns an error if ctx
-// ends first.
+// Drain refuses new sessions, closes each session once it has neither a running
+// request nor an open transaction, and lends the shares that the VM does not use to
+// other VMs. It returns once no session remains, or with an error if ctx ends first.
 func (v *VM) Drain(ctx context.Context) error {
 	v.exchange.SetState(state.Leaving)
 	v.limits.Leave()
--- a/failover_test.go
+++ b/failover_test.go
@@ -9,9 +9,9 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// failoverTarget is the longest allowed time from the isolation of a primary to
+// maxFailoverTime is the longest allowed time from the isolation of a primary to
 // the first acknowledged write.
-const failoverTarget = time.Second
+const maxFailoverTime = time.Second
 
 // appendUntilAcknowledged appends entries until one is acknowledged, and
 // returns that entry. Every attempt uses a different entry, because a write whose
@@ -33,7 +33,7 @@
 }
 
 // checkLog fails the test if the primary's log lacks an acknowledged entry or holds
-// an entry twice.
+// an entry more than once.
 func (h *harness) checkLog(acknowledged ...string) {
 	h.t.Helper()
 	primary := h.group.Primary()
@@ -46,7 +46,7 @@
 	sorted := slices.Clone(log)
 	slices.Sort(sorted)
 	if unique := slices.Compact(slices.Clone(sorted)); len(unique) != len(log) {
-		h.t.Errorf("an entry is in the log twice: %q", log)
+		h.t.Errorf("an entry is in the log more than once: %q", log)
 	}
 }
 
@@ -61,8 +61,8 @@
 		after := h.appendUntilAcknowledged(south, "after")
 		gap := time.Since(isolated)
 		t.Logf("first acknowledged write after %v", gap)
-		if gap > failoverTarget {
-			t.Errorf("first acknowledged write after %v, want at most %v", gap, failoverTarget)
+		if gap > maxFailoverTime {
+			t.Errorf("first acknowledged write after %v, want at most %v", gap, maxFailoverTime)
 		}
 		if _, err := north.Exec(background, "APPEND log 'isolated'"); err == nil {
 			t.Error("a write through the isolated primary was acknowledged")
@@ -93,8 +93,8 @@
 		after := h.appendUntilAcknowledged(c, "after")
 		gap := time.Since(stopped)
 		t.Logf("first acknowledged write after %v", gap)
-		if gap > failoverTarget {
-			t.Errorf("first acknowledged write after %v, want at most %v", gap, failoverTarget)
+		if gap > maxFailoverTime {
+			t.Errorf("first acknowledged write after %v, want at most %v", gap, maxFailoverTime)
 		}
 		h.checkLog(before, after)
 		h.close(c)
@@ -102,7 +102,7 @@
 }
 
 // Guards against reads that keep waiting for a replica that does not respond.
-func TestReadLeavesIsolatedReplica(t *testing.T) {
+func TestReadAvoidsUnresponsiveReplica(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		c := h.connect(1, "")
 		h.exec(c, "APPEND log 'x'")
--- a/golden_test.go
+++ b/golden_test.go
@@ -24,7 +24,7 @@
 		name string
 		run  func(h *harness)
 	}{
-		{"plain", goldenPlain},
+		{"plain", goldenReadWriteTransaction},
 		{"move", goldenMoveToAnotherVM},
 		{"bounded-staleness", goldenBoundedStaleness},
 		{"cancel", goldenCancel},
@@ -64,7 +64,7 @@
 	}
 }
 
-func goldenPlain(h *harness) {
+func goldenReadWriteTransaction(h *harness) {
 	c := h.connect(0, "")
 	h.exec(c, "INSERT INTO kv VALUES ('skin-1', 'free')")
 	h.query(c, "SELECT value FROM kv WHERE key = $1", "skin-1")
--- a/layers_test.go
+++ b/layers_test.go
@@ -52,7 +52,7 @@
 	}
 	layer, _, _ := strings.Cut(rest, "/")
 	if i := slices.Index(layers, layer); i < 0 || i > level {
-		t.Errorf("%s imports %s, which is not in a lower layer", dir, imported)
+		t.Errorf("%s imports %s, which is in a higher layer or in none", dir, imported)
 	}
 }
 
--- a/node.go
+++ b/node.go
@@ -38,7 +38,7 @@
 	Weight        float64 // relative CPU capacity; VMs hold backend connections in proportion to it
 	ClientAddress string
 	LinkAddress   string   // host:port at which other VMs reach this one
-	ReadyAddress  string   // HTTP readiness endpoint for load balancers; empty for none
+	ReadyAddress  string   // HTTP readiness endpoint for load balancers, which also serves metrics; empty for none
 	AdminAddress  string   // HTTP metrics and readiness endpoint; empty for none
 	Seeds         []string // link addresses of VMs that may be running
 	Workers       int
@@ -81,23 +81,23 @@
 // Node is a VM whose deployment is declared in a platform's store. It runs until
 // the context passed to NewNode is done.
 type Node struct {
-	options    NodeOptions
-	ctx        context.Context
-	pool       *pool.Pool
-	catalog    *catalog.Table
-	leaders    *leadership.Table
-	quota      *quota.Table
-	links      *fleetlink.Links
-	dispatcher *dispatch.Dispatcher
-	executor   *sqlback.Executor
-	admission  *admission.Gate
-	frontend   *sqlfront.Server
-	directory  *directory.Directory
-	promoter   *promotion.Coordinator
-	started    time.Duration
+	options             NodeOptions
+	ctx                 context.Context
+	pool                *pool.Pool
+	catalog             *catalog.Table
+	leaders             *leadership.Table
+	quota               *quota.Table
+	links               *fleetlink.Links
+	dispatcher          *dispatch.Dispatcher
+	executor            *sqlback.Executor
+	admission           *admission.Gate
+	frontend            *sqlfront.Server
+	directory           *directory.Directory
+	failoverCoordinator *promotion.Coordinator
+	started             time.Duration
 
 	warmedUp       atomic.Bool // warmUpTime has passed since the start
-	isolated       atomic.Bool // other VMs can reach more primaries than this one
+	isolated       atomic.Bool // result of the latest call of isIsolated
 	draining       atomic.Bool
 	drainStartedAt atomic.Int64 // clock reading in ns when Drain was called; zero before
 }
@@ -130,7 +130,7 @@
 	member := directory.Member{Name: o.Name, Address: o.LinkAddress}
 	n.directory = directory.New(o.Source, n.links, n.catalog, n.leaders, member, o.Logger, o.Scope)
 	n.dispatcher.Use(n.directory)
-	n.promoter = promotion.New(promotion.Options{
+	n.failoverCoordinator = promotion.New(promotion.Options{
 		Name: o.Name, Platform: o.Platform, Duties: o.Duties, Runner: n.dispatcher, Reports: o.Servers, Table: n.catalog, Leadership: n.leaders,
 		View: n.links.View, Logger: o.Logger, Scope: o.Scope,
 	})
@@ -147,7 +147,7 @@
 	g.Go(func() error { return n.links.Run(ctx) })
 	g.Go(func() error { return n.executor.Run(ctx) })
 	g.Go(func() error { return n.directory.Run(ctx) })
-	g.Go(func() error { return n.promoter.Run(ctx) })
+	g.Go(func() error { return n.failoverCoordinator.Run(ctx) })
 	g.Go(func() error { return n.frontend.Run(ctx) })
 	g.Go(func() error { return n.watchIsolation(ctx) })
 	for _, address := range []string{n.options.ReadyAddress, n.options.AdminAddress} {
@@ -169,9 +169,10 @@
 	return n.warmedUp.Load() && !n.isolated.Load() && !n.draining.Load() && n.catalog.Current().Config != nil
 }
 
-// watchIsolation makes the VM not ready while it is cut off from most VMs and most
-// primaries. It also closes idle sessions then, so that their clients reconnect
-// to VMs that can serve them. It returns when ctx is done.
+// watchIsolation makes the VM not ready while it is isolated. While it is, and once
+// load balancers send no new sessions to a draining VM, it also closes idle sessions,
+// so that their clients reconnect to VMs that can serve them. It returns when ctx is
+// done.
 func (n *Node) watchIsolation(ctx context.Context) error {
 	ticker := time.NewTicker(isolationCheckInterval)
 	defer ticker.Stop()
@@ -193,7 +194,10 @@
 	}
 }
 
-// isIsolated reports whether other VMs are likely to reach more primaries.
+// isIsolated reports whether other VMs are likely to reach more primaries: this VM
+// reaches no other data centre and the leadership of any primary is unconfirmed, or
+// it reaches at most half of the VMs and the leadership of most primaries is
+// unconfirmed.
 func (n *Node) isIsolated() bool {
 	view := n.links.View()
 	if view.DataCentreCutOff() {
@@ -204,8 +208,8 @@
 	return view.Isolated() && 2*unconfirmed > groups
 }
 
-// countUnconfirmed returns the number of groups, and how many of them have a
-// primary whose latest leadership confirmation to this VM is older than maxAge.
+// countUnconfirmed returns the number of groups whose primary's latest leadership
+// confirmation to this VM is older than maxAge, and the number of all groups.
 func (n *Node) countUnconfirmed(maxAge time.Duration) (unconfirmed, total int) {
 	config := n.catalog.Current().Config
 	if config == nil {
@@ -234,15 +238,17 @@
 	return at != 0 && clock.Now()-time.Duration(at) >= deregistrationDelay
 }
 
-// Drain prepares the VM for its exit. It reports not ready, waits half of the grace
-// period for open transactions before it ends them, and closes idle sessions. It
-// returns when no session is open and no statement runs, or when the grace period
-// is about to end.
+// Drain prepares the VM for its exit. It makes the VM report that it is not ready,
+// closes idle sessions once load balancers send no new ones (deregistrationDelay),
+// and after half of the grace period rolls back each open transaction as soon as
+// none of its statements is running. It returns when no session is open and no
+// statement runs, but not before deregistrationDelay, or when the grace period is
+// about to end.
 func (n *Node) Drain() {
 	start := clock.Now()
 	n.draining.Store(true)
 	n.drainStartedAt.Store(int64(start))
-	n.options.Logger.WithField("sessions", n.frontend.Open()).Info("vm: planned stop.")
+	n.options.Logger.WithField("sessions", n.frontend.Open()).Info("vm: graceful shutdown started.")
 	n.links.Describe(fleetlink.All, func(s *fleetwire.Status) { s.Leaving = true })
 	transactionsEnded := false
 	for {
--- a/rank.go
+++ b/rank.go
@@ -8,24 +8,24 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// liveVMsTTL is how long the list of live VMs is cached. The rank of each group is
-// requested once a second.
-const liveVMsTTL = 500 * time.Millisecond
+// aliveVMsTTL is how long the list of VMs that are alive is cached. The rank of each
+// group is requested once a second.
+const aliveVMsTTL = 500 * time.Millisecond
 
-// liveVMCache caches the names of the live VMs.
-type liveVMCache struct {
+// aliveVMCache keeps the result of byDataCentre for aliveVMsTTL.
+type aliveVMCache struct {
 	mu      sync.Mutex // guards the fields below; the member table is read under it
 	builtAt time.Time
 	byDC    map[string][]string // names by data centre
 }
 
-// byDataCentre returns the names of the VMs that are live and in service, grouped by
+// byDataCentre returns the names of the VMs that are alive and in service, grouped by
 // data centre and including this VM. The result is shared; callers must not
 // modify it.
-func (c *liveVMCache) byDataCentre(t *state.Tables, now time.Time) map[string][]string {
+func (c *aliveVMCache) byDataCentre(t *state.Tables, now time.Time) map[string][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.byDC != nil && now.Sub(c.builtAt) < liveVMsTTL {
+	if c.byDC != nil && now.Sub(c.builtAt) < aliveVMsTTL {
 		return c.byDC
 	}
 	c.builtAt = now
@@ -38,16 +38,18 @@
 	return c.byDC
 }
 
-// rank returns this VM's rank for a group among the live VMs of the data centres
-// with a server of the group; rank 0 acts first. watcher reports whether this VM
-// monitors the group, as the highest-scored VM of each of these data centres does.
+// rank returns the number of VMs that are alive, in the data centres with a server of
+// the group, and have a higher rendezvous hashing score for the group than this VM;
+// rank 0 acts first. watcher reports whether this VM monitors the group: its data
+// centre has a server of the group, and no VM there has a higher score. For a group
+// that is not in the configuration, rank returns 0 and false.
 func (v *VM) rank(group string) (rank int, watcher bool) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil || cfg.Groups[group] == nil {
 		return 0, false
 	}
 	self := v.tables.Self
-	live := v.liveVMs.byDataCentre(v.tables, time.Now())
+	alive := v.aliveVMs.byDataCentre(v.tables, time.Now())
 	ownScore := lease.Score(group, self.Name)
 	seen := make(map[string]bool)
 	for _, s := range cfg.Groups[group].Servers {
@@ -56,7 +58,7 @@
 		}
 		seen[s.DataCentre] = true
 		higher := 0
-		for _, name := range live[s.DataCentre] {
+		for _, name := range alive[s.DataCentre] {
 			if lease.Score(group, name) > ownScore {
 				higher++
 			}
--- a/recorder_test.go
+++ b/recorder_test.go
@@ -22,15 +22,15 @@
 
 	mu     sync.Mutex // guards the fields below
 	events []event
-	conns  map[string]int
+	conns  map[string]int // number of connections dialled, by name in the transcript
 }
 
 // event is one recorded message.
 type event struct {
-	at   time.Duration
-	hop  string
-	seq  int
-	text string
+	at       time.Duration
+	connName string // name and number of the connection, such as vm-ledger-a#1
+	seq      int    // order in which the events were recorded
+	text     string
 }
 
 func newRecorder() *recorder {
@@ -45,7 +45,7 @@
 }
 
 // transcript returns the recorded messages ordered by time. Messages with the same
-// time are ordered by hop, which makes the transcript deterministic.
+// time are ordered by connection, which makes the transcript deterministic.
 func (r *recorder) transcript() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,22 +54,22 @@
 		if a.at != b.at {
 			return a.at < b.at
 		}
-		if a.hop != b.hop {
-			return a.hop < b.hop
+		if a.connName != b.connName {
+			return a.connName < b.connName
 		}
 		return a.seq < b.seq
 	})
 	var b strings.Builder
 	for _, e := range r.events {
-		fmt.Fprintf(&b, "%9.3fms  %-16s %s\n", float64(e.at.Microseconds())/1000, e.hop, e.text)
+		fmt.Fprintf(&b, "%9.3fms  %-16s %s\n", float64(e.at.Microseconds())/1000, e.connName, e.text)
 	}
 	return b.String()
 }
 
-func (r *recorder) add(hop, text string) {
+func (r *recorder) add(connName, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, event{at: time.Since(r.start), hop: hop, seq: len(r.events), text: text})
+	r.events = append(r.events, event{at: time.Since(r.start), connName: connName, seq: len(r.events), text: text})
 }
 
 type recordingNetwork struct {
@@ -86,21 +86,21 @@
 	}
 	n.recorder.mu.Lock()
 	n.recorder.conns[name]++
-	hop := fmt.Sprintf("%s#%d", name, n.recorder.conns[name])
+	connName := fmt.Sprintf("%s#%d", name, n.recorder.conns[name])
 	n.recorder.mu.Unlock()
-	return &recordingConn{Conn: conn, recorder: n.recorder, hop: hop, out: messageSplitter{untyped: true}}, nil
+	return &recordingConn{Conn: conn, recorder: n.recorder, connName: connName, out: messageSplitter{untyped: true}}, nil
 }
 
 type recordingConn struct {
 	net.Conn
 	recorder *recorder
-	hop      string
+	connName string
 	out, in  messageSplitter
 }
 
 func (c *recordingConn) Write(b []byte) (int, error) {
 	for _, m := range c.out.split(b) {
-		c.recorder.add(c.hop, "-> "+describeFrontend(m))
+		c.recorder.add(c.connName, "-> "+describeFrontend(m))
 	}
 	return c.Conn.Write(b)
 }
@@ -108,7 +108,7 @@
 func (c *recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for _, m := range c.in.split(b[:n]) {
-		c.recorder.add(c.hop, "<- "+describeBackend(m))
+		c.recorder.add(c.connName, "<- "+describeBackend(m))
 	}
 	return n, err
 }
@@ -116,7 +116,7 @@
 func (c *recordingConn) Close() error {
 	err := c.Conn.Close()
 	if err == nil {
-		c.recorder.add(c.hop, "closed")
+		c.recorder.add(c.connName, "closed")
 	}
 	return err
 }
--- a/session_end_test.go
+++ b/session_end_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// Guards against a planned stop that interrupts a transaction.
+// Guards against a graceful shutdown that interrupts a transaction.
 func TestDrainWaitsForTransactions(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		idle, busy := h.connect(0, ""), h.connect(0, "")
@@ -102,9 +102,9 @@
 	})
 }
 
-// Guards against a planned stop that truncates an answer which the client is still
-// reading. The answer is larger than the network's buffers.
-func TestStopLeavesAnswersWhole(t *testing.T) {
+// Guards against a graceful shutdown that truncates an answer which the client is
+// still reading. The answer is larger than the network's buffers.
+func TestStopDoesNotTruncateAnswers(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		c := h.connect(0, "")
 		const entries = 30
@@ -128,7 +128,7 @@
 
 // Guards against a connection that is closed before the client has received the
 // reason for the refused login.
-func TestRefusedLoginSaysWhy(t *testing.T) {
+func TestRefusedLoginReturnsSQLState(t *testing.T) {
 	tests := []struct {
 		name, user, database, key, code string
 	}{
@@ -149,8 +149,8 @@
 }
 
 // Guards against a request that gets a network error instead of an answer because
-// a planned stop closes its session while the request is on its way.
-func TestDrainAnswersCrossingRequests(t *testing.T) {
+// a graceful shutdown closes its session while the request is in flight.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		const clients = 20
 		var running sync.WaitGroup
--- a/session_test.go
+++ b/session_test.go
@@ -59,7 +59,7 @@
 
 // Guards against settings and prepared statements of one session leaking into
 // another that uses the same backend connection.
-func TestSessionStateStaysWithItsSession(t *testing.T) {
+func TestSessionStateIsIsolated(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		a, b := h.connect(0, ""), h.connect(0, "")
 		h.exec(a, "SET application_name = 'inventory'")
@@ -87,7 +87,7 @@
 }
 
 // Guards against two concurrent transactions sharing a backend connection.
-func TestTransactionsDoNotMix(t *testing.T) {
+func TestTransactionsUseSeparateConnections(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		a, b := h.connect(0, ""), h.connect(1, "")
 		txA, err := a.Begin(background)
@@ -122,7 +122,7 @@
 
 // Guards against a transaction that stays open after its client disconnects, and
 // against the reuse of its backend connection.
-func TestClientThatLeavesRollsBack(t *testing.T) {
+func TestDisconnectRollsBackTransaction(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		a := h.connect(0, "")
 		tx, err := a.Begin(background)
@@ -217,8 +217,8 @@
 	g.Server("ledger-c").HoldReplication(true)
 }
 
-// Guards against running statements whose effect on the connection would leak to
-// other sessions under transaction pooling.
+// Guards against running statements that transaction pooling does not support.
+// Except for COPY, their effect on the connection would leak to other sessions.
 func TestUnsupportedStatements(t *testing.T) {
 	tests := []struct{ name, sql string }{
 		{"listen", "LISTEN changes"},
@@ -240,7 +240,7 @@
 }
 
 // Guards against accepting a forged session token.
-func TestForeignTokenIsRefused(t *testing.T) {
+func TestForgedTokenIsRefused(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		c := h.connect(0, "")
 		_, err := c.Exec(background, "SET chestnutdyke.session = 'e30.e30'")
--- a/tls_test.go
+++ b/tls_test.go
@@ -19,8 +19,8 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// Guards against a failed login when the client sends its password together with
-// the start-up message.
+// Guards against a failed login when the client sends its password in the same
+// segment as the start-up message.
 func TestLoginInOneSegment(t *testing.T) {
 	withFleet(t, func(h *harness) {
 		conn, err := h.fleet.DialVM(background, 0)
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against keys sent over an unencrypted connection although the VM has a
-// certificate.
+// Guards against sending customers' keys unencrypted: a client that requests TLS
+// gets a TLS connection if the VM has a certificate.
 func TestClientsUseTLS(t *testing.T) {
 	certificate := newCertificate(t)
 	adjust := func(o *chestnutdyke.Options) {
--- a/vm_test.go
+++ b/vm_test.go
@@ -127,7 +127,7 @@
 		h.t.Fatal(err)
 	}
 	dial := cfg.DialFunc
-	cfg.DialFunc = func(ctx context.Context, netw, address string) (net.Conn, error) {
+	cfg.DialFunc = func(ctx context.Context, networkName, address string) (net.Conn, error) {
 		return h.recordingNetwork(dialNetwork{dial}).Dial(ctx, address)
 	}
 	return cfg
--- a/wiring.go
+++ b/wiring.go
@@ -135,7 +135,8 @@
 	return err
 }
 
-// decodeStored decodes the configuration from the value of the store's object.
+// decodeStored decodes the configuration from the value of the store's
+// configuration object.
 func decodeStored(value []byte) (*state.Config, error) {
 	object, err := ticketfile.DecodeObject(value)
 	if err != nil {
@@ -209,7 +210,8 @@
 	})
 }
 
-// suspectServer makes all groups of a failed server check it at once.
+// suspectServer makes all groups of a server check at once whether it has failed.
+// It is called after a connection attempt to the server has failed.
 func (v *VM) suspectServer(server string) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil {
