--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -176,6 +176,7 @@
 		env.errorf("ticket %d was not applied; it is not valid", number)
 		return ExitError
 	case ticket.LostRace:
+		// The reason ends in a passive verb, such as "the number 5 was taken".
 		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.Winner))
 		return ExitLost
 	case ticket.NotDone:
--- a/cmd/chestnutctl/ctl/apply_test.go
+++ b/cmd/chestnutctl/ctl/apply_test.go
@@ -105,6 +105,7 @@
 						t.Fatalf("first ticket: %+v", r)
 					}
 					s.fault = func(n int) string {
+						// The first ticket took calls 1 and 2. Two consecutive calls fail.
 						if n-2 == call || n-2 == call+1 {
 							return kind
 						}
@@ -132,6 +133,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
+				// Every call from test.from on fails after its effect.
 				s := &fakeStore{fault: func(n int) string { return map[bool]string{true: "after"}[n >= test.from] }}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
--- a/cmd/chestnutctl/ctl/collect.go
+++ b/cmd/chestnutctl/ctl/collect.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// vmTimeout is the time-out of a request to one VM. A VM answers from memory, so
+	// vmTimeout is the time-out of a request to one VM. A VM responds from memory, so
 	// one that takes longer is reported as not answering.
 	vmTimeout = 2 * time.Second
-	// maxConcurrentRequests limits the VMs that are asked at the same time.
+	// maxConcurrentRequests limits the VMs to which requests are sent at the same time.
 	maxConcurrentRequests = 32
 	// maxStatusBytes limits the size of a status that is read. 490 members of 200
 	// bytes and 800 groups of 100 bytes take 180 KB.
 	maxStatusBytes = 8 << 20
 )
 
-// vmAnswer is the result of requesting the status of one VM.
-type vmAnswer struct {
+// vmResponse is the result of requesting the status of one VM.
+type vmResponse struct {
 	vm     adminapi.VM
-	status *adminapi.Status // nil without an answer
+	status *adminapi.Status // nil without a response
 	err    error
 }
 
@@ -76,45 +76,45 @@
 	return &s, nil
 }
 
-// fetchAll requests the status of all VMs. The answers are in the order of vms.
-func (c *statusClient) fetchAll(ctx context.Context, vms []adminapi.VM, brief bool) []vmAnswer {
-	answers := make([]vmAnswer, len(vms))
+// fetchAll requests the status of all VMs. The responses are in the order of vms.
+func (c *statusClient) fetchAll(ctx context.Context, vms []adminapi.VM, brief bool) []vmResponse {
+	responses := make([]vmResponse, len(vms))
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentRequests)
 	for i, vm := range vms {
 		g.Go(func() error {
 			status, err := c.fetch(ctx, vm.AdminAddress, brief)
-			answers[i] = vmAnswer{vm, status, err}
+			responses[i] = vmResponse{vm, status, err}
 			return nil
 		})
 	}
 	_ = g.Wait()
-	return answers
+	return responses
 }
 
-// addMembers replaces the brief answer of one VM per data centre by a full one,
+// addMembers replaces the brief response of one VM per data centre by a full one,
 // which lists when it last heard from other VMs. It does nothing if every VM
-// answered.
-func (c *statusClient) addMembers(ctx context.Context, answers []vmAnswer) {
-	chosen := make(map[string]*vmAnswer)
+// responded.
+func (c *statusClient) addMembers(ctx context.Context, responses []vmResponse) {
+	chosen := make(map[string]*vmResponse)
 	silent := false
-	for i := range answers {
-		answer := &answers[i]
+	for i := range responses {
+		response := &responses[i]
 		switch {
-		case answer.status == nil:
+		case response.status == nil:
 			silent = true
-		case chosen[answer.vm.DataCentre] == nil:
-			chosen[answer.vm.DataCentre] = answer
+		case chosen[response.vm.DataCentre] == nil:
+			chosen[response.vm.DataCentre] = response
 		}
 	}
 	if !silent {
 		return
 	}
 	var wg sync.WaitGroup
-	for _, answer := range chosen {
+	for _, response := range chosen {
 		wg.Go(func() {
-			if full, err := c.fetch(ctx, answer.vm.AdminAddress, false); err == nil {
-				answer.status = full
+			if full, err := c.fetch(ctx, response.vm.AdminAddress, false); err == nil {
+				response.status = full
 			}
 		})
 	}
--- a/cmd/chestnutctl/ctl/ctl.go
+++ b/cmd/chestnutctl/ctl/ctl.go
@@ -24,13 +24,13 @@
 	ExitOK      = 0
 	ExitError   = 1 // nothing was changed
 	ExitUsage   = 2 // the command line was wrong
-	ExitLagging = 3 // a VM has not applied the ticket
+	ExitLagging = 3 // a live VM, or with -strict a silent one, has not applied the ticket
 	ExitLost    = 4 // another operator's ticket came first; nothing was changed
 	ExitUnknown = 5 // the answer was lost; the change may have been made
 )
 
-// DefaultTimeout is the longest time that a command tries to reach the store or
-// a VM, unless -timeout says otherwise.
+// DefaultTimeout is the default of -timeout, the longest time that a command tries
+// to reach the store.
 const DefaultTimeout = 10 * time.Second
 
 // Env provides a command's access to the network, files, output and randomness.
@@ -39,10 +39,10 @@
 	Stdout   io.Writer
 	Stderr   io.Writer
 	ReadFile func(path string) ([]byte, error)
-	Random   io.Reader // source of new keys
+	Random   io.Reader // random bytes for new keys
 }
 
-// command is one command with its flags.
+// command describes a command of chestnutctl.
 type command struct {
 	name    string // as typed, such as "ticket apply"
 	args    string // arguments after the flags, for the help text
--- a/cmd/chestnutctl/ctl/ctl_test.go
+++ b/cmd/chestnutctl/ctl/ctl_test.go
@@ -159,6 +159,7 @@
 func TestStoreFailures(t *testing.T) {
 	withFleet(t, func(t *testing.T, fleet *testFleet) {
 		fleet.files["4.yaml"] = ticketText(4, "brahim", "seffarine")
+		// Every call but the first one fails after its effect.
 		fleet.store.fault = func(n int) string { return map[bool]string{true: "after"}[n > 1] }
 		fleet.expect("ticket apply STORE 4.yaml", ExitUnknown, "ticket 4 may have been applied", "run the same command again")
 		fleet.expect("ticket show STORE", ExitError, "the store cannot be reached")
@@ -207,11 +208,11 @@
 	fleet.serve(s.Name+":7001", func(w http.ResponseWriter, r *http.Request) {
 		fleet.mu.Lock()
 		defer fleet.mu.Unlock()
-		answer := *s
+		response := *s
 		if r.URL.Query().Get(adminapi.QueryBrief) == "true" {
-			answer.VMs, answer.Members, answer.Groups, answer.Shares = nil, nil, nil, nil
+			response.VMs, response.Members, response.Groups, response.Shares = nil, nil, nil, nil
 		}
-		_ = json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(response)
 	})
 }
 
--- a/cmd/chestnutctl/ctl/report.go
+++ b/cmd/chestnutctl/ctl/report.go
@@ -31,7 +31,7 @@
 	Name    string `json:"name"`
 	Lowest  uint64 `json:"lowest"`  // lowest ticket applied by a live VM
 	Highest uint64 `json:"highest"` // highest one
-	VMs     int    `json:"vms"`     // in service
+	VMs     int    `json:"vms"`     // VMs that are not out, without those that are leaving and silent
 	Applied int    `json:"applied"` // VMs that have applied the ticket
 	Lagging int    `json:"lagging"`
 	Silent  int    `json:"silent"`
@@ -45,22 +45,22 @@
 	Reason     string `json:"reason,omitempty"`
 }
 
-// newReport compares the answers of the VMs with the ticket of the given number.
+// newReport compares the responses of the VMs with the ticket of the given number.
 // Zero stands for the highest ticket in force on any VM.
-func newReport(number uint64, answers []vmAnswer) *report {
+func newReport(number uint64, responses []vmResponse) *report {
 	r := &report{Ticket: number, Lagging: []vmReport{}, Silent: []vmReport{}}
 	if number == 0 {
-		r.Ticket = highestTicket(answers)
+		r.Ticket = highestTicket(responses)
 	}
-	latest := latestMembers(answers)
+	latest := latestMembers(responses)
 	dataCentres := make(map[string]*dataCentreReport)
-	for _, a := range answers {
-		dc := dataCentres[a.vm.DataCentre]
+	for _, resp := range responses {
+		dc := dataCentres[resp.vm.DataCentre]
 		if dc == nil {
-			dc = &dataCentreReport{Name: a.vm.DataCentre}
-			dataCentres[a.vm.DataCentre] = dc
+			dc = &dataCentreReport{Name: resp.vm.DataCentre}
+			dataCentres[resp.vm.DataCentre] = dc
 		}
-		r.addVM(dc, a, latest)
+		r.addVM(dc, resp, latest)
 	}
 	for _, name := range slices.Sorted(maps.Keys(dataCentres)) {
 		r.DataCentres = append(r.DataCentres, *dataCentres[name])
@@ -70,15 +70,15 @@
 
 // addVM counts one VM. A leaving VM that is silent is not counted, because it may
 // exit at any time.
-func (r *report) addVM(dc *dataCentreReport, a vmAnswer, latest map[string]adminapi.Member) {
-	applied, live := appliedTicket(a, latest)
-	if !live && a.vm.State == state.Leaving {
+func (r *report) addVM(dc *dataCentreReport, resp vmResponse, latest map[string]adminapi.Member) {
+	applied, live := appliedTicket(resp, latest)
+	if !live && resp.vm.State == state.Leaving {
 		return
 	}
 	dc.VMs++
-	entry := vmReport{Name: a.vm.Name, DataCentre: a.vm.DataCentre, Applied: applied}
-	if a.err != nil {
-		entry.Reason = a.err.Error()
+	entry := vmReport{Name: resp.vm.Name, DataCentre: resp.vm.DataCentre, Applied: applied}
+	if resp.err != nil {
+		entry.Reason = resp.err.Error()
 	}
 	if !live {
 		dc.Silent++
@@ -98,24 +98,24 @@
 }
 
 // appliedTicket returns the ticket that a VM has applied, and whether the VM is
-// live: it answered, or another VM heard from it within maxHeardAge.
-func appliedTicket(a vmAnswer, latest map[string]adminapi.Member) (applied uint64, live bool) {
-	if a.status != nil {
-		return a.status.Config.Applied, true
+// live: it responded, or another VM heard from it within maxHeardAge.
+func appliedTicket(resp vmResponse, latest map[string]adminapi.Member) (applied uint64, live bool) {
+	if resp.status != nil {
+		return resp.status.Config.Applied, true
 	}
-	m, known := latest[a.vm.Name]
+	m, known := latest[resp.vm.Name]
 	return m.Applied, known && m.Age <= maxHeardAge
 }
 
 // latestMembers returns, by VM name, the most recent member entry that any VM
 // reported.
-func latestMembers(answers []vmAnswer) map[string]adminapi.Member {
+func latestMembers(responses []vmResponse) map[string]adminapi.Member {
 	latest := make(map[string]adminapi.Member)
-	for _, a := range answers {
-		if a.status == nil {
+	for _, resp := range responses {
+		if resp.status == nil {
 			continue
 		}
-		for _, m := range a.status.Members {
+		for _, m := range resp.status.Members {
 			if known, ok := latest[m.Name]; !ok || m.Age < known.Age {
 				latest[m.Name] = m
 			}
@@ -124,11 +124,11 @@
 	return latest
 }
 
-func highestTicket(answers []vmAnswer) uint64 {
+func highestTicket(responses []vmResponse) uint64 {
 	var highest uint64
-	for _, a := range answers {
-		if a.status != nil {
-			highest = max(highest, a.status.Config.Ticket)
+	for _, resp := range responses {
+		if resp.status != nil {
+			highest = max(highest, resp.status.Config.Ticket)
 		}
 	}
 	return highest
--- a/cmd/chestnutctl/ctl/status.go
+++ b/cmd/chestnutctl/ctl/status.go
@@ -110,18 +110,18 @@
 		}
 	}
 	vms = slices.DeleteFunc(vms, func(vm adminapi.VM) bool { return vm.State == state.Out })
-	answers := client.fetchAll(ctx, vms, o.brief)
-	if err := requireAnyAnswer(answers); err != nil {
+	responses := client.fetchAll(ctx, vms, o.brief)
+	if err := requireAnyResponse(responses); err != nil {
 		return nil, err
 	}
 	if o.brief {
-		client.addMembers(ctx, answers)
+		client.addMembers(ctx, responses)
 	}
 	number := o.number
 	if number == 0 {
 		number = latest.ID.Number
 	}
-	r := newReport(number, answers)
+	r := newReport(number, responses)
 	if r.Ticket == latest.ID.Number && latest.Operator != "" {
 		r.Operator, r.Time = latest.Operator, &latest.Time
 	}
@@ -129,27 +129,27 @@
 		r.StoreError = storeErr.Error()
 	}
 	if !o.brief {
-		for _, answer := range answers {
-			if answer.status != nil {
-				r.VMs = append(r.VMs, *answer.status)
+		for _, response := range responses {
+			if response.status != nil {
+				r.VMs = append(r.VMs, *response.status)
 			}
 		}
 	}
 	return r, nil
 }
 
-// requireAnyAnswer returns an error if there are VMs and none answered. Without it,
+// requireAnyResponse returns an error if there are VMs and none responded. Without it,
 // a report with no lagging VM would look as if all had applied the ticket.
-func requireAnyAnswer(answers []vmAnswer) error {
-	for _, a := range answers {
-		if a.status != nil {
+func requireAnyResponse(responses []vmResponse) error {
+	for _, resp := range responses {
+		if resp.status != nil {
 			return nil
 		}
 	}
-	if len(answers) == 0 {
+	if len(responses) == 0 {
 		return nil
 	}
-	return eris.Wrapf(answers[0].err, "none of %d VMs answered; %s", len(answers), answers[0].vm.Name)
+	return eris.Wrapf(responses[0].err, "none of %d VMs answered; %s", len(responses), responses[0].vm.Name)
 }
 
 // listFromStore returns the VMs and the latest ticket recorded in the store.
--- a/cmd/chestnutdemo/main.go
+++ b/cmd/chestnutdemo/main.go
@@ -1,6 +1,6 @@
-// Command chestnutdemo runs a small fleet with stand-ins in one process and
-// demonstrates a write, the move of a session to another VM, a read from a replica,
-// and a failover.
+// Command chestnutdemo runs a small fleet in one process, with simulated database
+// servers and a simulated store, and demonstrates a write, the move of a session to
+// another VM, a read from a replica, and a failover.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	verbose := flag.Bool("v", false, "print the logs of the VMs")
 	standIns := flag.String("stand-ins", "", "run only the stand-ins until stopped, and write the settings of the VMs to this `folder`")
 	flag.Usage = func() {
-		fmt.Fprintf(flag.CommandLine.Output(), "Usage: chestnutdemo [-v] [-stand-ins FOLDER]\n\nRuns a fleet with stand-ins in one process and demonstrates a failover. With\n-stand-ins it runs only the platform's store and the database groups, on\nloopback addresses, for VMs that run as separate processes.\n\n")
+		fmt.Fprintf(flag.CommandLine.Output(), "Usage: chestnutdemo [-v] [-stand-ins FOLDER]\n\nRuns a fleet in one process, with simulated database servers and a simulated\nstore, and demonstrates a failover. With -stand-ins it runs only the simulated\nstore and database groups, on loopback addresses, for VMs that run as separate\nprocesses.\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
@@ -40,7 +40,7 @@
 	}
 }
 
-// runMode runs the stand-ins alone if a folder for settings is given, and otherwise
+// runMode runs only the simulated store and database groups if a folder for settings is given, and otherwise
 // the demonstration.
 func runMode(standIns string, logger log.Interface) error {
 	if standIns != "" {
@@ -48,7 +48,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	return run(ctx, os.Stdout, logger)
+	return runDemo(ctx, os.Stdout, logger)
 }
 
 // demo holds the state of a demonstration, which ends at the first error.
@@ -59,13 +59,13 @@
 	step  int
 }
 
-func run(ctx context.Context, out io.Writer, logger log.Interface) error {
+func runDemo(ctx context.Context, out io.Writer, logger log.Interface) error {
 	f, err := fleet.Start(fleet.Fes(), fleet.Options{Seed: 1, Logger: logger})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	fmt.Fprintln(out, "Waiting until the VMs confirm each other.")
+	fmt.Fprintln(out, "Waiting until all VMs are ready.")
 	if err := f.WaitReady(ctx); err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	return d.failover()
 }
 
-// printStep prints a numbered line.
+// printStep prints the next step with its number.
 func (d *demo) printStep(format string, args ...any) {
 	d.step++
 	fmt.Fprintf(d.out, "%d. %s\n", d.step, fmt.Sprintf(format, args...))
@@ -94,7 +94,7 @@
 	}
 	defer c.Close(d.ctx)
 	if _, err := c.Exec(d.ctx, "INSERT INTO kv VALUES ('skin-17', 'reserved')"); err != nil {
-		return "", fmt.Errorf("reserve the skin: %w", err)
+		return "", fmt.Errorf("insert the row: %w", err)
 	}
 	server, err := readServer(d.ctx, c)
 	if err != nil {
@@ -114,7 +114,7 @@
 	defer c.Close(d.ctx)
 	var value string
 	if err := c.QueryRow(d.ctx, "SELECT value FROM kv WHERE key = 'skin-17'").Scan(&value); err != nil {
-		return fmt.Errorf("read the reservation: %w", err)
+		return fmt.Errorf("read the row: %w", err)
 	}
 	server, err := readServer(d.ctx, c)
 	if err != nil {
@@ -142,7 +142,7 @@
 		if err == nil {
 			break
 		}
-		d.printStep("%s: write refused or unknown: %v", fleet.VMName(1), err)
+		d.printStep("%s: write failed, or its outcome is unknown: %v", fleet.VMName(1), err)
 		if d.ctx.Err() != nil {
 			return d.ctx.Err()
 		}
@@ -173,7 +173,7 @@
 func readServer(ctx context.Context, c *pgx.Conn) (string, error) {
 	var server string
 	if err := c.QueryRow(ctx, "SELECT server()").Scan(&server); err != nil {
-		return "", fmt.Errorf("ask for the backend server: %w", err)
+		return "", fmt.Errorf("query the backend server's name: %w", err)
 	}
 	return server, nil
 }
--- a/cmd/chestnutdemo/standins.go
+++ b/cmd/chestnutdemo/standins.go
@@ -12,8 +12,8 @@
 	"github.com/chestnutdyke/chestnutdyke/standin/fleet"
 )
 
-// serveStandIns runs only the stand-ins, on loopback addresses, and writes settings
-// files with which the VMs run as separate processes. It returns on SIGTERM or
+// serveStandIns runs only the simulated store and database groups, on loopback
+// addresses, and writes settings files with which the VMs run as separate processes. It returns on SIGTERM or
 // SIGINT.
 func serveStandIns(out io.Writer, folder string, logger log.Interface) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/chestnutdyke/main.go
+++ b/cmd/chestnutdyke/main.go
@@ -40,7 +40,7 @@
 sessions, finishes running requests and transactions, lends its shares to other
 VMs and exits. A second signal stops it at once.
 
-Exit status: 0 after a planned stop, 1 on a failure, 2 on wrong usage or settings.
+Exit status: 0 after a graceful shutdown, 1 on a failure, 2 on wrong usage or settings.
 
 `
 
@@ -54,7 +54,7 @@
 	}
 	path := flags.String("config", "", "settings `file` in YAML")
 	check := flags.Bool("check-config", false, "check the settings and exit; prints every error with its line")
-	drainTimeout := flags.Duration("drain-timeout", time.Minute, "longest time for running transactions to end on a planned stop")
+	drainTimeout := flags.Duration("drain-timeout", time.Minute, "longest time that a graceful shutdown waits for running requests and transactions")
 	flags.Usage = func() {
 		fmt.Fprint(stderr, usage)
 		flags.PrintDefaults()
@@ -148,7 +148,7 @@
 			return nil
 		case <-signals:
 		}
-		logger.Info("session: planned stop.")
+		logger.Info("session: graceful shutdown started.")
 		drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 		defer cancel()
 		go func() {
@@ -159,7 +159,7 @@
 			}
 		}()
 		if err := vm.Drain(drainCtx); err != nil {
-			logger.WithError(err).Warn("session: transactions were still running.")
+			logger.WithError(err).Warn("session: sessions were still open at the end of the drain.")
 		}
 		return nil
 	})
--- a/cmd/chestnutsoak/main.go
+++ b/cmd/chestnutsoak/main.go
@@ -1,6 +1,7 @@
-// Command chestnutsoak runs VMs as separate processes against stand-ins, injects
-// faults from outside, and checks the consistency guarantees. It exits with status
-// 1 if a guarantee is broken or a run cannot be set up.
+// Command chestnutsoak runs VMs as separate processes against simulated database
+// servers and a simulated store, injects faults from outside, and checks the
+// consistency guarantees. It exits with status 1 if a guarantee is violated or a run
+// cannot be set up.
 package main
 
 import (
--- a/cmd/chestnutsoak/soak/soak.go
+++ b/cmd/chestnutsoak/soak/soak.go
@@ -1,6 +1,7 @@
 // Package soak runs the chestnutdyke program as processes on one machine, injects
-// faults from outside in a seeded random order, and checks the consistency
-// guarantees from what clients and backend servers observe.
+// faults from outside, and checks the consistency guarantees from what clients and
+// backend servers observe. The order and targets of the faults depend on the seed;
+// their lengths are random in every run.
 package soak
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state/statement"
 )
 
-// Options are the parameters of a run.
+// Options configure a run, which has one seed.
 type Options struct {
 	Binary string // path of the chestnutdyke program
 	Logs   string // folder for the logs of the VMs; empty discards them
@@ -31,14 +32,14 @@
 	Time   time.Duration // how long faults are injected
 }
 
-// Report is the result of a run.
+// Report contains what a run injected and observed.
 type Report struct {
 	Seed       uint64
 	Faults     []string // names of the injected faults, in order
 	Served     int64    // successful statements
-	Refused    int64    // statements that ended with any other code
+	Refused    int64    // statements that failed with a known outcome
 	Unknown    int64    // statements whose outcome the client does not know
-	Violations []string // broken guarantees; empty if the run passed
+	Violations []string // violated guarantees; empty if the run passed
 }
 
 func (r *Report) String() string {
@@ -47,10 +48,10 @@
 }
 
 const (
-	maxOwnStaleness = 2 * time.Second
-	startUpTime     = 3 * time.Second
+	readYourWritesStaleness = 2 * time.Second // staleness limit of read-your-writes routes
+	startUpTime             = 3 * time.Second
 	// maxRecoveryTime is the users' limit for the time from the end of the last fault
-	// until requests are served again.
+	// until a write succeeds.
 	maxRecoveryTime = 12 * time.Second
 	clientsPerVM    = 2
 	clientInterval  = 25 * time.Millisecond
@@ -58,8 +59,9 @@
 	callTimeout = 4 * time.Second
 )
 
-// Run runs one seed. The error is about the set-up; broken guarantees are in the
-// report.
+// Run starts a deployment, injects faults in it for the time in the options, and
+// returns what was observed. The error is about the set-up; violated guarantees are
+// in the report.
 func Run(o Options) (*Report, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -90,7 +92,7 @@
 	return r, nil
 }
 
-// fault is a kind of fault. start injects it and returns a function that ends it.
+// fault is a failure to inject. start injects it and returns a function that ends it.
 type fault struct {
 	name  string
 	start func(tb *testbed, rng *rand.Rand) func()
@@ -118,7 +120,9 @@
 		}
 		return func() {}
 	}},
+	// The store executes the next two orders 2 s late and does not answer them.
 	{"late-orders", func(tb *testbed, _ *rand.Rand) func() { tb.store.LoseOrders(2, 2*time.Second); return func() {} }},
+	// The replicas of a group receive no updates.
 	{"deaf-replicas", func(tb *testbed, rng *rand.Rand) func() {
 		replicas := tb.randomGroup(rng).Replicas()
 		for _, s := range replicas {
@@ -138,6 +142,7 @@
 		return func() {}
 	}},
 	{"configuration", func(tb *testbed, _ *rand.Rand) func() { tb.publishConfig(); return func() {} }},
+	// The store drops its history of changes, so VMs must read all objects again.
 	{"lost-history", func(tb *testbed, _ *rand.Rand) func() { tb.store.Forget(); return func() {} }},
 }
 
@@ -170,8 +175,8 @@
 	v := tb.randomVM(rng)
 	v.signal(s)
 	return func() {
-		v.signal(syscall.SIGCONT)
-		v.wait(7 * time.Second)
+		v.signal(syscall.SIGCONT) // another fault may have paused the process
+		v.wait(7 * time.Second)   // longer than graceS in settingsFormat
 		if err := tb.start(v); err != nil {
 			panic(err)
 		}
@@ -219,7 +224,7 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		kind, bound := managed.Latest, time.Duration(0)
 		if attempt%2 == 1 {
-			kind, bound = managed.Own, maxOwnStaleness
+			kind, bound = managed.Own, readYourWritesStaleness
 		}
 		vm := w.testbed.vms[(home+attempt)%len(w.testbed.vms)].name
 		c, err := w.connect(vm, managed.Database(kind, group), number%customerCount, fmt.Sprintf("%d-%d", number, attempt))
@@ -268,7 +273,7 @@
 	}
 }
 
-// client is one client session.
+// client is a client's connection to a VM.
 type client struct {
 	conn   net.Conn
 	r      *bufio.Reader
--- a/cmd/chestnutsoak/soak/soak_test.go
+++ b/cmd/chestnutsoak/soak/soak_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Guards against guarantees that the real program breaks under signals and
-// connection failures. The seed is fixed; use chestnutsoak for longer runs.
+// Guards against violations of the consistency guarantees by the chestnutdyke
+// program when processes get signals and connections fail. The seed is fixed; use
+// chestnutsoak for longer runs.
 func TestShortSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "chestnutdyke")
 	if out, err := exec.Command("go", "build", "-o", binary, "github.com/chestnutdyke/chestnutdyke/cmd/chestnutdyke").CombinedOutput(); err != nil {
--- a/cmd/chestnutsoak/soak/testbed.go
+++ b/cmd/chestnutsoak/soak/testbed.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	zoneCount      = 3
+	zoneCount      = 3 // data centres, which the platform calls zones
 	groupCount     = 2
 	customerCount  = 4
 	customerRate   = 400 // operations/s per customer; the workload stays below it
@@ -59,7 +59,8 @@
 	ended    chan struct{}
 }
 
-// serverCodec implements the server side of the line protocol.
+// serverCodec implements the server side of the platform's protocol between VMs and
+// backend servers.
 type serverCodec struct{}
 
 func (serverCodec) ReadOpening(r *bufio.Reader) (group, customer, server string, err error) {
@@ -152,7 +153,8 @@
 	return &c
 }
 
-// publishConfig writes the configuration with a new version.
+// publishConfig writes the configuration with a new version. Versions need not be
+// consecutive.
 func (tb *testbed) publishConfig() {
 	tb.mu.Lock()
 	c := standin.Config{Version: tb.config.Version + 3, TxIdle: 3 * time.Second}
@@ -161,10 +163,10 @@
 		c.Groups = append(c.Groups, catalog.Group{Name: name, MaxConnections: maxServerConns})
 		c.Routes = append(c.Routes,
 			catalog.Route{Database: managed.Database(managed.Latest, g), Consistency: catalog.Latest},
-			catalog.Route{Database: managed.Database(managed.Own, g), Consistency: catalog.ReadYourWrites, MaxStaleness: maxOwnStaleness})
+			catalog.Route{Database: managed.Database(managed.Own, g), Consistency: catalog.ReadYourWrites, MaxStaleness: readYourWritesStaleness})
 	}
 	for i := range c.Routes {
-		c.Routes[i].Name, c.Routes[i].Group = c.Routes[i].Database, managed.GroupName(i/2)
+		c.Routes[i].Name, c.Routes[i].Group = c.Routes[i].Database, managed.GroupName(i/2) // two routes per group
 		c.Routes[i].Timeout, c.Routes[i].TargetLatency = time.Second, 200*time.Millisecond
 	}
 	for n := range customerCount {
@@ -193,17 +195,17 @@
 	// The process ID keeps the addresses of concurrent runs apart.
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+n%250)
-	p, err := newProxy(store)
+	storeProxy, err := newProxy(store)
 	if err != nil {
 		return eris.Wrap(err, "start proxy of the store")
 	}
-	front, err := newProxy(ip + ":7001")
+	clientProxy, err := newProxy(ip + ":7001")
 	if err != nil {
 		return eris.Wrap(err, "start proxy of a VM")
 	}
-	tb.storeProxies[name], tb.clientProxies[name] = p, front
+	tb.storeProxies[name], tb.clientProxies[name] = storeProxy, clientProxy
 	v := &vm{name: name, settings: filepath.Join(tb.dir, name+".yaml")}
-	text := fmt.Sprintf(settingsFormat, name, zoneName(n%zoneCount), ip, p.address())
+	text := fmt.Sprintf(settingsFormat, name, zoneName(n%zoneCount), ip, storeProxy.address())
 	if err := os.WriteFile(v.settings, []byte(text), 0o600); err != nil {
 		return eris.Wrap(err, "write settings of a VM")
 	}
@@ -211,7 +213,8 @@
 	return tb.start(v)
 }
 
-// start starts the VM's process.
+// start starts the VM's process, whose output goes to a file in Options.Logs if that
+// is set.
 func (tb *testbed) start(v *vm) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	file := ticketfile.Parse(path, data)
-	config, found := ticket.Check(nil, file.Ticket)
-	for _, p := range file.Problems(found) {
+	config, problems := ticket.Check(nil, file.Ticket)
+	for _, p := range file.Problems(problems) {
 		t.Error(p.Format(path))
 	}
 	return s, config
@@ -96,7 +96,7 @@
 				}
 			}
 			if len(c.DataCentres) != 3 || len(c.Groups) != 3 || len(c.Customers) != 8 || vms < 7 || vms > 8 || staleReadRoutes == 0 {
-				t.Errorf("%d data centres, %d groups, %d customers, %d VMs, %d routes that accept some staleness",
+				t.Errorf("%d data centres, %d groups, %d customers, %d VMs, %d read-only routes with a staleness limit",
 					len(c.DataCentres), len(c.Groups), len(c.Customers), vms, staleReadRoutes)
 			}
 			for _, g := range c.Groups {
