--- a/fleettest/key_test.go
+++ b/fleettest/key_test.go
@@ -183,7 +183,7 @@
 }
 
 // checkReadOnly fails the test unless each write through the session is refused with
-// 25006 and has no effect.
+// 25006, the code for a write that was not run, and has no effect.
 func (h *harness) checkReadOnly(conn *pgx.Conn) {
 	h.t.Helper()
 	for _, sql := range []string{"APPEND log 'x'", "INSERT INTO kv VALUES ('x', '1')", "SELECT write_kv('x', '1')"} {
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against violations of the guarantees in docs/design.md by one fault or
-// two at any step of the fleet's work.
+// two at any step of the fleet's operations.
 func TestMatrix(t *testing.T) {
 	summary := newSummary()
 	t.Cleanup(func() {
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// scenario is a step of the fleet's work and the faults that are caused when it
-// is reached.
+// scenario is a step of the fleet's operations and the faults that are caused when
+// it is reached.
 type scenario struct {
 	name   string // step/fault or step/fault+fault
 	step   step
@@ -146,7 +146,7 @@
 	}
 }
 
-// problemf records a problem, which fails the scenario. The run goes on.
+// problemf records a problem, which fails the scenario. The run continues.
 func (r *scenarioRun) problemf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/matrix/steps_test.go
+++ b/matrix/steps_test.go
@@ -9,7 +9,7 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// step is a moment in the fleet's work at which faults are caused.
+// step is a moment in the fleet's operations at which faults are caused.
 type step struct {
 	name    string
 	focus   func(cl *client)          // sends requests of the focus client; called repeatedly
