--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -40,7 +40,7 @@
 	// (docs/design.md).
 	maxRecoveryTime = 7 * time.Second
 	// maxStartTime is the time within which a process that replaces another must be
-	// ready. It waits for lease.Exclusive (3 s plus 2 % plus 100 ms) up to three
+	// ready. It waits for lease.ExclusivePeriod (3 s plus 2 % plus 100 ms) up to three
 	// times: before it confirms any lease, its own included; before it uses its share
 	// of the limits; and once more if a ticket came while its predecessor failed. Then
 	// it waits for the next regular message to other VMs.
--- a/rank.go
+++ b/rank.go
@@ -39,10 +39,10 @@
 }
 
 // rank returns the number of VMs that are alive, in the data centres with a server of
-// the group, and have a higher rendezvous hashing score for the group than this VM;
-// rank 0 acts first. watcher reports whether this VM monitors the group: its data
-// centre has a server of the group, and no VM there has a higher score. For a group
-// that is not in the configuration, rank returns 0 and false.
+// the group, and have a higher rendezvous hash for the group than this VM; rank 0
+// acts first. watcher reports whether this VM monitors the group: its data centre
+// has a server of the group, and no VM there has a higher hash. For a group that is
+// not in the configuration, rank returns 0 and false.
 func (v *VM) rank(group string) (rank int, watcher bool) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil || cfg.Groups[group] == nil {
@@ -50,7 +50,7 @@
 	}
 	self := v.tables.Self
 	alive := v.aliveVMs.byDataCentre(v.tables, time.Now())
-	ownScore := lease.Score(group, self.Name)
+	ownHash := lease.RendezvousHash(group, self.Name)
 	seen := make(map[string]bool)
 	for _, s := range cfg.Groups[group].Servers {
 		if seen[s.DataCentre] {
@@ -59,7 +59,7 @@
 		seen[s.DataCentre] = true
 		higher := 0
 		for _, name := range alive[s.DataCentre] {
-			if lease.Score(group, name) > ownScore {
+			if lease.RendezvousHash(group, name) > ownHash {
 				higher++
 			}
 		}
