--- a/node.go
+++ b/node.go
@@ -30,7 +30,7 @@
 )
 
 // NodeOptions configure a VM whose deployment is declared in a platform's store.
-// Network, Clients, Servers, Source, Duties and Platform are the parts that
+// Network, ClientDialect, ServerDialect, Source, Duties and Platform are the parts that
 // depend on the platform.
 type NodeOptions struct {
 	Name          string
