--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -178,7 +178,7 @@
 	case ticket.Conflict:
 		// The reason ends in a passive verb, such as "the number 5 was taken".
 		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.ConflictingRecord))
-		return ExitLost
+		return ExitConflict
 	case ticket.NotApplied:
 		env.errorf("ticket %d was not applied: %s", number, r.Reason)
 		return ExitError
--- a/node.go
+++ b/node.go
@@ -205,7 +205,7 @@
 		return unconfirmed > 0
 	}
 	unconfirmed, groups := n.countUnconfirmed(maxConfirmationAge)
-	return view.Isolated() && 2*unconfirmed > groups
+	return view.InMinority() && 2*unconfirmed > groups
 }
 
 // countUnconfirmed returns the number of groups whose primary's latest leadership
