--- a/transport/admission/admission.go
+++ b/transport/admission/admission.go
@@ -32,15 +32,15 @@
 	// retryDelay is the pause after a grant that did not cover all waiting
 	// operations.
 	retryDelay = 10 * time.Millisecond
-	// answerTimeout is how long a quota coordinator may take to answer before the other
+	// responseTimeout is how long a quota coordinator may take to respond before the other
 	// one is asked. A VM that has used up its CPU quota may be throttled for up
-	// to 100 ms; most answers arrive within a round trip.
-	answerTimeout = 40 * time.Millisecond
+	// to 100 ms; most responses arrive within a round trip.
+	responseTimeout = 40 * time.Millisecond
 	// maxWaitAfterLoss is how long an operation waits if the link to a quota
-	// coordinator is lost before the answer arrives. The successor is known once the
+	// coordinator is lost before the response arrives. The successor is known once the
 	// link is closed.
 	maxWaitAfterLoss = 300 * time.Millisecond
-	// slowPeriod is how long a quota coordinator that did not answer in time is asked
+	// slowPeriod is how long a quota coordinator that did not respond in time is asked
 	// only after the other one.
 	slowPeriod = time.Second
 )
@@ -113,7 +113,7 @@
 	granted         int
 	remaining       []catalog.LimitPartition // partitions whose quota coordinators have not been asked yet
 	coordinators    [catalog.LimitPartitions]string
-	coordinatorLost bool // the link to a quota coordinator was lost before it answered
+	coordinatorLost bool // the link to a quota coordinator was lost before it responded
 }
 
 // requestTokens requests n tokens from the customer's quota coordinators.
@@ -187,10 +187,10 @@
 }
 
 // requestFrom requests tokens from another VM and continues the token request
-// when it answers or times out. It returns false if there is no link to the VM.
+// when it responds or times out. It returns false if there is no link to the VM.
 func (g *Gate) requestFrom(r *tokenRequest, coordinator string, p catalog.LimitPartition) bool {
 	var resumed atomic.Bool // the token request has continued
-	timeout := time.AfterFunc(answerTimeout, func() {
+	timeout := time.AfterFunc(responseTimeout, func() {
 		if resumed.CompareAndSwap(false, true) {
 			g.markSlow(coordinator, p.Customer)
 			g.requestNext(r)
--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -1,5 +1,5 @@
 // Package directory keeps a VM's view of the deployment up to date. It reads
-// the store, and other VMs while this VM gets no answer from the store.
+// the store, and other VMs while this VM gets no response from the store.
 package directory
 
 import (
@@ -23,17 +23,17 @@
 
 const (
 	// watchWait is how long the store may hold a watch open. The store may drop
-	// a watch without an answer, which is detected watchMargin later, within
+	// a watch without a response, which is detected watchMargin later, within
 	// the 3 s in which a configuration must take effect.
 	watchWait   = 1500 * time.Millisecond
 	watchMargin = 500 * time.Millisecond
 	listTimeout = time.Second
 	minBackoff  = 100 * time.Millisecond
 	maxBackoff  = time.Second
-	// lapseGrace is how long a server is used after its registration
+	// deregistrationGrace is how long a server is used after its registration
 	// disappeared. Registrations that expire during an outage of the store are
 	// renewed within about 2 s of its recovery.
-	lapseGrace = 2500 * time.Millisecond
+	deregistrationGrace = 2500 * time.Millisecond
 	// peerCheckInterval is how often this VM compares its revisions with those
 	// of other VMs. It also does so whenever a VM reports its revisions.
 	peerCheckInterval = 250 * time.Millisecond
@@ -54,7 +54,7 @@
 	watchCheckInterval = 250 * time.Millisecond
 	// recheckInterval is how often a VM that does not watch calls the store
 	// again after a failed call. During an outage the store may refuse the
-	// watching VMs and still answer this one.
+	// watching VMs and still respond to this one.
 	recheckInterval          = 5 * time.Second
 	initialSyncCheckInterval = 50 * time.Millisecond
 	// membersInterval is how often the list of members is read. VMs also learn
@@ -88,15 +88,15 @@
 
 	metrics
 
-	mu              lockrank.Mutex // guards the fields below
-	docs            map[Kind]document
-	lapsedSince     map[string]time.Duration // server to the time at which its registration disappeared
-	unusableSince   map[string]time.Duration // as in catalog.Deployment
-	missingSince    map[string]time.Duration // address to the time at which the member was first found missing
-	requestDeadline time.Duration            // deadline of the last request to another VM; zero once it is answered
-	behindSince     time.Duration            // when VMs of other data centres were first found to be ahead; zero if none is
-	storeFailing    bool                     // the last call to the store failed
-	lastStoreCall   time.Duration            // when the last call to the store ended
+	mu                lockrank.Mutex // guards the fields below
+	docs              map[Kind]document
+	deregisteredSince map[string]time.Duration // server to the time at which its registration disappeared
+	unusableSince     map[string]time.Duration // as in catalog.Deployment
+	missingSince      map[string]time.Duration // address to the time at which the member was first found missing
+	requestDeadline   time.Duration            // deadline of the pending request to another VM; zero once it has a response or has failed
+	behindSince       time.Duration            // when VMs of other data centres were first found to be ahead; zero if none is
+	storeFailing      bool                     // the last call to the store failed
+	lastStoreCall     time.Duration            // when the last call to the store ended
 
 	membersAttempted chan struct{} // closed after the first attempt to read the list of members
 }
@@ -106,7 +106,7 @@
 	return &Directory{
 		source: source, fleet: fleet, table: table, leaders: leaders, logger: logger, self: self,
 		metrics: newMetrics(scope),
-		mu:      lockrank.New(lockrank.Sessions), docs: make(map[Kind]document), lapsedSince: make(map[string]time.Duration),
+		mu:      lockrank.New(lockrank.Sessions), docs: make(map[Kind]document), deregisteredSince: make(map[string]time.Duration),
 		unusableSince: make(map[string]time.Duration), missingSince: make(map[string]time.Duration), membersAttempted: make(chan struct{}),
 	}
 }
@@ -339,7 +339,7 @@
 }
 
 // currentServers returns the registered servers, and those whose registration
-// disappeared less than lapseGrace ago.
+// disappeared less than deregistrationGrace ago.
 func (d *Directory) currentServers(old map[string]*catalog.Server, now time.Duration) map[string]*catalog.Server {
 	servers := make(map[string]*catalog.Server)
 	for name, e := range d.docs[Servers].Entries {
@@ -347,33 +347,33 @@
 			continue
 		}
 		servers[name] = e.Server
-		delete(d.lapsedSince, name)
+		delete(d.deregisteredSince, name)
 		d.leaders.With(e.Server.Group, func(g *leadership.Group) { g.ResetIfRestarted(name, e.Server.Born) })
 	}
 	for name, s := range old {
 		if servers[name] != nil || s.Draining {
 			continue
 		}
-		since, known := d.lapsedSince[name]
+		since, known := d.deregisteredSince[name]
 		if !known {
 			since = now
-			d.lapsedSince[name] = now
+			d.deregisteredSince[name] = now
 			d.logger.WithField("server", name).Info("directory: registration disappeared.")
-			time.AfterFunc(lapseGrace, d.refresh)
+			time.AfterFunc(deregistrationGrace, d.refresh)
 		}
-		if now-since < lapseGrace {
+		if now-since < deregistrationGrace {
 			servers[name] = s
 		}
 	}
-	for name := range d.lapsedSince {
+	for name := range d.deregisteredSince {
 		if servers[name] == nil {
-			delete(d.lapsedSince, name)
+			delete(d.deregisteredSince, name)
 		}
 	}
 	return servers
 }
 
-// refresh rebuilds the deployment when a lapseGrace has ended.
+// refresh rebuilds the deployment when the grace period of a server has ended.
 func (d *Directory) refresh() {
 	d.mu.Lock()
 	d.rebuildDeployment()
--- a/transport/directory/metrics.go
+++ b/transport/directory/metrics.go
@@ -17,7 +17,7 @@
 	callRetire   storeCall = "retire"
 )
 
-// callBuckets range from an answer within milliseconds to a watch that is held
+// callBuckets range from a response within milliseconds to a watch that is held
 // open.
 var callBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 12)
 
--- a/transport/directory/peers.go
+++ b/transport/directory/peers.go
@@ -132,7 +132,7 @@
 	return ""
 }
 
-// applyUpdates applies another VM's answer to a request that listed the known
+// applyUpdates applies another VM's response to a request that listed the known
 // revisions.
 func (d *Directory) applyUpdates(vm string, body []byte, known map[Kind]uint64) {
 	var updates map[Kind]update
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -1,5 +1,5 @@
 // Package dispatch connects the components of a VM with the other VMs. It runs
-// statements on this VM or on another one, and answers the calls of other VMs.
+// statements on this VM or on another one, and responds to calls of other VMs.
 package dispatch
 
 import (
@@ -75,7 +75,7 @@
 	return d
 }
 
-// Directory is the part of a VM's directory that answers other VMs and handles
+// Directory is the part of a VM's directory that responds to other VMs and handles
 // their revisions.
 type Directory interface {
 	EncodeUpdates(known []byte) []byte
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -73,7 +73,7 @@
 			l.handleStatus(f.Body, k)
 			return
 		}
-		k.handleAnswer(f)
+		k.handleResponse(f)
 	})
 	k.out.Abort()
 	l.markLost(p, k, err)
@@ -138,7 +138,8 @@
 	l.handler.LinkClosed(number)
 }
 
-// handleCall handles one call of another VM.
+// handleCall passes a call of another VM to the handler and sends the response.
+// A call that cannot be decoded closes the link.
 func (l *Links) handleCall(from, origin string, k *link, f fleetwire.Frame) {
 	reply := func(kind fleetwire.Kind, body []byte) {
 		k.send(fleetwire.Frame{Kind: kind, ID: f.ID, Body: body})
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -1,9 +1,9 @@
 // Package fleetlink connects the VMs of a fleet with each other.
 //
 // Each VM dials every other VM. A link carries the calls of the VM that dialled
-// it and the answers to them, so each pair of VMs has two links. A link without
-// answers for silenceTimeout, or longer in a large fleet, is closed, and the VM
-// at its other end is considered dead until it answers again.
+// it and the responses to them, so each pair of VMs has two links. A link without
+// responses for silenceTimeout, or longer in a large fleet, is closed, and the VM
+// at its other end is not considered alive until it responds again.
 package fleetlink
 
 import (
@@ -55,10 +55,10 @@
 	// PingBody returns the current body of pings. Pings are more frequent for a
 	// while after it has changed.
 	PingBody() []byte
-	// HandlePing returns the answer to a ping that arrived on the link origin
+	// HandlePing returns the response to a ping that arrived on the link origin
 	// with the given body.
 	HandlePing(from, origin string, body []byte) fleetwire.Pong
-	// HandlePong handles the answer to a ping that was sent at sentAt.
+	// HandlePong handles the response to a ping that was sent at sentAt.
 	HandlePong(from string, p fleetwire.Pong, sentAt time.Duration)
 	// HandleStatus handles the status of another VM.
 	HandleStatus(s *fleetwire.Status)
@@ -75,7 +75,7 @@
 	handler Handler
 	logger  log.Interface
 
-	acceptedLinks atomic.Uint64 // also the origin of the latest link
+	acceptedLinks atomic.Uint64 // number of links accepted so far; the origin of the latest one
 
 	mu              lockrank.Mutex // guards the fields below
 	self            fleetwire.Status
@@ -248,15 +248,15 @@
 	go l.maintainLink(dialCtx, p)
 }
 
-// Call sends a call to the named VM. done receives the answer, or false if the
-// link was lost before the answer arrived. If there is no link to the VM, Call
+// Call sends a call to the named VM. done receives the response, or false if the
+// link was lost before the response arrived. If there is no link to the VM, Call
 // returns false and does not call done.
 func (l *Links) Call(vm string, kind fleetwire.Kind, body []byte, done func(fleetwire.Frame, bool)) bool {
 	k := l.linkTo(vm)
 	return k != nil && k.call(fleetwire.Frame{Kind: kind, Body: body}, done)
 }
 
-// Send sends a message that has no answer.
+// Send sends a message that has no response.
 func (l *Links) Send(vm string, kind fleetwire.Kind, body []byte) {
 	if k := l.linkTo(vm); k != nil {
 		k.send(fleetwire.Frame{Kind: kind, Body: body})
@@ -309,7 +309,7 @@
 // dialled it, or nil if the other VM did.
 //
 // Incarnations are wall-clock times, which may go backwards between two runs of
-// a VM. The process that answers at the VM's address is the current one,
+// a VM. The process that responds at the VM's address is the current one,
 // regardless of its incarnation.
 func (l *Links) applyStatus(s fleetwire.Status, k *link) {
 	l.mu.Lock()
@@ -332,7 +332,7 @@
 		p.link.out.Abort()
 	}
 	// A VM that was replaced by a VM with the same name at another address will
-	// not answer any more.
+	// not respond any more.
 	for a, other := range l.peers {
 		if a != s.Address && other.hasStatus && other.status.Name == s.Name && other.status.Incarnation < s.Incarnation {
 			other.cancel()
@@ -348,7 +348,7 @@
 	l.view = nil
 }
 
-// markAlive records an answer from the peer on its link. It returns the name of
+// markAlive records a response from the peer on its link. It returns the name of
 // the VM, or "" if the link was closed or the VM has not sent its status.
 func (l *Links) markAlive(p *peer, k *link) string {
 	l.mu.Lock()
--- a/transport/fleetlink/fleetlink_test.go
+++ b/transport/fleetlink/fleetlink_test.go
@@ -21,7 +21,7 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// idleHandler answers pings and ignores everything else.
+// idleHandler responds to pings and ignores everything else.
 type idleHandler struct{}
 
 func (idleHandler) Execute(string, *statement.RemoteStatement, func(statement.Result)) {}
@@ -125,14 +125,14 @@
 		t.Fatal("there is no link to vm-2")
 	}
 	if ok := <-ended; ok {
-		t.Fatal("a silent VM answered")
+		t.Fatal("a silent VM responded")
 	}
 	return time.Since(sent)
 }
 
 // Guards against statements that wait for a silent VM until it is detected by
 // the infrequent pings of a large fleet.
-func TestSilentVMIsNoticed(t *testing.T) {
+func TestSilentVMIsDetected(t *testing.T) {
 	const detectedWithin = 1200 * time.Millisecond
 	for _, size := range []int{2, 300} {
 		runWithTwoVMs(t, size, func(n *memnet.Network, from *fleetlink.Links) {
@@ -161,7 +161,7 @@
 // Guards against VMs that start one after the other and are linked only at the
 // next regular dial attempt. After a restart of the fleet, limits could not be
 // lent during that time.
-func TestVMThatStartsIsLinkedAtOnce(t *testing.T) {
+func TestStartedVMIsLinkedImmediately(t *testing.T) {
 	const linkedWithin = 20 * time.Millisecond // a few round trips
 	for offset := time.Duration(0); offset < 300*time.Millisecond; offset += 60 * time.Millisecond {
 		runWithFleet(t, 2, func(f *testFleet) {
@@ -203,7 +203,7 @@
 		first, _ := f.start(1, nil)
 		f.start(2, nil)
 		time.Sleep(time.Second)
-		// The old process never answers this call.
+		// The old process never responds to this call.
 		partition := f.net.Partition(memnet.Hosts("vm-1"), memnet.Hosts("vm-2"))
 		defer partition.Heal()
 		failed := make(chan time.Time, 1)
@@ -228,7 +228,7 @@
 
 // Guards against a partitioned data centre that a large fleet detects only
 // after the next infrequent pings to all of its VMs have failed.
-func TestCutOffDataCentreIsNoticed(t *testing.T) {
+func TestPartitionedDataCentreIsDetected(t *testing.T) {
 	const detectedWithin = 2 * time.Second // shorter than the two probes after which a VM is taken out of rotation
 	runWithFleet(t, 300, func(f *testFleet) {
 		first, _ := f.start(1, nil)
--- a/transport/fleetlink/link.go
+++ b/transport/fleetlink/link.go
@@ -22,13 +22,13 @@
 	lastID uint64
 	calls  map[uint64]pendingCall
 	broken bool
-	// waitingCalls is the number of unanswered calls other than pings, and
+	// waitingCalls is the number of calls other than pings without a response, and
 	// waitingFrom the time since which it has been above zero.
 	waitingCalls int
 	waitingFrom  time.Duration
 }
 
-// pendingCall is a call without an answer yet.
+// pendingCall is a call without a response yet.
 type pendingCall struct {
 	ping bool
 	done func(fleetwire.Frame, bool)
@@ -61,7 +61,8 @@
 	return true
 }
 
-func (k *link) handleAnswer(f fleetwire.Frame) {
+// handleResponse passes a response to its call, unless the call has failed.
+func (k *link) handleResponse(f fleetwire.Frame) {
 	k.mu.Lock()
 	c, known := k.calls[f.ID]
 	delete(k.calls, f.ID)
@@ -75,14 +76,14 @@
 }
 
 // waitingSince returns the time since which calls other than pings have been
-// waiting for answers, and whether any are waiting.
+// waiting for responses, and whether any are waiting.
 func (k *link) waitingSince() (since time.Duration, waiting bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.waitingFrom, k.waitingCalls > 0
 }
 
-// failCalls closes the link for calls and fails the unanswered ones.
+// failCalls closes the link for calls and fails the pending ones.
 func (k *link) failCalls() {
 	k.mu.Lock()
 	k.broken = true
--- a/transport/fleetlink/ping.go
+++ b/transport/fleetlink/ping.go
@@ -18,10 +18,11 @@
 	pingInterval   = 200 * time.Millisecond
 	pingsPerSecond = 60
 	// fastPingPeriod is how long pings are more frequent after their body has
-	// changed. The VMs concerned may learn of the change in a different order.
+	// changed. A lender grants a share only once it has the same view of the
+	// fleet, which it may receive later than this VM.
 	fastPingPeriod = 700 * time.Millisecond
 	// silenceTimeout spans several ping intervals, because a VM that is short
-	// of CPU time answers late and every VM that is declared dead causes
+	// of CPU time responds late and every VM that is declared dead causes
 	// connection owners to change. In a large fleet silenceIntervals ping
 	// intervals apply if they are longer.
 	silenceTimeout   = 800 * time.Millisecond
@@ -92,7 +93,7 @@
 			}
 		}
 		if since, waiting := p.link.waitingSince(); waiting {
-			// Statements are waiting for answers on this link, so a dead VM has
+			// Statements are waiting for responses on this link, so a dead VM has
 			// to be detected sooner than at the ping interval of a large fleet.
 			interval = min(interval, pingInterval)
 			if now-max(p.lastHeard, since) > silenceTimeout {
@@ -136,7 +137,7 @@
 	return l.maxPingInterval
 }
 
-// sendPing pings the peer and passes the answer to the handler.
+// sendPing pings the peer and passes the response to the handler.
 func (l *Links) sendPing(p *peer, k *link, body []byte) {
 	sentAt := clock.Now()
 	k.call(fleetwire.Frame{Kind: fleetwire.KindPing, Body: body}, func(f fleetwire.Frame, ok bool) {
--- a/transport/promotion/order.go
+++ b/transport/promotion/order.go
@@ -86,25 +86,25 @@
 func (c *Coordinator) queryCandidates(ctx context.Context, group string, primary *catalog.Server) []succession.Candidate {
 	d := c.Table.Current()
 	servers := d.GroupServers(group)
-	answers := make(chan *succession.Candidate, len(servers))
+	candidates := make(chan *succession.Candidate, len(servers))
 	for _, server := range servers {
 		if primary != nil && server.ID == primary.ID {
-			answers <- nil
+			candidates <- nil
 			continue
 		}
 		go func() {
 			r, err := c.queryServer(ctx, group, server, statement.Command{Verb: statement.Status})
 			if err != nil {
 				c.Logger.WithError(err).WithFields(log.Fields{"group": group, "server": server.ID}).Warn("promotion: a server did not report its position.")
-				answers <- nil
+				candidates <- nil
 				return
 			}
-			answers <- &succession.Candidate{Server: server, Received: r.Received, Usable: d.Usable(server)}
+			candidates <- &succession.Candidate{Server: server, Received: r.Received, Usable: d.Usable(server)}
 		}()
 	}
 	var all []succession.Candidate
 	for range servers {
-		if candidate := <-answers; candidate != nil {
+		if candidate := <-candidates; candidate != nil {
 			all = append(all, *candidate)
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 // supersedeOrder orders the current primary to remain the primary. An earlier
-// order whose answer was lost then has no effect if it is executed late.
+// order whose response was lost then has no effect if it is executed late.
 func (c *Coordinator) supersedeOrder(ctx context.Context, group string, primary *catalog.Server, gs *groupState) {
 	defer c.finishPromotion(gs)
 	c.giveOrder(ctx, group, primary, gs)
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -1,6 +1,6 @@
 // Package promotion performs failovers and switchovers of primaries. One VM of
-// the fleet, the failover coordinator, monitors the groups and
-// orders the platform to promote servers.
+// the fleet, the failover coordinator, monitors the groups and orders the
+// platform to promote servers.
 package promotion
 
 import (
@@ -26,7 +26,7 @@
 	tickInterval = 100 * time.Millisecond
 	// claimDelay is how long a VM must have been selected as the coordinator
 	// before it claims the duty, so that short differences between the views of
-	// VMs do not move the duty.
+	// VMs do not move the duty to another VM.
 	claimDelay = 700 * time.Millisecond
 	// queryTimeout limits queries to servers. A server that is up answers
 	// within the duration of a few statements.
@@ -228,8 +228,8 @@
 			return true
 		}
 	}
-	c.Logger.WithError(err).Warn("promotion: the duty cannot be claimed.")
-	// The record may have been written although no answer arrived. The tokens
+	c.Logger.WithError(err).Warn("promotion: the coordinator role cannot be claimed.")
+	// The record may have been written although no response arrived. The tokens
 	// that it reserved remain unused.
 	c.selectedSince = clock.Now()
 	return false
@@ -279,8 +279,9 @@
 	defer c.mu.Unlock()
 	gs := c.groups[group]
 	if gs == nil {
-		// watchedSince is the start of this VM rather than of its duty, because
-		// leadership confirmations reach all VMs.
+		// watchedSince is the start of this VM rather than of its duty, because a
+		// VM that takes over the duty has already received confirmations: those
+		// from its own data centre and, in a small fleet, from the others too.
 		gs = &groupState{watchedSince: c.started}
 		c.groups[group] = gs
 	}
--- a/transport/sqlback/conn.go
+++ b/transport/sqlback/conn.go
@@ -40,7 +40,7 @@
 	// The transaction that is open (state connIdleInTx), or that the job opens or
 	// uses. Both fields are zero without a transaction.
 	tx     uint64
-	origin string // link over which the transaction was opened
+	origin string // link over which the transaction was opened, or this VM; see Execute
 
 	job           *job
 	unanswered    []commandKind // commands sent without an answer yet, oldest first
@@ -54,7 +54,7 @@
 	commandSetup     commandKind = iota // sets session variables or prepares a statement
 	commandBegin                        // begins the job's transaction
 	commandStatement                    // the job's statement
-	commandRollback                     // ends a confirmation that the server is the primary, or a failed transaction
+	commandRollback                     // ends a confirmation that the server is the primary, or a failed, aborted or abandoned transaction
 )
 
 // outboxLimit, in bytes, is never reached: a connection runs one statement at a
@@ -71,7 +71,7 @@
 	if c, ok := nc.(interface {
 		SetKeepAliveConfig(net.KeepAliveConfig) error
 	}); ok {
-		return eris.Wrap(c.SetKeepAliveConfig(keepAliveConfig), "keep-alive of a new connection")
+		return eris.Wrap(c.SetKeepAliveConfig(keepAliveConfig), "enable keep-alive of a new connection")
 	}
 	return nil
 }
--- a/transport/sqlback/executor.go
+++ b/transport/sqlback/executor.go
@@ -34,7 +34,7 @@
 	// jobsPerDial is the number of waiting jobs for each further connection that is
 	// opened at the same time. A handshake takes a slot on the server for about as
 	// long as a statement, so more at once delay statements, and after a restart
-	// take the connections of other customers.
+	// they use up the server's connections before other customers have theirs.
 	jobsPerDial = 4
 	// redialDelay is the minimum time between a failed connection attempt and the
 	// next one.
@@ -157,8 +157,8 @@
 	})
 }
 
-// Execute runs a statement that came over the link named origin and calls done
-// once, on a pool worker.
+// Execute runs a statement and calls done once, on a pool worker. origin
+// identifies the link on which the statement arrived, or this VM.
 func (e *Executor) Execute(origin string, w *statement.RemoteStatement, done func(statement.Result)) {
 	j := &job{stmt: w, origin: origin, done: done, submittedAt: time.Now(), span: e.startSpan(w)}
 	e.post(func() { e.submit(j) })
@@ -176,8 +176,8 @@
 	})
 }
 
-// AbortAll rolls back all transactions that were opened over a link that has
-// closed.
+// AbortAll rolls back all transactions that were opened over the link origin,
+// which has closed.
 func (e *Executor) AbortAll(origin string) {
 	e.post(func() {
 		e.mu.Lock()
--- a/transport/sqlfront/attempt.go
+++ b/transport/sqlfront/attempt.go
@@ -17,7 +17,7 @@
 	// retryDelay is the pause after all suitable servers have failed. A failover
 	// takes a second or more.
 	retryDelay = 30 * time.Millisecond
-	// busyRetryAfter is the pause before a retry that clients are advised when no
+	// busyRetryAfter is the delay after which clients are told to retry if no
 	// server could run their statement.
 	busyRetryAfter = 200 * time.Millisecond
 )
--- a/transport/sqlfront/hop.go
+++ b/transport/sqlfront/hop.go
@@ -23,12 +23,13 @@
 type hopKind uint8
 
 const (
-	hopOwn  hopKind = iota // this VM
-	hopNear                // a VM in the same data centre
-	hopFar                 // a VM in another data centre
+	hopSelf            hopKind = iota // this VM
+	hopSameDataCentre                 // a VM in the same data centre
+	hopOtherDataCentre                // a VM in another data centre
 	numHopKinds
 )
 
+// hopNames are the values of the metric label "hop".
 var hopNames = [numHopKinds]string{"own", "near", "far"}
 
 // consistencyNames are the values of the metric label "route".
@@ -36,7 +37,6 @@
 	catalog.Latest: "latest", catalog.BoundedStale: "bounded", catalog.ReadYourWrites: "read_your_writes",
 }
 
-// metrics holds the metrics of client sessions.
 type metrics struct {
 	outcomes         [256]tally.Counter // by code
 	statementLatency map[catalog.Consistency]tally.Histogram
@@ -77,12 +77,12 @@
 	if sc := span.SpanContext(); sc.IsSampled() {
 		w.Trace = statement.Trace{TraceID: sc.TraceID(), SpanID: sc.SpanID()}
 	}
-	kind := hopFar
+	kind := hopOtherDataCentre
 	switch {
 	case vm == view.Self:
-		kind = hopOwn
+		kind = hopSelf
 	case view.InSameDataCentre(vm):
-		kind = hopNear
+		kind = hopSameDataCentre
 	}
 	return hop{startedAt: clock.Now(), latency: s.hopLatency[kind], span: span}
 }
--- a/transport/sqlfront/server.go
+++ b/transport/sqlfront/server.go
@@ -131,15 +131,15 @@
 		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
-	core, refusal := sqlsession.Open(config, start.Database, hashKey(start.Key))
-	if core == nil {
+	stateMachine, refusal := sqlsession.Open(config, start.Database, hashKey(start.Key))
+	if stateMachine == nil {
 		s.outcomes[refusal.Code].Inc(1)
 		s.Logger.WithFields(log.Fields{"database": start.Database, "code": refusal.Code.String(), "config": config.Version}).
 			Info("session: start refused.")
 		out.Write(s.Dialect.AppendRefusal(nil, &refusal))
 		return
 	}
-	c := &session{server: s, core: core, conn: conn, out: out, queue: s.Pool.NewQueue(queueLimit)}
+	c := &session{server: s, stateMachine: stateMachine, conn: conn, out: out, queue: s.Pool.NewQueue(queueLimit)}
 	defer c.queue.Close()
 	s.add(c)
 	defer s.remove(c)
--- a/transport/sqlfront/session.go
+++ b/transport/sqlfront/session.go
@@ -30,12 +30,12 @@
 // session is a client's connection. Its mutable fields are used only by events of
 // its queue, except readStopped.
 type session struct {
-	server      *Server
-	core        *sqlsession.Session
-	conn        net.Conn
-	out         *outbox.Outbox
-	queue       *pool.Queue
-	readStopped atomic.Bool // the reader must not read further requests
+	server       *Server
+	stateMachine *sqlsession.Session // decides on requests and tracks the transaction
+	conn         net.Conn
+	out          *outbox.Outbox
+	queue        *pool.Queue
+	readStopped  atomic.Bool // the reader must not read further requests
 
 	current     *execution          // nil while no statement runs
 	admitting   bool                // a BEGIN waits for its rate limit check
@@ -89,7 +89,7 @@
 func (c *session) handle(r statement.Request) {
 	c.stopIdleTxTimer()
 	config := c.server.Table.Current().Config
-	step := c.core.Handle(r, config)
+	step := c.stateMachine.Handle(r, config)
 	if step.End != nil {
 		c.server.Runner.Abort(step.End.VM, step.End.ID)
 	}
@@ -122,8 +122,8 @@
 			}
 			a := *step.Answer
 			if !admitted {
-				c.core.UndoBegin()
-				a.Code, a.Text, a.State = statement.Busy, rateLimitText(retryAfter), c.core.State()
+				c.stateMachine.UndoBegin()
+				a.Code, a.Text, a.State = statement.Busy, rateLimitText(retryAfter), c.stateMachine.State()
 				c.logRefusal(r.ID, step.Customer, &a, 0, 0)
 			}
 			c.sendAnswer(a)
@@ -174,7 +174,7 @@
 	elapsed := clock.Now() - ex.startedAt
 	c.server.statementLatency[ex.op.Route.Consistency].RecordDuration(elapsed)
 	c.server.outcomes[r.Answer.Code].Inc(1)
-	a := c.core.Finish(ex.op, r, vm, server)
+	a := c.stateMachine.Finish(ex.op, r, vm, server)
 	if a.Code != statement.OK {
 		c.logRefusal(ex.op.Request.ID, ex.op.Customer, &a, elapsed, ex.attempts)
 	}
@@ -211,7 +211,7 @@
 	if c.closed || c.busy() || len(c.backlog) > 0 {
 		return
 	}
-	if c.core.State() == statement.Idle {
+	if c.stateMachine.State() == statement.Idle {
 		if c.readerDone || c.server.isShedding() {
 			c.closeIdle()
 		}
@@ -239,10 +239,10 @@
 
 // abortIdleTx rolls back a transaction in which no statement runs.
 func (c *session) abortIdleTx() {
-	if c.closed || c.busy() || c.core.State() != statement.InTx {
+	if c.closed || c.busy() || c.stateMachine.State() != statement.InTx {
 		return
 	}
-	if tx := c.core.FailTx(); tx != nil {
+	if tx := c.stateMachine.FailTx(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
 	c.server.Logger.Info("session: idle transaction rolled back.")
@@ -280,7 +280,7 @@
 func (c *session) disconnected() {
 	c.closed = true
 	c.stopIdleTxTimer()
-	if tx := c.core.FailTx(); tx != nil {
+	if tx := c.stateMachine.FailTx(); tx != nil {
 		c.server.Runner.Abort(tx.VM, tx.ID)
 	}
 	if c.current != nil {
