--- a/transport/exchange/config.go
+++ b/transport/exchange/config.go
@@ -57,7 +57,7 @@
 	storeBehind   bool           // storedTicket was older than the current one at the last response
 	reachedAt     time.Time      // time of the last response of the store
 	storeStatus   storeStatus
-	conflict      state.TicketID // conflicting ticket that was logged last
+	lastConflict  state.TicketID // conflicting ticket that was logged last
 }
 
 // snapshot is a configuration, encoded and compressed.
@@ -73,7 +73,7 @@
 const (
 	storeConfirmed storeStatus = "the configuration is confirmed by the store"
 	storeDown      storeStatus = "the store is down for all VMs"
-	cutOff         storeStatus = "this VM is cut off from the store"
+	storeCutOff    storeStatus = "this VM is cut off from the store"
 )
 
 func newConfigExtension(e *Exchange, o ConfigOptions) *configExtension {
@@ -91,7 +91,7 @@
 
 // HandleRequest implements Extension.
 func (p *configExtension) HandleRequest(from peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
-	current := p.compareTicket(from.Name, m.Config)
+	current := p.handleTicket(from.Name, m.Config)
 	a.Config = p.digest()
 	if m.WantSnapshot && m.Config.Number < current.Number && p.snapshot.ticket == current {
 		a.Config.Digest = current.Digest
@@ -102,7 +102,7 @@
 // HandleResponse implements Extension.
 func (p *configExtension) HandleResponse(from peerapi.Sender, sentAt time.Time, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	p.requestEnded(from.Name, m)
-	current := p.compareTicket(from.Name, a.Config)
+	current := p.handleTicket(from.Name, a.Config)
 	age := time.Duration(a.Config.ConfirmedAge)
 	same := current.Number > 0 && a.Config.Number == current.Number && samePrefix(current.Digest, a.Config.Digest)
 	if at, valid := membership.Confirmation(same, age, sentAt); valid {
@@ -148,10 +148,10 @@
 	return d
 }
 
-// compareTicket compares another VM's ticket with the current one, which it
+// handleTicket compares another VM's ticket with the current one, which it
 // returns. It requests the configuration if the other ticket has a higher number,
 // and reports a conflict if it has the same number and another digest.
-func (p *configExtension) compareTicket(name string, d peerapi.ConfigDigest) state.TicketID {
+func (p *configExtension) handleTicket(name string, d peerapi.ConfigDigest) state.TicketID {
 	current := ticketOf(p.e.tables.Config.Current())
 	switch {
 	case d.Number > current.Number:
@@ -182,10 +182,10 @@
 // the store. It logs each conflict once.
 func (p *configExtension) reportConflict(other, current state.TicketID, source string) {
 	p.e.metrics.conflicts.Inc(1)
-	if p.conflict == other {
+	if p.lastConflict == other {
 		return
 	}
-	p.conflict = other
+	p.lastConflict = other
 	p.e.logger.WithField("ticket", other.Number).WithField("digest", other.Digest).WithField("from", source).
 		Errorf("peer: ticket conflicts with ticket %d (%s) in force", current.Number, current.Digest)
 }
@@ -196,7 +196,7 @@
 	if !p.e.tables.Config.Advance(c) {
 		return
 	}
-	p.e.metrics.advanced.Inc(1)
+	p.e.metrics.activated.Inc(1)
 	p.e.metrics.ticket.Update(float64(c.Ticket.Number))
 	p.e.logger.WithField("ticket", c.Ticket.Number).WithField("from", source).Info("peer: configuration in force")
 	if data == nil {
--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -24,7 +24,6 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/pool"
 )
 
-// Limits of the exchange.
 const (
 	queueLimit = 256 // events; about 10 s of regular messages
 	taskLimit  = 64  // concurrent exchanges, pushes and the watch
@@ -50,7 +49,8 @@
 	Network network.Network
 	Secret  []byte // shared by the fleet
 	Seeds   []membership.Peer
-	// Voters returns the names of the VMs that vote on this VM's incarnation.
+	// Voters returns the names of the VMs that confirm this VM's incarnation for
+	// its lease.
 	Voters func() []string
 	// Applied returns the number of the highest ticket that is fully applied. If
 	// it is nil, a ticket counts as applied once it is in force.
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -80,7 +80,7 @@
 		f.within(30*time.Second, "first ticket", f.hasNewest)
 		f.change(nil)
 		took := f.within(2*f.store.latency, "ticket", f.hasNewest)
-		t.Logf("in force after %v with a store that answers in %v", took, f.store.latency)
+		t.Logf("in force after %v with a store that responds in %v", took, f.store.latency)
 	})
 }
 
--- a/transport/exchange/metrics.go
+++ b/transport/exchange/metrics.go
@@ -9,7 +9,7 @@
 	postponed tally.Counter // exchanges delayed because one with the same VM was running
 	overload  tally.Counter // events or exchanges dropped because a limit was reached
 
-	advanced    tally.Counter // configurations put in force
+	activated   tally.Counter // configurations put in force
 	pushed      tally.Counter // configurations sent as a relay
 	pushFailed  tally.Counter
 	refused     tally.Counter // snapshots that cannot be decoded or do not have the announced ticket
@@ -29,7 +29,7 @@
 		failed:      exchange.Counter("failed"),
 		postponed:   exchange.Counter("postponed"),
 		overload:    exchange.Counter("overload"),
-		advanced:    config.Counter("advanced"),
+		activated:   config.Counter("advanced"),
 		pushed:      config.Counter("pushed"),
 		pushFailed:  config.Counter("push_failed"),
 		refused:     config.Counter("refused"),
--- a/transport/exchange/relay.go
+++ b/transport/exchange/relay.go
@@ -14,7 +14,6 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/peer"
 )
 
-// Limits of pushes.
 const (
 	maxParallelPushes = 8
 	pushTimeout       = 2 * time.Second
@@ -83,7 +82,7 @@
 	case down:
 		status = storeDown
 	case old:
-		status = cutOff
+		status = storeCutOff
 	}
 	if status == p.storeStatus {
 		return
--- a/transport/exchange/traffic_test.go
+++ b/transport/exchange/traffic_test.go
@@ -113,9 +113,9 @@
 		len(f.vms), ages[len(ages)/2], ages[len(ages)*999/1000], ages[len(ages)-1],
 		100*used.Seconds()/float64(seconds)/float64(len(f.vms)))
 	if maxWire/seconds > trafficBudget {
-		t.Errorf("a VM exceeds the budget")
+		t.Errorf("a VM sent and received more than trafficBudget; the figures are logged above")
 	}
 	if ages[len(ages)-1] > membership.SilentAfter {
-		t.Errorf("a VM looked silent")
+		t.Errorf("a VM was not heard of for longer than membership.SilentAfter; the ages are logged above")
 	}
 }
--- a/transport/exchange/watch.go
+++ b/transport/exchange/watch.go
@@ -109,7 +109,7 @@
 	case p.storedTicket == state.TicketID{}: // the store has no configuration yet
 	case p.storedTicket == current:
 		p.e.tables.Config.Confirm(response.confirmedAt)
-	case behind && !p.storeBehind: // once, a push may have arrived before this response
+	case behind && !p.storeBehind: // tolerated once: a push may have arrived before this response
 	default:
 		p.reportConflict(p.storedTicket, current, "store")
 	}
--- a/transport/groupctl/groupctl.go
+++ b/transport/groupctl/groupctl.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Client sends commands to one backend server. Every method returns no later than
-// ctx is done. If the server refuses a command, the method returns the server's
-// status and a *RefusedError. After any other error the status is empty, and the
+// Client sends commands to one backend server. Every method returns when
+// ctx is done at the latest. If the server refuses a command, the method returns
+// the server's status and a *RefusedError. After any other error the status is empty, and the
 // server may or may not have executed the command.
 type Client interface {
 	// Status returns the server's status and changes nothing.
--- a/transport/groups/groups.go
+++ b/transport/groups/groups.go
@@ -46,8 +46,8 @@
 	// watcher of the group. It is called without locks, about once per second for
 	// each configured group.
 	Rank func(group string) (rank int, watcher bool)
-	// Index returns the index that makes this VM's terms unique, or false if the
-	// VM must not promote servers. If nil, ConfigIndex is used.
+	// Index returns the index that forms the low 16 bits of this VM's terms, or
+	// false if the VM must not promote servers. If nil, ConfigIndex is used.
 	Index func() (index uint16, ok bool)
 	// Announce is called when a new primary or a suspected failure becomes known, so
 	// that other VMs can be told before the next regular exchange. It must not
--- a/transport/groups/groups_test.go
+++ b/transport/groups/groups_test.go
@@ -245,7 +245,7 @@
 		cfg.Ticket.Number++
 		cfg.DataCentres = map[string]*state.DataCentre{"dc-a": {Name: "dc-a", State: state.Leaving}}
 		b.opts.Tables.Config.Advance(&cfg)
-		time.Sleep(5 * time.Second) // the watchers of dc-b and dc-c have precedence over this VM
+		time.Sleep(5 * time.Second) // this VM acts only after the watchers of dc-b and dc-c, which have precedence, have not
 		b.update("a", func(s *fakeServer) {
 			if s.status.Role != state.Replica || s.status.Primary != "b" || s.status.AdoptedTerm == 1 {
 				t.Errorf("a is still the primary: %+v", s.status)
--- a/transport/groups/views.go
+++ b/transport/groups/views.go
@@ -47,7 +47,7 @@
 func (v *Views) AddSections(_ string, m *peerapi.Exchange) { m.Groups = v.selectViews() }
 
 // HandleRequest merges the views of another VM, and adds this VM's view to the
-// answer wherever it is newer.
+// response wherever it is newer.
 func (v *Views) HandleRequest(_ peerapi.Sender, m *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range m.Groups {
 		if local, newer := v.merge(remote); newer {
@@ -56,7 +56,7 @@
 	}
 }
 
-// HandleResponse merges the views in an answer.
+// HandleResponse merges the views in a response.
 func (v *Views) HandleResponse(_ peerapi.Sender, _ time.Time, _ *peerapi.Exchange, a *peerapi.ExchangeResponse) {
 	for _, remote := range a.Groups {
 		v.merge(remote)
--- a/transport/lifecycle/lifecycle.go
+++ b/transport/lifecycle/lifecycle.go
@@ -50,7 +50,7 @@
 type Lifecycle struct {
 	Options
 	appliedConfig *state.Config
-	takingWork    bool
+	acceptsWork   bool
 	warming       map[drain.Server]time.Time // servers being warmed up, with the start time
 	spread        float64                    // in [0, 1), differs between VMs; see drain.WarmTarget
 }
@@ -60,10 +60,10 @@
 	h := fnv.New32a()
 	h.Write([]byte(o.Tables.Self.Name))
 	return &Lifecycle{
-		Options:    o,
-		takingWork: true,
-		warming:    make(map[drain.Server]time.Time),
-		spread:     float64(h.Sum32()%1000) / 1000,
+		Options:     o,
+		acceptsWork: true,
+		warming:     make(map[drain.Server]time.Time),
+		spread:      float64(h.Sum32()%1000) / 1000,
 	}
 }
 
@@ -97,15 +97,15 @@
 	l.SetState(own)
 	takes := drain.AcceptsWork(own)
 	switch {
-	case l.takingWork && !takes:
+	case l.acceptsWork && !takes:
 		l.Logger.WithField("state", own).Info("session: draining.")
 		l.Sessions.Drain()
-	case !l.takingWork && takes:
-		l.Logger.Info("session: taking work again.")
+	case !l.acceptsWork && takes:
+		l.Logger.Info("session: accepting new sessions again.")
 		l.Sessions.Resume()
 		l.warmUpAll(c, now)
 	}
-	l.takingWork = takes
+	l.acceptsWork = takes
 }
 
 // warmUpAll starts the warm-up of all servers in service, because a VM that was
@@ -123,7 +123,7 @@
 func (l *Lifecycle) warmUp(now time.Time) {
 	for s, since := range l.warming {
 		elapsed := now.Sub(since)
-		if server := l.findServer(s); server != nil && l.takingWork {
+		if server := l.findServer(s); server != nil && l.acceptsWork {
 			l.Backends.Warm(server, drain.WarmTarget(l.Limit(server), elapsed, warmUpPeriod, l.spread), now)
 		}
 		if elapsed >= warmUpPeriod {
--- a/transport/limits/limits.go
+++ b/transport/limits/limits.go
@@ -61,7 +61,7 @@
 	timer        *time.Timer
 	timerAt      time.Time     // expiry of the timer; zero if it is not armed
 	sharesConfig *state.Config // from which the shares were computed
-	sharesTicket uint64
+	sharesTicket uint64        // agreed ticket, the highest that every VM is known to have applied, from which the shares were computed
 	leaseHeld    bool
 
 	mu           sync.Mutex // guards pendingLoans; no other lock is taken under it
@@ -215,7 +215,7 @@
 		return
 	}
 	l.metrics.held.Update(0)
-	l.Logger.Warn("share: no majority of the voters confirms this process; it spends nothing.")
+	l.Logger.Warn("share: no majority of the voters confirms this process; its shares are not used.")
 }
 
 func (l *Limits) advance() {
--- a/transport/peer/client.go
+++ b/transport/peer/client.go
@@ -19,7 +19,6 @@
 	"github.com/chestnutdyke/chestnutdyke/protocol/peerapi"
 )
 
-// Limits of the client.
 const (
 	// idleTimeout exceeds the mean time between two exchanges with the same
 	// randomly chosen VM, which is 12 s in a data centre of 49 VMs.
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -28,7 +28,7 @@
 	once   sync.Once
 }
 
-func newPipes() *pipeNet { return &pipeNet{conns: make(chan net.Conn), closed: make(chan struct{})} }
+func newPipeNet() *pipeNet { return &pipeNet{conns: make(chan net.Conn), closed: make(chan struct{})} }
 
 func (p *pipeNet) Listen(string) (net.Listener, error) { return p, nil }
 func (p *pipeNet) Addr() net.Addr                      { return &net.TCPAddr{} }
@@ -73,7 +73,7 @@
 func start(t *testing.T, h *handler) (*Client, tally.TestScope) {
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
-	o := Options{Name: "b", Secret: []byte("secret"), Network: newPipes(), Handler: h, Scope: scope}
+	o := Options{Name: "b", Secret: []byte("secret"), Network: newPipeNet(), Handler: h, Scope: scope}
 	server, err := NewServer(o, "b:1")
 	if err != nil {
 		t.Fatal(err)
@@ -210,7 +210,7 @@
 // Guards against accepting a replayed response, or one from another VM, as the
 // response to this request.
 func TestResponseBelongsToRequest(t *testing.T) {
-	client := NewClient(Options{Name: "a", Secret: []byte("secret"), Network: newPipes()})
+	client := NewClient(Options{Name: "a", Secret: []byte("secret"), Network: newPipeNet()})
 	body := []byte(`{}`)
 	first := client.signer.requestMAC(peerapi.PathExchange, "b", 1, body)
 	second := client.signer.requestMAC(peerapi.PathExchange, "b", 2, body)
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -23,12 +23,13 @@
 	"github.com/chestnutdyke/chestnutdyke/transport/network"
 )
 
-// Limits of the server. Sizes are in bytes.
+// Sizes are in bytes.
 const (
 	maxMessageBody  = 128 << 10
 	maxSnapshotBody = 2 << 20 // the store's largest value of 1 MiB, incompressible and in base64
-	// maxPushes limits the memory that unauthenticated pushes can use. A VM has
-	// two relays, and a relay sends it one push at a time.
+	// maxPushes limits the memory that unauthenticated pushes can use. A VM
+	// receives pushes from the two relays of its data centre, one at a time from
+	// each.
 	maxPushes = 4
 
 	readTimeout   = 10 * time.Second
--- a/transport/pgbackend/backends.go
+++ b/transport/pgbackend/backends.go
@@ -163,7 +163,7 @@
 		return
 	}
 	if !c.release() {
-		return // open removes it when its reader ends
+		return // Backends.open removes the failed connection when its reader ends
 	}
 	var effects []queueing.Effect
 	b.Tables.Backends.With(server, func(s *state.ServerConns) { effects = queueing.Release(s, conn, now) })
--- a/transport/sessions/client.go
+++ b/transport/sessions/client.go
@@ -197,7 +197,8 @@
 	c.sessions.NotGranted(e.Waiter.ID, 0)
 }
 
-// send sends the request on the backend connection.
+// send prepares the backend connection for the session and sends the request. If
+// the connection has already failed, the decider is told that nothing was sent.
 func (c *clientSession) send(e session.Send) {
 	s := c.sessions
 	if c.st.TargetsPrimary {
--- a/transport/sessions/sessions.go
+++ b/transport/sessions/sessions.go
@@ -85,8 +85,8 @@
 	allEnded chan struct{} // closed when draining and no session remains
 }
 
-// New returns a manager without sessions. Connect must be called before the first
-// login.
+// New returns a Sessions without open sessions. Connect must be called before the
+// first login.
 func New(o Options) *Sessions {
 	return &Sessions{Options: o, metrics: newMetrics(o.Scope), byID: make(map[uint64]*clientSession), byCancel: make(map[uint32]*clientSession), allEnded: make(chan struct{})}
 }
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -2,7 +2,8 @@
 
 import "sync/atomic"
 
-// CallKind is a kind of call to the store. A pending watch is one call.
+// CallKind is a kind of call to the store. The store counts every call; a
+// pending watch counts as one.
 type CallKind string
 
 // Kinds of calls.
--- a/transport/store/put.go
+++ b/transport/store/put.go
@@ -16,7 +16,6 @@
 // Outcome is what is known about the effect of a conditional update.
 type Outcome int
 
-// Outcomes.
 const (
 	Unknown  Outcome = iota // sent without a conclusive response: it may have taken effect or may do so later
 	Done                    // it took effect
@@ -31,7 +30,8 @@
 	Err     error           // the reason; set if Outcome is Unknown or NotDone
 }
 
-// Put makes a conditional update. It is never retried.
+// Put makes a conditional update. The store receives it at most once, because
+// http.Transport repeats a PUT only if no byte of it was written.
 func (c *Client) Put(ctx context.Context, name string, put storeapi.Put) (result PutResult) {
 	defer func() { c.counts.add(Put, result.Outcome == Unknown || result.Outcome == NotDone) }()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
