--- a/transport/outbox/outbox.go
+++ b/transport/outbox/outbox.go
@@ -17,14 +17,14 @@
 	changed       *sync.Cond // signalled when size falls or err is set
 	pending       [][]byte
 	size          int  // bytes pending or being written
-	highWaterMark int  // Wait blocks while size exceeds it
+	highWaterMark int  // WaitForSpace blocks while size exceeds it
 	writing       bool // writeLoop is running
-	sealed        bool // Write drops further bytes
+	sealed        bool // Enqueue drops further bytes
 	closing       bool // the connection is closed when everything is written
 	err           error
 }
 
-// New returns an outbox for the connection. Wait blocks while more than
+// New returns an outbox for the connection. WaitForSpace blocks while more than
 // highWaterMark bytes are queued.
 func New(conn net.Conn, highWaterMark int) *Outbox {
 	o := &Outbox{conn: conn, highWaterMark: highWaterMark}
@@ -58,7 +58,7 @@
 	return o.err == nil
 }
 
-// Full reports whether Wait would block.
+// Full reports whether WaitForSpace would block.
 func (o *Outbox) Full() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -75,7 +75,7 @@
 		synctest.Wait()
 		go stop()
 		if <-accepted {
-			t.Fatal("PostWait returned true after the pool stopped")
+			t.Fatal("PostBlocking returned true after the pool stopped")
 		}
 		close(block)
 		synctest.Wait()
