--- a/standin/dbgroup/control.go
+++ b/standin/dbgroup/control.go
@@ -10,18 +10,18 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// maxOrderBytes is the maximum size of the body of a control request.
-const maxOrderBytes = 1 << 16
+// maxRequestBytes is the maximum size of the body of a control request.
+const maxRequestBytes = 1 << 16
 
 // controlServer returns an HTTP server for the control interface. Pending
 // requests are cancelled when ctx ends.
 func (s *Server) controlServer(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+groupapi.PathStatus, s.orderHandler(s.orderStatus))
-	mux.HandleFunc("POST "+groupapi.PathAdopt, s.orderHandler(s.orderAdopt))
-	mux.HandleFunc("POST "+groupapi.PathPromote, s.orderHandler(s.orderPromote))
-	mux.HandleFunc("POST "+groupapi.PathFollow, s.orderHandler(s.orderFollow))
-	mux.HandleFunc("POST "+groupapi.PathResume, s.orderHandler(s.orderResume))
+	mux.HandleFunc("POST "+groupapi.PathStatus, s.orderHandler(s.executeStatus))
+	mux.HandleFunc("POST "+groupapi.PathAdopt, s.orderHandler(s.executeAdopt))
+	mux.HandleFunc("POST "+groupapi.PathPromote, s.orderHandler(s.executePromote))
+	mux.HandleFunc("POST "+groupapi.PathFollow, s.orderHandler(s.executeFollow))
+	mux.HandleFunc("POST "+groupapi.PathResume, s.orderHandler(s.executeResume))
 	mux.HandleFunc("POST "+groupapi.PathSwitchover, s.handleSwitchover)
 	return &http.Server{
 		Handler:     mux,
@@ -30,7 +30,7 @@
 }
 
 // orderHandler returns a handler that decodes an order, executes it on the queue
-// of the server and sends the answer.
+// of the server and sends the response.
 func (s *Server) orderHandler(execute func(groupapi.Order) (refusal string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		order, ok := readOrder(w, r)
@@ -43,19 +43,19 @@
 
 func readOrder(w http.ResponseWriter, r *http.Request) (groupapi.Order, bool) {
 	var order groupapi.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return order, false
 	}
 	return order, true
 }
 
-func writeResponse(w http.ResponseWriter, answer groupapi.Response) {
+func writeResponse(w http.ResponseWriter, response groupapi.Response) {
 	w.Header().Set("Content-Type", "application/json")
-	if answer.Refused != "" {
+	if response.Refused != "" {
 		w.WriteHeader(http.StatusConflict)
 	}
-	_ = json.NewEncoder(w).Encode(answer) // the client sees a failed connection itself
+	_ = json.NewEncoder(w).Encode(response) // the client sees a failed connection itself
 }
 
 // executeOrder executes an order on a worker once the server is not paused. If
@@ -67,30 +67,30 @@
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
-	answered := make(chan groupapi.Response, 1)
+	responses := make(chan groupapi.Response, 1)
 	s.queue.PostAlways(func() {
 		refusal := execute(order)
-		answered <- groupapi.Response{Refused: refusal, Status: s.node.status()}
+		responses <- groupapi.Response{Refused: refusal, Status: s.node.status()}
 	})
 	select {
-	case answer := <-answered:
-		return answer
+	case response := <-responses:
+		return response
 	case <-ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (s *Server) orderStatus(groupapi.Order) string { return "" }
+func (s *Server) executeStatus(groupapi.Order) string { return "" }
 
-func (s *Server) orderAdopt(o groupapi.Order) string { return s.notify(s.node.adopt(o.Term)) }
+func (s *Server) executeAdopt(o groupapi.Order) string { return s.notify(s.node.adopt(o.Term)) }
 
-func (s *Server) orderPromote(o groupapi.Order) string {
+func (s *Server) executePromote(o groupapi.Order) string {
 	return s.notify(s.node.promote(o.Term, s.group.history.recordTermStart))
 }
 
-func (s *Server) orderResume(o groupapi.Order) string { return s.notify(s.node.resume(o.Term)) }
+func (s *Server) executeResume(o groupapi.Order) string { return s.notify(s.node.resume(o.Term)) }
 
-func (s *Server) orderFollow(o groupapi.Order) string {
+func (s *Server) executeFollow(o groupapi.Order) string {
 	if refusal := s.refusalUnlessOther(o.Server); refusal != "" {
 		return refusal
 	}
@@ -116,29 +116,31 @@
 	return refusal
 }
 
-// handleSwitchover begins a switchover and answers once the target holds the
-// whole log, or once the switchover is refused or ended by another order.
+// handleSwitchover begins a switchover, which refuses writes of further
+// transactions. It responds once no writing transaction is open and the target
+// holds the whole log, or once the switchover is refused or ended by another
+// order.
 func (s *Server) handleSwitchover(w http.ResponseWriter, r *http.Request) {
 	order, ok := readOrder(w, r)
 	if !ok {
 		return
 	}
-	answer := s.executeOrder(r.Context(), order, s.orderDrain)
-	for answer.Refused == "" {
+	response := s.executeOrder(r.Context(), order, s.executeSwitchover)
+	for response.Refused == "" {
 		changed := s.group.notifier.nextChange()
 		done := false
-		answer = s.executeOrder(r.Context(), order, func(o groupapi.Order) (refusal string) {
+		response = s.executeOrder(r.Context(), order, func(o groupapi.Order) (refusal string) {
 			done, refusal = s.switchoverComplete(o)
 			return refusal
 		})
 		if done {
 			break
 		}
-		if answer.Refused == "" {
+		if response.Refused == "" {
 			s.awaitChange(r.Context(), changed)
 		}
 	}
-	writeResponse(w, answer)
+	writeResponse(w, response)
 }
 
 // awaitChange waits for a change. If the request is cancelled first, it aborts the
@@ -151,18 +153,18 @@
 	}
 }
 
-func (s *Server) orderDrain(o groupapi.Order) string {
+func (s *Server) executeSwitchover(o groupapi.Order) string {
 	if refusal := s.refusalUnlessOther(o.Server); refusal != "" {
 		return refusal
 	}
-	return s.notify(s.node.drain(o.Term, o.Server))
+	return s.notify(s.node.beginSwitchover(o.Term, o.Server))
 }
 
 // switchoverComplete reports whether no writing transaction is open and the target
 // holds the whole log.
 func (s *Server) switchoverComplete(o groupapi.Order) (done bool, refusal string) {
-	drained, end, refusal := s.node.drainStatus(o.Term, o.Server)
-	if !drained || refusal != "" {
+	noOpenWriters, end, refusal := s.node.switchoverStatus(o.Term, o.Server)
+	if !noOpenWriters || refusal != "" {
 		return false, refusal
 	}
 	other := s.group.byName[o.Server].node.status()
--- a/standin/dbgroup/execution.go
+++ b/standin/dbgroup/execution.go
@@ -27,7 +27,7 @@
 	}
 	if !st.UsesData() {
 		r, err := c.executeControl(st)
-		c.countStatement(st)
+		c.recordExecuted(st)
 		done(r, err)
 		return
 	}
@@ -83,7 +83,7 @@
 func (c *session) completeExecution() {
 	st := c.execution.statement
 	r, err := c.executeData(st, c.execution.args)
-	c.countStatement(st)
+	c.recordExecuted(st)
 	if !st.Writes() && !c.tx.explicit {
 		_, primary := c.server.node.primaryTerm()
 		c.server.faults.countRead(primary)
@@ -91,9 +91,9 @@
 	c.finishStatement(r, err)
 }
 
-// countStatement counts an executed statement and adds the faults of its response
-// to those of the buffered responses.
-func (c *session) countStatement(st *sqltext.Statement) {
+// recordExecuted counts an executed statement if it uses data, and adds the fault
+// of its response to that of the buffered responses.
+func (c *session) recordExecuted(st *sqltext.Statement) {
 	f := c.server.faults.recordStatement(st.Text, st.UsesData())
 	c.fault.delay += f.delay
 	c.fault.truncate = c.fault.truncate || f.truncate
--- a/standin/dbgroup/extended.go
+++ b/standin/dbgroup/extended.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// failExtended sends an error and skips the messages up to the next Sync.
+// failExtended adds an error to the buffered responses and skips the messages up
+// to the next Sync.
 func (c *session) failExtended(err *sqlError) {
 	c.failStatement(err)
 	c.skipUntilSync = true
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -11,16 +11,15 @@
 // broken.
 type Moment int
 
-// Points at which a connection is broken.
 const (
 	BeforeCommit Moment = iota + 1 // the transaction is rolled back
 	AfterCommit                    // the transaction is committed, but no response is sent
 	MidAnswer                      // the first half of the bytes of the response is sent
 )
 
-// Break is a fault that closes client connections. Without a Match, BeforeCommit
-// and AfterCommit apply to commits of transactions that wrote, and MidAnswer to
-// statements that read or change data.
+// Break is a fault that closes client connections. BeforeCommit and AfterCommit
+// apply to commits of transactions with changes. MidAnswer applies to statements
+// that read or change data and, with a Match, to any statement.
 type Break struct {
 	Moment Moment
 	Match  string // substring of the statement text, for a commit that of its latest write; empty matches all
@@ -33,7 +32,8 @@
 	truncate bool // send only the first half of the bytes, then close the connection
 }
 
-// faultTable holds the pending faults that tests injected, and counts statements.
+// faultTable holds the pending faults that tests injected, and counts statements
+// and reads.
 type faultTable struct {
 	mu         lockrank.Mutex // guards the fields below
 	breaks     []Break
@@ -70,8 +70,9 @@
 	t.breaks, t.delays = nil, nil
 }
 
-// recordStatement counts a statement and returns the fault of its response. Faults
-// without a Match do not apply to statements that use no data.
+// recordStatement returns the fault of the response to an executed statement. It
+// counts the statement if it uses data. To other statements only a Break with a
+// Match applies.
 func (t *faultTable) recordStatement(text string, usesData bool) responseFault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/dbgroup/history.go
+++ b/standin/dbgroup/history.go
@@ -21,8 +21,9 @@
 	At       time.Time // time of the commit
 }
 
-// TermStart is the promotion of a server. The record that starts the term follows
-// the record at Base in the log of the server.
+// TermStart is the start of a term: term 1 starts with the group, each later one
+// with the promotion of a server. The record that starts the term follows the
+// record at Base in the log of the server.
 type TermStart struct {
 	Server string
 	Term   uint64
@@ -35,7 +36,9 @@
 	User       string
 	Password   string
 	Parameters map[string]string // all startup parameters, including user and database
-	Accepted   bool              // false if the connection limit was reached or the credentials were wrong
+	// Accepted is false if the connection limit was reached or the credentials were
+	// wrong. It is true even if the settings were then refused.
+	Accepted bool
 }
 
 // history records commits, promotions and startups for tests to check.
--- a/standin/dbgroup/node.go
+++ b/standin/dbgroup/node.go
@@ -139,9 +139,9 @@
 	return ""
 }
 
-// drain begins a switchover to the target: transactions that have not written
-// yet are refused writes.
-func (n *node) drain(term uint64, target string) (refusal string) {
+// beginSwitchover begins a switchover to the target: transactions that have not
+// written yet are refused writes.
+func (n *node) beginSwitchover(term uint64, target string) (refusal string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if refusal := n.refusalUnlessPrimary(term); refusal != "" {
@@ -151,10 +151,10 @@
 	return ""
 }
 
-// drainStatus reports whether no transaction that wrote is open any more, and
-// returns the end of the log. It refuses if the switchover is no longer in
+// switchoverStatus reports whether no transaction that wrote is open any more,
+// and returns the end of the log. It refuses if the switchover is no longer in
 // progress.
-func (n *node) drainStatus(term uint64, target string) (drained bool, end state.Point, refusal string) {
+func (n *node) switchoverStatus(term uint64, target string) (noOpenWriters bool, end state.Point, refusal string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if refusal := n.refusalUnlessPrimary(term); refusal != "" {
--- a/standin/dbgroup/notifier.go
+++ b/standin/dbgroup/notifier.go
@@ -15,20 +15,20 @@
 }
 
 // nextChange returns a channel that is closed at the next change.
-func (p *changeNotifier) nextChange() <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.waiting = true
-	return p.changed
+func (n *changeNotifier) nextChange() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.waiting = true
+	return n.changed
 }
 
-func (p *changeNotifier) notify() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.waiting {
+func (n *changeNotifier) notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if !n.waiting {
 		return
 	}
-	close(p.changed)
-	p.changed = make(chan struct{})
-	p.waiting = false
+	close(n.changed)
+	n.changed = make(chan struct{})
+	n.waiting = false
 }
--- a/standin/dbgroup/options.go
+++ b/standin/dbgroup/options.go
@@ -1,5 +1,5 @@
-// Package dbgroup is a stand-in for a database group: backend servers with the
-// PostgreSQL wire protocol, asynchronous replication, the control interface of
+// Package dbgroup simulates a database group: backend servers with the PostgreSQL
+// wire protocol, asynchronous replication, the control interface of
 // protocol/groupapi, and faults that tests can inject.
 //
 // It has the same structure as the proxy: reader goroutines read messages and
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -109,8 +109,8 @@
 	return due, next, true
 }
 
-// align truncates the log tail that the followed primary does not have. It reports
-// false if the source has changed.
+// align truncates the log after the last position that it shares with the log of
+// the followed primary. It reports false if the source has changed.
 func (n *node) align(from replicationSource, primary translog.Extent) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/dbgroup/replication_test.go
+++ b/standin/dbgroup/replication_test.go
@@ -16,7 +16,7 @@
 )
 
 // order sends an order to the control interface of a server and returns its
-// answer. It returns an error if there is no answer.
+// response. It returns an error if there is no valid response.
 func (env *testEnv) order(ctx context.Context, server, path string, o groupapi.Order) (groupapi.Response, error) {
 	env.t.Helper()
 	transport := &http.Transport{
@@ -41,7 +41,7 @@
 	defer resp.Body.Close()
 	var a groupapi.Response
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
-		env.t.Errorf("%s: status %d without an answer: %v", path, resp.StatusCode, err)
+		env.t.Errorf("%s: status %d without a valid response: %v", path, resp.StatusCode, err)
 		return a, err
 	}
 	if (resp.StatusCode == http.StatusConflict) != (a.Refused != "") {
@@ -111,7 +111,7 @@
 
 // Guards against a promotion that loses replicated writes, against a deposed
 // primary that keeps the log tail that the new primary lacks, and against a
-// history that does not tell the two kinds of commits apart.
+// Survivors that returns truncated commits.
 func TestPromotionDropsUnreplicatedTail(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		c := env.mustConnect("a")
@@ -205,7 +205,7 @@
 			t.Fatal(err)
 		}
 		if err := <-result; err == nil {
-			t.Fatal("a write was answered by a server that was stopped")
+			t.Fatal("a write was responses by a server that was stopped")
 		}
 		time.Sleep(time.Second)
 		if len(env.group.Commits()) != 0 {
@@ -235,7 +235,7 @@
 }
 
 // Guards against a switchover that aborts an open writing transaction, admits new
-// ones, or is answered before the target holds the whole log.
+// ones, or is reported complete before the target holds the whole log.
 func TestSwitchover(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		env.mustRefuse("b", groupapi.PathSwitchover, groupapi.Order{Term: 1, Server: "c"})
@@ -244,10 +244,10 @@
 		env.mustExec(writer, "BEGIN; APPEND log '1'")
 		env.group.Server("b").HoldReplication(true)
 
-		answered := make(chan groupapi.Response)
+		responses := make(chan groupapi.Response)
 		go func() {
 			a, _ := env.order(context.Background(), "a", groupapi.PathSwitchover, groupapi.Order{Term: 1, Server: "b"})
-			answered <- a
+			responses <- a
 		}()
 		time.Sleep(20 * time.Millisecond)
 		_, err := exec(other, "APPEND log 'refused'")
@@ -258,13 +258,13 @@
 		env.mustExec(writer, "APPEND log '2'; COMMIT")
 		time.Sleep(time.Second)
 		select {
-		case <-answered:
-			t.Fatal("answered before the other server held the log")
+		case <-responses:
+			t.Fatal("the response came before the other server held the log")
 		default:
 		}
 		env.group.Server("b").HoldReplication(false)
-		if a := <-answered; a.Refused != "" || a.Status.Position != env.group.Server("b").Status().Position {
-			t.Fatalf("answer %+v", a)
+		if a := <-responses; a.Refused != "" || a.Status.Position != env.group.Server("b").Status().Position {
+			t.Fatalf("response %+v", a)
 		}
 		env.mustOrder("a", groupapi.PathResume, groupapi.Order{Term: 1})
 		if got := env.group.Server("a").Status().SwitchingTo; got != "" {
--- a/standin/dbgroup/responses.go
+++ b/standin/dbgroup/responses.go
@@ -52,9 +52,9 @@
 // passwordRequest adds AuthenticationCleartextPassword.
 func (b *responseBuffer) passwordRequest() { b.add(&pgproto3.AuthenticationCleartextPassword{}) }
 
-// authenticationOK adds the messages that complete the startup, except
+// startupComplete adds the messages that complete the startup, except
 // ReadyForQuery.
-func (b *responseBuffer) authenticationOK(settings map[string]string, pid uint32, secret []byte) {
+func (b *responseBuffer) startupComplete(settings map[string]string, pid uint32, secret []byte) {
 	b.add(&pgproto3.AuthenticationOk{})
 	for _, name := range reportedSettings {
 		b.parameterStatus(name, settings[name])
--- a/standin/dbgroup/session.go
+++ b/standin/dbgroup/session.go
@@ -225,7 +225,7 @@
 	c.settings = settings
 	c.restoreSettings(settings)
 	c.stage = stageReady
-	c.responses.authenticationOK(settings, c.pid, c.secret)
+	c.responses.startupComplete(settings, c.pid, c.secret)
 	c.responses.readyForQuery(c.transactionStatus())
 	c.flush()
 }
--- a/standin/dbgroup/sqltext/sqltext.go
+++ b/standin/dbgroup/sqltext/sqltext.go
@@ -1,4 +1,7 @@
-// Package sqltext parses the statements that a stand-in backend server supports.
+// Package sqltext parses the statements that a simulated backend server supports.
+//
+// UPSERT, APPEND, server() and write_kv() do not exist in PostgreSQL. SELECT
+// write_kv is a write that begins like a read, as a call of a function can be.
 package sqltext
 
 import (
--- a/standin/dbgroup/transaction.go
+++ b/standin/dbgroup/transaction.go
@@ -163,8 +163,8 @@
 	clear(c.portals)
 }
 
-// failStatement sends an error. It marks an explicit transaction as failed and
-// rolls back an implicit one.
+// failStatement adds an error to the buffered responses. It marks an explicit
+// transaction as failed and rolls back an implicit one.
 func (c *session) failStatement(err *sqlError) {
 	c.responses.errorResponse(err)
 	switch {
--- a/standin/dbgroup/translog/translog.go
+++ b/standin/dbgroup/translog/translog.go
@@ -1,4 +1,4 @@
-// Package translog implements the transaction log of a stand-in backend server
+// Package translog implements the transaction log of a simulated backend server
 // and the tables that its records produce. It is not safe for concurrent use.
 package translog
 
@@ -19,7 +19,6 @@
 // OpKind tells which table an Op changes, and how.
 type OpKind int
 
-// Kinds of changes.
 const (
 	OpPut    OpKind = iota // sets the value of a key in kv
 	OpDelete               // removes a key from kv
