--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -62,12 +62,12 @@
 
 	mu      sync.Mutex // guards the fields below
 	config  *state.Config
-	vms     map[int]*vmProcess // the running ones, by number
-	started bool               // Start has started all VMs of the profile
+	vms     map[int]*runningVM // by number
+	started bool               // Start has finished; VMs started later do not get FirstProcess
 }
 
-// vmProcess is a running VM.
-type vmProcess struct {
+// runningVM is a VM with the means to stop it.
+type runningVM struct {
 	vm     *chestnutdyke.VM
 	cancel context.CancelFunc
 	done   chan error // receives the result of Run
@@ -77,7 +77,7 @@
 // profile. It does not wait until the VMs are ready; see WaitReady. The caller must
 // call Close.
 func Start(p Profile, o Options) (*Fleet, error) {
-	f := &Fleet{Profile: p, options: o, Groups: make(map[string]*dbgroup.Group), vms: make(map[int]*vmProcess)}
+	f := &Fleet{Profile: p, options: o, Groups: make(map[string]*dbgroup.Group), vms: make(map[int]*runningVM)}
 	if !o.TCP {
 		f.Net = memnet.New(o.Seed)
 		f.Net.SetDefaultDelay(p.InsideDC, p.BetweenDCs)
@@ -176,7 +176,7 @@
 		return eris.Wrapf(err, "start %s", o.Name)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &vmProcess{vm: vm, cancel: cancel, done: make(chan error, 1)}
+	r := &runningVM{vm: vm, cancel: cancel, done: make(chan error, 1)}
 	go func() { r.done <- vm.Run(ctx) }()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -262,13 +262,13 @@
 // Close stops all VMs, the database groups, the store and the network.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	processes := f.vms
-	f.vms = make(map[int]*vmProcess)
+	running := f.vms
+	f.vms = make(map[int]*runningVM)
 	f.mu.Unlock()
-	for _, r := range processes {
+	for _, r := range running {
 		r.cancel()
 	}
-	for _, r := range processes {
+	for _, r := range running {
 		<-r.done
 	}
 	for _, g := range f.Groups {
--- a/standin/fleet/profile.go
+++ b/standin/fleet/profile.go
@@ -17,9 +17,9 @@
 type Profile struct {
 	Name             string
 	DataCentres      []string
-	BetweenDCs       time.Duration // one way
-	ToClients        time.Duration // one way
-	InsideDC         time.Duration // one way
+	BetweenDCs       time.Duration // one-way network delay
+	ToClients        time.Duration // one-way network delay
+	InsideDC         time.Duration // one-way network delay
 	Groups           []string
 	ServersPerGroup  int
 	Slots            int           // statements that a backend server runs at the same time
@@ -99,7 +99,8 @@
 // Key returns the access key of a customer.
 func Key(customer string) string { return "key-of-" + customer }
 
-// VMName returns the name of the VM with the given number.
+// VMName returns the name of the VM with the given number. Names count from 1, numbers
+// from 0.
 func VMName(i int) string { return fmt.Sprintf("vm-%d", i+1) }
 
 // DataCentreOf returns the data centre of the VM with the given number. VMs are
--- a/standin/memnet/partition.go
+++ b/standin/memnet/partition.go
@@ -47,7 +47,8 @@
 	return c
 }
 
-// Heal ends the partition. Held data arrives one connection delay later.
+// Heal ends the partition. Held data arrives one connection delay later, unless
+// another partition separates the hosts.
 func (c *Cut) Heal() {
 	n := c.net
 	n.mu.Lock()
@@ -58,8 +59,8 @@
 	n.healed = make(chan struct{})
 }
 
-// Break resets the connections across the partition at both ends. Unread data is
-// lost. The partition stays.
+// Break resets the connections across the partition at both ends. Data that is
+// held back, in transit or unread is lost. The partition stays.
 func (c *Cut) Break() { c.net.Break(c.a, c.b) }
 
 // Break resets the connections between two sets of hosts at both ends. Data in
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -9,7 +9,6 @@
 // Outage is a way in which a store fails all calls.
 type Outage int
 
-// Outages.
 const (
 	InService Outage = iota // no outage
 	Refusing                // connections are closed and new ones refused
@@ -19,7 +18,6 @@
 // CallKind is the kind of a call.
 type CallKind int
 
-// Kinds of calls.
 const (
 	Get CallKind = iota
 	Watch
@@ -41,13 +39,13 @@
 // faultTable holds the faults that tests inject, the servers that they affect, and the
 // number of calls.
 type faultTable struct {
-	mu            lockrank.Mutex // guards the fields below
-	outage        Outage
-	changed       chan struct{} // closed and replaced when outage changes
-	latency       time.Duration
-	answersToDrop int // number of coming conditional updates that are not answered
-	calls         Calls
-	servers       map[*Server]struct{}
+	mu              lockrank.Mutex // guards the fields below
+	outage          Outage
+	changed         chan struct{} // closed and replaced when outage changes
+	latency         time.Duration
+	responsesToDrop int // number of coming conditional updates without a response
+	calls           Calls
+	servers         map[*Server]struct{}
 }
 
 func newFaultTable() *faultTable {
@@ -81,18 +79,18 @@
 func (t *faultTable) loseAnswers(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answersToDrop = n
+	t.responsesToDrop = n
 }
 
-// dropsAnswer reports whether the answer to a conditional update is to be dropped, and
-// then decrements answersToDrop.
-func (t *faultTable) dropsAnswer() bool {
+// dropsResponse reports whether the response to a conditional update is to be dropped,
+// and then decrements responsesToDrop.
+func (t *faultTable) dropsResponse() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.answersToDrop == 0 {
+	if t.responsesToDrop == 0 {
 		return false
 	}
-	t.answersToDrop--
+	t.responsesToDrop--
 	return true
 }
 
--- a/standin/store/http.go
+++ b/standin/store/http.go
@@ -28,9 +28,9 @@
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// begin counts a call and delays it according to the faults. It aborts the call and
-// closes its connection during an outage that refuses connections.
-func (s *Store) begin(r *http.Request, k CallKind) {
+// countAndDelay counts a call and delays it according to the faults. It aborts the call
+// and closes its connection during an outage that refuses connections.
+func (s *Store) countAndDelay(r *http.Request, k CallKind) {
 	latency := s.faults.countCall(k)
 	s.waitForOutage(r.Context())
 	if latency > 0 {
@@ -68,8 +68,9 @@
 	}
 }
 
-// answer answers a call with JSON, after the end of an outage that began during it.
-func (s *Store) answer(w http.ResponseWriter, r *http.Request, status int, body any) {
+// respond responds to a call with JSON, after the end of an outage that began during
+// it.
+func (s *Store) respond(w http.ResponseWriter, r *http.Request, status int, body any) {
 	s.waitForOutage(r.Context())
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -81,11 +82,11 @@
 	return !slices.Contains(strings.Split(name, "/"), "")
 }
 
-// serveGet answers a read or a watch of an object.
+// serveGet serves a read or a watch of an object.
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	name, query := r.PathValue("name"), r.URL.Query()
 	watch := query.Has("after")
-	s.begin(r, getKind(watch))
+	s.countAndDelay(r, getKind(watch))
 	if !validName(name) {
 		http.Error(w, "invalid object name", http.StatusBadRequest)
 		return
@@ -96,12 +97,12 @@
 	}
 	var o storeapi.Object
 	var found bool
-	s.mustDecide(r, name, func() { o, found = s.objects.get(name) })
+	s.mustRunOnWorker(r, name, func() { o, found = s.objects.get(name) })
 	if !found {
 		http.Error(w, "object does not exist", http.StatusNotFound)
 		return
 	}
-	s.answer(w, r, http.StatusOK, o)
+	s.respond(w, r, http.StatusOK, o)
 }
 
 func getKind(watch bool) CallKind {
@@ -111,9 +112,10 @@
 	return Get
 }
 
-// mustDecide runs a decision, and aborts the call if the request ended first.
-func (s *Store) mustDecide(r *http.Request, name string, decision func()) {
-	if !s.decide(r.Context(), name, decision) {
+// mustRunOnWorker runs f with runOnWorker, and aborts the call if the request ended
+// first.
+func (s *Store) mustRunOnWorker(r *http.Request, name string, f func()) {
+	if !s.runOnWorker(r.Context(), name, f) {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -129,7 +131,7 @@
 	return after, min(wait, storeapi.MaxWait), err
 }
 
-// serveWatch answers with the object once its version is above the given one, or with
+// serveWatch responds with the object once its version is above the given one, or with
 // status 304 after the wait.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, name string, query url.Values) {
 	after, wait, err := parseWatch(query)
@@ -142,9 +144,9 @@
 	for {
 		var o storeapi.Object
 		var changed <-chan struct{}
-		s.mustDecide(r, name, func() { o, changed = s.objects.newer(name, after) })
+		s.mustRunOnWorker(r, name, func() { o, changed = s.objects.newer(name, after) })
 		if changed == nil {
-			s.answer(w, r, http.StatusOK, o)
+			s.respond(w, r, http.StatusOK, o)
 			return
 		}
 		select {
@@ -159,12 +161,12 @@
 	}
 }
 
-// servePut executes a conditional update. It answers with the updated object, or with
+// servePut executes a conditional update. It responds with the updated object, or with
 // status 409 and the current object if the version differs.
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	put, status, reason := readPut(w, r)
-	s.begin(r, Put)
+	s.countAndDelay(r, Put)
 	if reason == "" && !validName(name) {
 		status, reason = http.StatusBadRequest, "invalid object name"
 	}
@@ -174,19 +176,19 @@
 	}
 	var o storeapi.Object
 	var updated bool
-	s.mustDecide(r, name, func() { o, updated = s.objects.update(name, put) })
-	if s.faults.dropsAnswer() {
+	s.mustRunOnWorker(r, name, func() { o, updated = s.objects.update(name, put) })
+	if s.faults.dropsResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	if !updated {
-		s.answer(w, r, http.StatusConflict, o)
+		s.respond(w, r, http.StatusConflict, o)
 		return
 	}
-	s.answer(w, r, http.StatusOK, o)
+	s.respond(w, r, http.StatusOK, o)
 }
 
 // readPut decodes a conditional update. The reason is empty if the update is valid;
-// otherwise status and reason are the answer.
+// otherwise status and reason are the response.
 func readPut(w http.ResponseWriter, r *http.Request) (put storeapi.Put, status int, reason string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, storeapi.MaxValueBytes+putOverhead))
 	if err != nil {
@@ -204,13 +206,13 @@
 	return put, http.StatusOK, ""
 }
 
-// serveVMs answers with the list of VMs that calls see now.
+// serveVMs responds with the list of VMs that calls see now.
 func (s *Store) serveVMs(w http.ResponseWriter, r *http.Request) {
-	s.begin(r, ListVMs)
+	s.countAndDelay(r, ListVMs)
 	var vms []storeapi.VM
-	s.mustDecide(r, storeapi.PathVMs, func() { vms = s.vms.get(time.Now()) })
+	s.mustRunOnWorker(r, storeapi.PathVMs, func() { vms = s.vms.get(time.Now()) })
 	if vms == nil {
 		vms = []storeapi.VM{}
 	}
-	s.answer(w, r, http.StatusOK, vms)
+	s.respond(w, r, http.StatusOK, vms)
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,7 +1,7 @@
 // Package store simulates the platform's object API of package storeapi, with faults
 // that tests inject.
 //
-// HTTP goroutines decode requests, wait and encode answers; a pool of workers runs the
+// HTTP goroutines decode requests, wait and encode responses; a pool of workers runs the
 // decisions over shared tables. Lock order: objectTable, vmTable, faultTable.
 package store
 
@@ -28,7 +28,7 @@
 const (
 	defaultWorkers = 4
 	queueCount     = 16   // objects are distributed over the queues by a hash of their names
-	queueLimit     = 1024 // decisions that wait in a queue
+	queueLimit     = 1024 // has no effect, because PostAlways ignores it
 )
 
 // Options set the behaviour of a store.
@@ -82,8 +82,8 @@
 // Object returns the named object, if it exists. It does not count as a call.
 func (s *Store) Object(name string) (storeapi.Object, bool) { return s.objects.get(name) }
 
-// Set updates an object unconditionally, as an update by another client of the platform
-// looks to VMs. It does not count as a call.
+// Set updates an object unconditionally, to simulate an update by another client of the
+// platform. It does not count as a call.
 func (s *Store) Set(name string, value json.RawMessage) storeapi.Object {
 	return s.objects.set(name, value)
 }
@@ -103,19 +103,19 @@
 func (s *Store) SetLatency(d time.Duration) { s.faults.setLatency(d) }
 
 // LoseAnswers makes the store execute the next n conditional updates and then close
-// their connections instead of answering.
+// their connections instead of responding.
 func (s *Store) LoseAnswers(n int) { s.faults.loseAnswers(n) }
 
 // Calls returns the number of calls that have arrived, by kind.
 func (s *Store) Calls() Calls { return s.faults.callCounts() }
 
-// decide runs a decision about an object on a worker and waits for it. It reports false
-// if ctx ended first; the decision may then still run.
-func (s *Store) decide(ctx context.Context, name string, decision func()) bool {
+// runOnWorker runs f on the worker queue of an object and waits for it. It reports false
+// if ctx ended first; f may then still run.
+func (s *Store) runOnWorker(ctx context.Context, name string, f func()) bool {
 	done := make(chan struct{})
 	queue := s.queues[maphash.String(s.hashSeed, name)%queueCount]
 	queue.PostAlways(func() {
-		decision()
+		f()
 		close(done)
 	})
 	select {
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// call sends a request and returns its status and, if the answer holds one, the object.
+// call sends a request and returns its status and, if the response holds one, the object.
 func (f *fixture) call(ctx context.Context, method, path string, body any) (int, storeapi.Object, error) {
 	f.t.Helper()
 	b, err := json.Marshal(body)
@@ -102,7 +102,7 @@
 	return f.call(context.Background(), http.MethodGet, path, nil)
 }
 
-// Guards against an update that ignores the version, and a conflict whose answer does
+// Guards against an update that ignores the version, and a conflict whose response does
 // not hold the current object.
 func TestConditionalUpdate(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
@@ -157,8 +157,8 @@
 	})
 }
 
-// Guards against an update that is not executed when its answer is dropped, and against
-// more dropped answers than were requested.
+// Guards against an update that is not executed when its response is dropped, and against
+// more dropped responses than were requested.
 func TestLostAnswer(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.store.LoseAnswers(1)
@@ -172,8 +172,9 @@
 	})
 }
 
-// Guards against calls that are answered during an outage, watches that stay pending
-// when an outage begins, and a store that is unreachable after it.
+// Guards against calls that get a response during an outage, watches that stay pending
+// when an outage begins, and a store that is not reachable at the same address after
+// it.
 func TestOutages(t *testing.T) {
 	inBubble(t, func(t *testing.T, f *fixture) {
 		f.mustPut(0, `1`, http.StatusOK)
