--- a/standin/history/check.go
+++ b/standin/history/check.go
@@ -77,7 +77,7 @@
 type unit struct {
 	commit         *Request // the Commit, or the write itself; nil if no commit was requested
 	begin          *Request // the Begin, or the write itself
-	changes        []Change // of the answered writes and the commit, in order
+	changes        []Change // in a transaction those of the answered writes and of the commit, in order; otherwise those of the write, whatever its outcome
 	unacknowledged []Change // of writes in the transaction with another outcome than Answered
 	idempotent     bool     // the client allows it to be committed more than once
 }
--- a/standin/history/check_writes.go
+++ b/standin/history/check_writes.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkMixedWrites checks that every commit holds exactly the answered changes of one
-// unit, in order.
+// checkMixedWrites checks that every commit holds exactly the changes of one unit, in
+// order, without those of statements of a transaction that were not answered.
 func (c *checker) checkMixedWrites() {
 	for i := range c.index.truth.Commits {
 		c.checkCommit(i)
--- a/standin/history/history.go
+++ b/standin/history/history.go
@@ -21,7 +21,6 @@
 // Kind is what a request does.
 type Kind int
 
-// Kinds of requests.
 const (
 	Read     Kind = iota // reads the value of a key
 	ReadLog              // reads all entries of the log; not in a transaction that appends
@@ -38,7 +37,6 @@
 // Outcome is how a request ended for the client.
 type Outcome int
 
-// Outcomes.
 const (
 	Pending    Outcome = iota // no answer or error yet
 	Answered                  // the complete answer arrived
--- a/standin/history/truth.go
+++ b/standin/history/truth.go
@@ -19,7 +19,7 @@
 	Changes []Change
 }
 
-// TermStart tells after which record the log of a term begins.
+// TermStart tells after which record the records of a term begin.
 type TermStart struct {
 	Term uint64
 	Base Point // zero if the log was empty
--- a/standin/managed/database.go
+++ b/standin/managed/database.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// Add adds a server, which accepts connections from l until ctx is done.
+// Add adds a server, which accepts connections from l until ctx is done or Crash is
+// called.
 func (g *Group) Add(ctx context.Context, id, zone string, l net.Listener, primary bool) *Server {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Server{
--- a/standin/managed/deployment.go
+++ b/standin/managed/deployment.go
@@ -29,10 +29,10 @@
 
 // Ports of VMs and backend servers.
 const (
-	clientPort = 5000
-	linkPort   = 5001
-	readyPort  = 5002
-	serverPort = 6000
+	clientPort = 5000 // of VMs, for clients
+	linkPort   = 5001 // of VMs, for other VMs
+	readyPort  = 5002 // of VMs, for HTTP readiness checks
+	serverPort = 6000 // of backend servers, for VMs
 )
 
 // Key returns the access key of the customer with the given number.
--- a/standin/managed/dialect.go
+++ b/standin/managed/dialect.go
@@ -3,7 +3,8 @@
 // chestnutdyke.Node on it in virtual time and inject faults.
 //
 // It implements the interfaces of the transport layer and does not depend on a
-// particular platform. Messages of its wire protocols are lines of JSON.
+// particular platform. Messages of its wire protocols are lines of JSON. Package
+// fleet runs fleets of chestnutdyke.VM instead, on simulated PostgreSQL servers.
 package managed
 
 import (
--- a/standin/managed/faults_test.go
+++ b/standin/managed/faults_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// failoverWithin is the longest allowed time without a write when a primary is
-	// replaced.
+	// failoverWithin is the longest allowed time between two successful requests on
+	// a latest route when a primary is replaced.
 	failoverWithin = 7 * time.Second
 	// configWithin is the time after which a configuration must be in force on all
 	// VMs.
@@ -32,7 +32,7 @@
 		time.Sleep(8 * time.Second)
 		l.finish()
 		if gap := l.longestGap(Latest); gap > failoverWithin {
-			t.Errorf("no write for %v", gap)
+			t.Errorf("no successful request on a latest route for %v", gap)
 		}
 		if n := len(d.Store.Orders()); n != 1 {
 			t.Errorf("%d orders to promote: %v", n, d.Store.Orders())
@@ -147,8 +147,8 @@
 	})
 }
 
-// Guards against a primary that is not replaced because the VM that orders
-// promotions is killed, and against two VMs that use the same fencing token.
+// Guards against a primary that is not replaced because the failover
+// coordinator is killed, and against two VMs that use the same fencing token.
 func TestFailoverCoordinatorKilled(t *testing.T) {
 	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
@@ -159,7 +159,7 @@
 		time.Sleep(8 * time.Second)
 		l.finish()
 		if gap := l.longestGap(Latest); gap > failoverWithin {
-			t.Errorf("no write for %v", gap)
+			t.Errorf("no successful request on a latest route for %v", gap)
 		}
 		holders := make(map[uint64]string)
 		for _, o := range d.Store.Orders() {
@@ -183,7 +183,7 @@
 		d.Store.SetOutage("", Available)
 		l.finish()
 		if gap := l.longestGap(Latest); gap > failoverWithin {
-			t.Errorf("no write for %v", gap)
+			t.Errorf("no successful request on a latest route for %v", gap)
 		}
 	})
 }
@@ -231,8 +231,8 @@
 }
 
 // Guards against requests that are cut off when VMs are drained and stopped one
-// after the other. An idle session was once closed after its next request had been
-// read.
+// after the other, also the next request of an idle session: the session must not
+// be closed after that request has been read.
 func TestRollingStop(t *testing.T) {
 	inDeployment(t, smallDeployment, func(d *Deployment) {
 		l := startLoad(t, d)
--- a/standin/managed/limits_test.go
+++ b/standin/managed/limits_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Guards against refusals of requests within the limit that last until the loans of
-// shares to a killed quota coordinator expire.
+// Guards against refusals of requests within the limit after a quota coordinator was
+// killed, until the loans expire in which VMs lent it their shares of the limit.
 func TestQuotaCoordinatorKilled(t *testing.T) {
 	o := smallDeployment
 	o.Rate = tightRate
--- a/standin/managed/load_test.go
+++ b/standin/managed/load_test.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// longestGap returns the longest time between two successes on any database of a kind
-// of route.
+// longestGap returns the longest time between two successful requests on any database
+// of a kind of route. The time after the last success does not count.
 func (l *load) longestGap(kind string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -47,7 +47,7 @@
 	Unresponsive        // calls are never answered
 )
 
-// Order is an order to promote a server that the store received.
+// Order is an order to promote a server, as the store received it.
 type Order struct {
 	Group, Server, Holder string // Holder is the VM that sent the order
 	Token                 uint64 // fencing token
@@ -117,7 +117,8 @@
 	return s.calls
 }
 
-// DutyHolder returns the name of the VM that holds the duty to order promotions.
+// DutyHolder returns the name of the VM that holds the duty to order promotions: the
+// failover coordinator.
 func (s *Store) DutyHolder() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
