--- a/standin/history/check_reads.go
+++ b/standin/history/check_reads.go
@@ -63,7 +63,7 @@
 func (c *checker) isAtOrAfter(value string, u *unit) bool {
 	for _, later := range c.index.byValue[value] {
 		for _, commit := range c.index.commitsOf(u.changes) {
-			p, q := c.index.truth.Commits[later].Point, c.index.truth.Commits[commit].Point
+			p, q := c.index.record.Commits[later].Point, c.index.record.Commits[commit].Point
 			if c.index.logContains(p, q) {
 				return true
 			}
@@ -159,7 +159,7 @@
 		c.addViolation("%s returned %d values of one key", r, len(r.Values))
 	}
 	for _, commit := range c.index.byValue[r.Values[0]] {
-		if slices.Contains(c.index.truth.Commits[commit].Changes, Change{Key: r.Key, Value: r.Values[0]}) {
+		if slices.Contains(c.index.record.Commits[commit].Changes, Change{Key: r.Key, Value: r.Values[0]}) {
 			return
 		}
 	}
@@ -174,7 +174,7 @@
 	}
 	last := r.Values[len(r.Values)-1]
 	for _, commit := range c.index.byValue[last] {
-		if slices.Equal(r.Values, c.index.logEntries(c.index.truth.Commits[commit].Point)) {
+		if slices.Equal(r.Values, c.index.logEntries(c.index.record.Commits[commit].Point)) {
 			return
 		}
 	}
--- a/standin/history/check_test.go
+++ b/standin/history/check_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// scenario builds a history and the matching truth. Term 1 begins at position 1.
+// scenario builds a history and the matching record. Term 1 begins at position 1.
 type scenario struct {
 	history History
-	truth   Truth
+	record  ServerRecord
 }
 
 func newScenario() *scenario {
-	return &scenario{truth: Truth{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
+	return &scenario{record: ServerRecord{Terms: []TermStart{{Term: 1}}, Final: Point{Term: 1, Position: 100}}}
 }
 
 // request adds a request, with its result, and returns its ID.
@@ -45,12 +45,12 @@
 }
 
 func (s *scenario) commit(term, position uint64, changes ...Change) {
-	s.truth.Commits = append(s.truth.Commits, CommitRecord{Point: Point{Term: term, Position: position}, Server: "a", Changes: changes})
+	s.record.Commits = append(s.record.Commits, CommitRecord{Point: Point{Term: term, Position: position}, Server: "a", Changes: changes})
 }
 
 func (s *scenario) term(term, baseTerm, basePosition uint64) {
-	s.truth.Terms = append(s.truth.Terms, TermStart{Term: term, Base: Point{Term: baseTerm, Position: basePosition}})
-	s.truth.Final = Point{Term: term, Position: 100}
+	s.record.Terms = append(s.record.Terms, TermStart{Term: term, Base: Point{Term: baseTerm, Position: basePosition}})
+	s.record.Final = Point{Term: term, Position: 100}
 }
 
 func put(key, value string) Change { return Change{Key: key, Value: value} }
@@ -291,7 +291,7 @@
 			s := newScenario()
 			c.build(s)
 			var broken []string
-			for _, v := range Broken(Check(s.history, s.truth)) {
+			for _, v := range Broken(Check(s.history, s.record)) {
 				broken = append(broken, v.Name)
 				t.Log(v.String())
 			}
--- a/standin/memnet/partition.go
+++ b/standin/memnet/partition.go
@@ -28,8 +28,9 @@
 	return a.contains(hostA) && b.contains(hostB) || a.contains(hostB) && b.contains(hostA)
 }
 
-// Cut is a partition between two sets of hosts. It lasts until Heal is called.
-type Cut struct {
+// Partition is a partition between two sets of hosts. It lasts until Heal is
+// called.
+type Partition struct {
 	net  *Network
 	a, b HostSet
 }
@@ -38,22 +39,22 @@
 // Dials wait, and data and ends of streams in transit on open connections are
 // held back. Data that has already arrived can still be read. A host always
 // reaches itself, so Partition(Hosts(x), All()) isolates x.
-func (n *Network) Partition(a, b HostSet) *Cut {
+func (n *Network) Partition(a, b HostSet) *Partition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &Cut{net: n, a: a, b: b}
-	n.partitions[c] = struct{}{}
+	p := &Partition{net: n, a: a, b: b}
+	n.partitions[p] = struct{}{}
 	n.applyPartitions()
-	return c
+	return p
 }
 
 // Heal ends the partition. Held data arrives one connection delay later, unless
 // another partition separates the hosts.
-func (c *Cut) Heal() {
-	n := c.net
+func (p *Partition) Heal() {
+	n := p.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.partitions, c)
+	delete(n.partitions, p)
 	n.applyPartitions()
 	close(n.healed)
 	n.healed = make(chan struct{})
@@ -61,7 +62,7 @@
 
 // Break resets the connections across the partition at both ends. Data that is
 // held back, in transit or unread is lost. The partition stays.
-func (c *Cut) Break() { c.net.Break(c.a, c.b) }
+func (p *Partition) Break() { p.net.Break(p.a, p.b) }
 
 // Break resets the connections between two sets of hosts at both ends. Data in
 // transit or unread is lost.
@@ -89,8 +90,8 @@
 	if a == b {
 		return false
 	}
-	for c := range n.partitions {
-		if separates(c.a, c.b, a, b) {
+	for p := range n.partitions {
+		if separates(p.a, p.b, a, b) {
 			return true
 		}
 	}
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -28,7 +28,7 @@
 const (
 	defaultWorkers = 4
 	queueCount     = 16   // objects are distributed over the queues by a hash of their names
-	queueLimit     = 1024 // has no effect, because PostAlways ignores it
+	queueLimit     = 1024 // has no effect, because PostUnbounded ignores it
 )
 
 // Options set the behaviour of a store.
@@ -114,7 +114,7 @@
 func (s *Store) runOnWorker(ctx context.Context, name string, f func()) bool {
 	done := make(chan struct{})
 	queue := s.queues[maphash.String(s.hashSeed, name)%queueCount]
-	queue.PostAlways(func() {
+	queue.PostUnbounded(func() {
 		f()
 		close(done)
 	})
