--- a/standin/dbgroup/faults_test.go
+++ b/standin/dbgroup/faults_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against connections broken at the wrong point: whether the transaction
-// is committed depends on the BreakPoint of the break.
+// is committed depends on the break point.
 func TestBrokenConnections(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		a := env.group.Server("a")
--- a/standin/dbgroup/replication_test.go
+++ b/standin/dbgroup/replication_test.go
@@ -205,7 +205,7 @@
 			t.Fatal(err)
 		}
 		if err := <-result; err == nil {
-			t.Fatal("a write was responses by a server that was stopped")
+			t.Fatal("a write was answered by a server that was stopped")
 		}
 		time.Sleep(time.Second)
 		if len(env.group.Commits()) != 0 {
