--- a/standin/history/check.go
+++ b/standin/history/check.go
@@ -25,20 +25,20 @@
 }
 
 // OK reports whether the check found no violation.
-func (v *CheckResult) OK() bool { return len(v.Violations) == 0 }
+func (r *CheckResult) OK() bool { return len(r.Violations) == 0 }
 
-func (v *CheckResult) String() string {
-	if v.OK() {
-		return v.Name + ": ok"
+func (r *CheckResult) String() string {
+	if r.OK() {
+		return r.Name + ": ok"
 	}
-	return v.Name + ": " + strings.Join(v.Violations, "; ")
+	return r.Name + ": " + strings.Join(r.Violations, "; ")
 }
 
 // Check runs all checks on what clients saw and what the servers did. It returns one
 // result per check, always in the same order, and panics if two requests write the
 // same value.
-func Check(h History, t ServerRecord) []CheckResult {
-	c := newChecker(h, t)
+func Check(h History, r ServerRecord) []CheckResult {
+	c := newChecker(h, r)
 	checks := []struct {
 		name string
 		run  func(c *checker)
@@ -65,9 +65,9 @@
 // Violated returns the results with violations.
 func Violated(results []CheckResult) []CheckResult {
 	var violated []CheckResult
-	for _, v := range results {
-		if !v.OK() {
-			violated = append(violated, v)
+	for _, r := range results {
+		if !r.OK() {
+			violated = append(violated, r)
 		}
 	}
 	return violated
@@ -77,7 +77,7 @@
 type unit struct {
 	commit         *Request // the Commit, or the write itself; nil if no commit was requested
 	begin          *Request // the Begin, or the write itself
-	changes        []Change // of the answered writes and the commit, in order
+	changes        []Change // in a transaction those of the answered writes and of the commit, in order; otherwise those of the write, whatever its outcome
 	unacknowledged []Change // of writes in the transaction with another outcome than Answered
 	idempotent     bool     // the client allows it to be committed more than once
 }
@@ -107,8 +107,8 @@
 	violations []string
 }
 
-func newChecker(h History, t ServerRecord) *checker {
-	c := &checker{history: h, index: newRecordIndex(t), unitOf: make(map[string]*unit)}
+func newChecker(h History, r ServerRecord) *checker {
+	c := &checker{history: h, index: newRecordIndex(r), unitOf: make(map[string]*unit)}
 	open := make(map[int]*unit) // by ID of the Begin
 	for i := range h.Requests {
 		c.collect(&h.Requests[i], open)
@@ -157,6 +157,6 @@
 
 // describeCommit describes a commit for a violation.
 func (c *checker) describeCommit(commit int) string {
-	r := &c.index.truth.Commits[commit]
+	r := &c.index.record.Commits[commit]
 	return fmt.Sprintf("commit %d of %s (term %d, position %d)", commit+1, r.Server, r.Term, r.Position)
 }
--- a/standin/history/check_writes.go
+++ b/standin/history/check_writes.go
@@ -86,16 +86,16 @@
 	}
 }
 
-// checkMixedWrites checks that every commit holds exactly the answered changes of one
-// unit, in order.
+// checkMixedWrites checks that every commit holds exactly the changes of one unit, in
+// order, without those of statements of a transaction that were not answered.
 func (c *checker) checkMixedWrites() {
-	for i := range c.index.truth.Commits {
+	for i := range c.index.record.Commits {
 		c.checkCommit(i)
 	}
 }
 
 func (c *checker) checkCommit(commit int) {
-	changes := c.index.truth.Commits[commit].Changes
+	changes := c.index.record.Commits[commit].Changes
 	if len(changes) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 // session in the order of its requests.
 func (c *checker) checkAppendOrder() {
 	positions := make(map[string]int) // of the first occurrence in the final log
-	for i, entry := range c.index.logEntries(c.index.truth.Final) {
+	for i, entry := range c.index.logEntries(c.index.record.Final) {
 		if _, seen := positions[entry]; !seen {
 			positions[entry] = i
 		}
--- a/standin/history/server_record.go
+++ b/standin/history/server_record.go
@@ -19,7 +19,7 @@
 	Changes []Change
 }
 
-// TermStart tells after which record the log of a term begins.
+// TermStart tells after which record the records of a term begin.
 type TermStart struct {
 	Term uint64
 	Base Point // zero if the log was empty
@@ -34,20 +34,20 @@
 }
 
 // recordIndex finds commits of a ServerRecord. Commits are identified by their
-// index in Truth.Commits.
+// index in ServerRecord.Commits.
 type recordIndex struct {
-	truth   ServerRecord
+	record  ServerRecord
 	bases   map[uint64]Point // by term
 	byValue map[string][]int // commits that hold a value, in ascending order
 }
 
-func newRecordIndex(t ServerRecord) *recordIndex {
-	x := &recordIndex{truth: t, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
-	for _, s := range t.Terms {
+func newRecordIndex(r ServerRecord) *recordIndex {
+	x := &recordIndex{record: r, bases: make(map[uint64]Point), byValue: make(map[string][]int)}
+	for _, s := range r.Terms {
 		x.bases[s.Term] = s.Base
 	}
-	for i := range t.Commits {
-		for _, c := range t.Commits[i].Changes {
+	for i := range r.Commits {
+		for _, c := range r.Commits[i].Changes {
 			x.byValue[c.Value] = append(x.byValue[c.Value], i)
 		}
 	}
@@ -74,19 +74,19 @@
 
 // inFinalLog reports whether the primary at the end holds the commit.
 func (x *recordIndex) inFinalLog(commit int) bool {
-	return x.logContains(x.truth.Final, x.truth.Commits[commit].Point)
+	return x.logContains(x.record.Final, x.record.Commits[commit].Point)
 }
 
 // commitsUpTo returns the commits of the log that ends at the given record, in order.
 func (x *recordIndex) commitsUpTo(end Point) []int {
 	var found []int
-	for i := range x.truth.Commits {
-		if x.logContains(end, x.truth.Commits[i].Point) {
+	for i := range x.record.Commits {
+		if x.logContains(end, x.record.Commits[i].Point) {
 			found = append(found, i)
 		}
 	}
 	slices.SortFunc(found, func(a, b int) int {
-		return cmp.Compare(x.truth.Commits[a].Position, x.truth.Commits[b].Position)
+		return cmp.Compare(x.record.Commits[a].Position, x.record.Commits[b].Position)
 	})
 	return found
 }
@@ -96,7 +96,7 @@
 func (x *recordIndex) logEntries(end Point) []string {
 	var entries []string
 	for _, i := range x.commitsUpTo(end) {
-		for _, c := range x.truth.Commits[i].Changes {
+		for _, c := range x.record.Commits[i].Changes {
 			if c.Key == "" {
 				entries = append(entries, c.Value)
 			}
--- a/standin/memnet/partition.go
+++ b/standin/memnet/partition.go
@@ -42,26 +42,27 @@
 func (n *Network) Partition(a, b HostSet) *Partition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &Partition{net: n, a: a, b: b}
-	n.partitions[c] = struct{}{}
+	p := &Partition{net: n, a: a, b: b}
+	n.partitions[p] = struct{}{}
 	n.applyPartitions()
-	return c
+	return p
 }
 
-// Heal ends the partition. Held data arrives one connection delay later.
-func (c *Partition) Heal() {
-	n := c.net
+// Heal ends the partition. Held data arrives one connection delay later, unless
+// another partition separates the hosts.
+func (p *Partition) Heal() {
+	n := p.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.partitions, c)
+	delete(n.partitions, p)
 	n.applyPartitions()
 	close(n.healed)
 	n.healed = make(chan struct{})
 }
 
-// Break resets the connections across the partition at both ends. Unread data is
-// lost. The partition stays.
-func (c *Partition) Break() { c.net.Break(c.a, c.b) }
+// Break resets the connections across the partition at both ends. Data that is
+// held back, in transit or unread is lost. The partition stays.
+func (p *Partition) Break() { p.net.Break(p.a, p.b) }
 
 // Break resets the connections between two sets of hosts at both ends. Data in
 // transit or unread is lost.
@@ -89,8 +90,8 @@
 	if a == b {
 		return false
 	}
-	for c := range n.partitions {
-		if separates(c.a, c.b, a, b) {
+	for p := range n.partitions {
+		if separates(p.a, p.b, a, b) {
 			return true
 		}
 	}
