--- a/cmd/chestnutctl/ctl/apply.go
+++ b/cmd/chestnutctl/ctl/apply.go
@@ -144,11 +144,11 @@
 		r.lastError = result.Err.Error()
 	}
 	switch result.Outcome {
-	case store.Done:
+	case store.PutApplied:
 		return ticket.Written{}
-	case store.Conflict:
+	case store.PutConflict:
 		return storedEvent(result.Object)
-	case store.NotDone:
+	case store.PutRejected:
 		return ticket.NotWritten{Reason: r.lastError}
 	default:
 		return ticket.WriteLost{Reason: r.lastError}
@@ -177,7 +177,7 @@
 		return ExitError
 	case ticket.Conflict:
 		env.errorf("ticket %d was not applied: %s by %s", number, r.Reason, describeRecord(r.ConflictingRecord))
-		return ExitLost
+		return ExitConflict
 	case ticket.NotApplied:
 		env.errorf("ticket %d was not applied: %s", number, r.Reason)
 		return ExitError
