--- a/protocol/fleetwire/fleetwire.go
+++ b/protocol/fleetwire/fleetwire.go
@@ -24,8 +24,9 @@
 // Kind is the type of message that a frame carries.
 type Kind byte
 
-// Kinds of frames. A response has the ID of its request. KindAbort is sent because
-// the client has disconnected or no longer waits for its statement.
+// Kinds of frames. A response has the ID of its request. KindAbort is sent when a
+// session no longer uses a transaction, for example because its client has
+// disconnected or the transaction was idle for too long.
 const (
 	KindStatus        Kind = iota + 1 // a Status in JSON: the state of the sender
 	KindPing                          // heartbeat with the partitions of customers' limits for which the sender is the quota coordinator
--- a/protocol/groupapi/groupapi.go
+++ b/protocol/groupapi/groupapi.go
@@ -1,6 +1,6 @@
 // Package groupapi defines the control interface of a backend server: JSON over
 // HTTP on the server's control address. Every request is a POST with an Order as
-// the body; the body of the response is an Answer.
+// the body; the body of the response is a Response.
 //
 // Terms change only through this interface, so a backend server with a different
 // control protocol needs only a different adapter.
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -93,8 +93,8 @@
 }
 
 // ExchangeResponse is the response to an Exchange. Snapshot is set if the request
-// has Want and the responding VM has a higher ticket number. It is the encoded
-// configuration, compressed with gzip.
+// has WantSnapshot and the responding VM has a higher ticket number. It is the
+// encoded configuration, compressed with gzip.
 type ExchangeResponse struct {
 	Sender   Sender             `json:"sender"`
 	Config   ConfigDigest       `json:"config"`
--- a/protocol/pgwire/answer.go
+++ b/protocol/pgwire/answer.go
@@ -24,7 +24,7 @@
 }
 
 // Answer collects the messages of a backend server's answer to one request.
-// Answers to the messages that Connection.Prepare adds are dropped.
+// Answers to the messages that ConnectionState.Prepare adds are dropped.
 type Answer struct {
 	pendingPreparations int // ReadyForQuery messages that belong to the preparation
 	part                Part
@@ -86,8 +86,8 @@
 	return step
 }
 
-// skipPreparation drops a message that answers the preparation. An error there is
-// a fault, except in a failed transaction.
+// skipPreparation drops a message that answers the preparation. After an
+// error there the connection must be closed, except in a failed transaction.
 func (a *Answer) skipPreparation(msg pgproto3.BackendMessage) Step {
 	switch m := msg.(type) {
 	case *pgproto3.ErrorResponse:
--- a/protocol/pgwire/batch.go
+++ b/protocol/pgwire/batch.go
@@ -26,7 +26,7 @@
 	// have no Messages and must not be analysed.
 	IsSync bool
 
-	// The fields below are set by Statements.Analyse.
+	// The fields below are set by PreparedStatements.Analyse.
 
 	Class state.Class
 	// MayCommit reports that the batch has several statements, one of which may end
--- a/protocol/pgwire/setting.go
+++ b/protocol/pgwire/setting.go
@@ -19,7 +19,7 @@
 // SettingVerb is the operation of a statement on a setting.
 type SettingVerb int
 
-// Verbs.
+// Values of SettingVerb.
 const (
 	SetVerb SettingVerb = iota
 	ResetVerb
@@ -80,9 +80,9 @@
 	return rest
 }
 
-// textAfterPrefix returns the text after the first occurrence of Prefix, ignoring
-// case. It does not convert the whole text to one case, because that could change
-// its length.
+// textAfterPrefix returns the text after the first occurrence of SettingPrefix,
+// ignoring case. It does not convert the whole text to one case, because that could
+// change its length.
 func textAfterPrefix(sql string) string {
 	for i := 0; i+len(SettingPrefix) <= len(sql); i++ {
 		if strings.EqualFold(sql[i:i+len(SettingPrefix)], SettingPrefix) {
--- a/protocol/settings/settings.go
+++ b/protocol/settings/settings.go
@@ -114,7 +114,8 @@
 	// clients for each VM in the design target.
 	Sessions int `yaml:"sessions"`
 	// SessionQueue is the maximum number of queued events per session. While the
-	// queue is full, the VM does not read from the client connection. Default 32.
+	// queue is full, the VM does not read responses from the backend connection.
+	// Default 32.
 	SessionQueue int `yaml:"session_queue"`
 	// ServerWaiters is the maximum number of requests per backend server that wait
 	// for a connection; more are refused with SQLSTATE 53300. Default 512.
--- a/protocol/ticketfile/stored.go
+++ b/protocol/ticketfile/stored.go
@@ -44,7 +44,7 @@
 }
 
 // EncodeConfig encodes a configuration as JSON for messages between VMs. It fails
-// if the result is longer than storeapi.MaxValue.
+// if the result is longer than storeapi.MaxValueBytes.
 func EncodeConfig(c *state.Config) ([]byte, error) {
 	data, err := json.Marshal(storedConfig{
 		Format: formatVersion,
@@ -64,7 +64,7 @@
 }
 
 // EncodeObject encodes the value of the store's configuration object. It fails if
-// the result is longer than storeapi.MaxValue.
+// the result is longer than storeapi.MaxValueBytes.
 func EncodeObject(o *ticket.Object) ([]byte, error) {
 	config, err := EncodeConfig(o.Config)
 	if err != nil {
--- a/protocol/ticketfile/ticketfile.go
+++ b/protocol/ticketfile/ticketfile.go
@@ -163,7 +163,7 @@
 
 // Problems returns the problems of the file, ordered by line: those found while
 // decoding it and the given ones. found is the result of ticket.Check, or of
-// ticket.CheckAlone if there is no configuration to compare the ticket with.
+// ticket.CheckStandalone if there is no configuration to compare the ticket with.
 func (f *File) Problems(found []ticket.Problem) []yamldoc.Problem {
 	return f.withProblems(found).Problems()
 }
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -177,14 +177,14 @@
 	}
 	now := clock.Now()
 	view := d.Links.View()
-	counted, err := fleetwire.DecodePartitions(body)
+	coordinated, err := fleetwire.DecodePartitions(body)
 	if err != nil {
 		d.Logger.WithError(err).WithField("vm", from).Error("fleet: a ping cannot be decoded.")
 		return p
 	}
-	d.Quota.Release(from, origin, counted, now)
+	d.Quota.Release(from, origin, coordinated, now)
 	p.Lease = quota.LoanDuration(d.Links.PingInterval())
-	p.Lent = d.Quota.Lend(from, origin, intersect(d.partitionsOf(from, view, config), counted), p.Lease, now)
+	p.Lent = d.Quota.Lend(from, origin, intersect(d.partitionsOf(from, view, config), coordinated), p.Lease, now)
 	if len(view.VMs) > maxVMsForRemoteConfirmations && !view.InSameDataCentre(from) {
 		return p
 	}
--- a/transport/pgserver/pgserver.go
+++ b/transport/pgserver/pgserver.go
@@ -292,7 +292,7 @@
 }
 
 // readLogin requests the customer's key as a clear-text password. Every client is
-// asked, including those of public routes. The route is the database name, or the
+// asked, including those of open routes. The route is the database name, or the
 // user name if no database is given.
 func readLogin(backend *pgproto3.Backend, m *pgproto3.StartupMessage) (Login, error) {
 	l := Login{Customer: m.Parameters["user"], Route: m.Parameters["database"], Parameters: m.Parameters}
--- a/transport/sqlback/executor.go
+++ b/transport/sqlback/executor.go
@@ -62,7 +62,8 @@
 	probeInterval    = 500 * time.Millisecond // between probes of unreachable servers
 )
 
-// connectionWaitBuckets range from an idle connection to the longest wait for one.
+// connectionWaitBuckets range from the use of an idle connection to the longest wait
+// for a busy one: 1 ms to 1 s.
 var connectionWaitBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 11)
 
 type poolKey struct{ customer, server string }
@@ -87,7 +88,7 @@
 	beginPoint  state.Point // log position that BEGIN returned
 	sent        bool        // the statement was sent, at least in part, and may have run
 	finished    bool
-	aborted     bool // the client has disconnected: end the transaction
+	aborted     bool // AbortTx or AbortLink was called: end the transaction after the statement
 }
 
 // Executor runs statements on backend servers. Create it with New.
@@ -164,7 +165,7 @@
 	e.post(func() { e.submit(j) })
 }
 
-// AbortTx rolls back a transaction of origin whose client has disconnected. It
+// AbortTx rolls back a transaction of origin that its session no longer uses. It
 // does nothing if the transaction has ended.
 func (e *Executor) AbortTx(origin string, tx uint64) {
 	e.post(func() {
--- a/transport/sqlback/executor_test.go
+++ b/transport/sqlback/executor_test.go
@@ -35,10 +35,10 @@
 // scriptedServer is a backend server whose answers the test provides. It is also
 // the network through which it is dialled.
 type scriptedServer struct {
-	answer    func(statement.Command) statement.Answer
-	down      atomic.Bool    // connections are not accepted
-	reached   func([]string) // receives the unreachable servers
-	keepAlive atomic.Pointer[net.KeepAliveConfig]
+	answer            func(statement.Command) statement.Answer
+	down              atomic.Bool    // connections are not accepted
+	reportUnreachable func([]string) // receives the unreachable servers
+	keepAlive         atomic.Pointer[net.KeepAliveConfig]
 
 	mu       sync.Mutex // guards commands
 	commands []statement.Verb
@@ -138,8 +138,8 @@
 			Logger:           &log.Logger{Handler: discard.Default},
 			HoldsConnections: func(string, *catalog.Server) bool { return true },
 			ReportUnreachable: func(unreachable []string) {
-				if s.reached != nil {
-					s.reached(unreachable)
+				if s.reportUnreachable != nil {
+					s.reportUnreachable(unreachable)
 				}
 			},
 		})
@@ -265,7 +265,7 @@
 func TestReachabilityIsToldInOrder(t *testing.T) {
 	var mu sync.Mutex
 	var reports []int // number of unreachable servers in each report
-	s := &scriptedServer{answer: answerInTx, reached: func(unreachable []string) {
+	s := &scriptedServer{answer: answerInTx, reportUnreachable: func(unreachable []string) {
 		if len(unreachable) > 0 {
 			time.Sleep(2 * time.Second)
 		}
--- a/transport/sqlfront/server.go
+++ b/transport/sqlfront/server.go
@@ -47,8 +47,8 @@
 type Runner interface {
 	// Run runs the statement on the named VM and calls done once, on a pool worker.
 	Run(vm string, w *statement.RemoteStatement, done func(statement.Result))
-	// AbortTxOn rolls back a transaction whose client has disconnected, or that was
-	// idle for too long.
+	// AbortTxOn rolls back a transaction that its session no longer uses, for example
+	// because the client has disconnected or the transaction was idle for too long.
 	AbortTxOn(vm string, tx uint64)
 }
 
--- a/transport/sqlfront/session.go
+++ b/transport/sqlfront/session.go
@@ -49,7 +49,7 @@
 type execution struct {
 	op          *sqlsession.Operation
 	startedAt   time.Duration
-	deadline    time.Duration   // on clock.Now, as startedAt and waitUntil
+	deadline    time.Duration   // reading of clock.Now, as are startedAt and waitUntil
 	waitUntil   time.Duration   // refuse the operation if no server could run it until then
 	tried       map[string]bool // servers not to choose again
 	attempts    int
--- a/transport/telemetry/rate_limited.go
+++ b/transport/telemetry/rate_limited.go
@@ -30,8 +30,8 @@
 	reportedAt time.Time
 }
 
-// NewRateLimitedWriter returns a RateLimitedWriter that writes at most rate lines
-// per second.
+// NewRateLimitedWriter returns a RateLimitedWriter that writes at most rate lines per
+// second on average, and up to maxBurstLines at once.
 func NewRateLimitedWriter(out io.Writer, rate float64) *RateLimitedWriter {
 	b := &RateLimitedWriter{out: out, lines: make(chan []byte, maxBufferedLines), rate: rate, tokens: maxBurstLines, refilledAt: time.Now()}
 	go b.writeLoop()
