--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -31,8 +31,8 @@
 	Query Query
 }
 
-// Start records the start time of this process. It confirms nothing before Start
-// is called, nor until ExclusivePeriod has passed since then.
+// Start records the start time of this process. As a voter, the process confirms
+// nothing before Start is called, nor until ExclusivePeriod has passed since then.
 func Start(t *state.LeaseTable, now time.Time) {
 	t.With(func(l *state.Lease) { l.Started = now })
 }
--- a/coordination/queueing/retry.go
+++ b/coordination/queueing/retry.go
@@ -33,11 +33,11 @@
 	return true
 }
 
-// Backoff returns the delay before the given attempt, counted from 1. The delay
+// Backoff returns the delay before the given retry, counted from 1. The delay
 // is random within the upper half of an exponentially growing interval, so that
 // requests that failed together are not retried together.
-func Backoff(attempt int) time.Duration {
-	limit := min(minBackoff<<min(max(attempt-1, 0), 10), maxBackoff)
+func Backoff(retry int) time.Duration {
+	limit := min(minBackoff<<min(max(retry-1, 0), 10), maxBackoff)
 	return limit/2 + rand.N(limit/2)
 }
 
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -118,10 +118,10 @@
 // returned recently. The fraction of admitted requests grows linearly over RampUp,
 // because the server's caches are cold.
 func admittedByRampUp(v *state.ServerView, q Query) bool {
-	if v.ReturnsAt.IsZero() {
+	if v.ReturnedAt.IsZero() {
 		return true
 	}
-	elapsed := q.Now.Sub(v.ReturnsAt)
+	elapsed := q.Now.Sub(v.ReturnedAt)
 	if elapsed >= RampUp {
 		return true
 	}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -103,7 +103,7 @@
 // caches are cold.
 func TestReturnedServerRampsUp(t *testing.T) {
 	cfg, grp, g := newGroup()
-	g.View("b").ReturnsAt = now.Add(-RampUp / 4)
+	g.View("b").ReturnedAt = now.Add(-RampUp / 4)
 	served := 0
 	const requests = 640
 	for n := range uint64(requests) {
--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -168,20 +168,20 @@
 		return nil
 	}
 	s.Conn, s.Cancelled = 0, false
-	suspect := ReportFailure{Group: d.groupOf(s), Server: s.Server}
+	failure := ReportFailure{Group: d.groupOf(s), Server: s.Server}
 	if s.Phase == state.PhaseAcknowledging {
 		// A connection is held in this phase only if the request committed one
 		// transaction and began another.
-		effects := []Effect{suspect, CancelAwait{Group: d.groupOf(s), ID: waiterID(s)}, DropHeld{}}
+		effects := []Effect{failure, CancelAwait{Group: d.groupOf(s), ID: waiterID(s)}, DropHeld{}}
 		return append(effects, d.close(s, Outcome{Kind: Unknown, Reason: ConnectionLost})...)
 	}
 	if s.Phase != state.PhaseExecuting {
 		if s.InTransaction {
-			return append([]Effect{suspect}, d.close(s, Outcome{Kind: Unknown, Reason: TransactionLost})...)
+			return append([]Effect{failure}, d.close(s, Outcome{Kind: Unknown, Reason: TransactionLost})...)
 		}
-		return []Effect{suspect}
+		return []Effect{failure}
 	}
-	return append([]Effect{suspect}, d.retryOrFail(s, ConnectionLost, now)...)
+	return append([]Effect{failure}, d.retryOrFail(s, ConnectionLost, now)...)
 }
 
 // retryOrFail retries a request that was sent and whose connection was lost or
--- a/coordination/session/decider.go
+++ b/coordination/session/decider.go
@@ -88,11 +88,11 @@
 		return d.refuseAccess(s, out)
 	}
 	d.applyReadOnlyRoute(s)
-	wake := SetTimer{Request: r.Number, At: r.Deadline}
+	deadlineTimer := SetTimer{Request: r.Number, At: r.Deadline}
 	if s.InTransaction && (r.Class == state.ClassEnd || r.Class == state.ClassRollback) {
-		return append([]Effect{wake}, d.send(s, now)...)
+		return append([]Effect{deadlineTimer}, d.send(s, now)...)
 	}
-	return append([]Effect{wake}, d.admit(s, now)...)
+	return append([]Effect{deadlineTimer}, d.admit(s, now)...)
 }
 
 // applyReadOnlyRoute makes a request on a read-only route run in read-only mode, so
--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -146,44 +146,44 @@
 	if b.LenderStats == nil {
 		b.LenderStats = make(map[string]*state.LenderStats)
 	}
-	n := b.LenderStats[vm]
-	if n == nil {
-		n = &state.LenderStats{}
-		b.LenderStats[vm] = n
+	stats := b.LenderStats[vm]
+	if stats == nil {
+		stats = &state.LenderStats{}
+		b.LenderStats[vm] = stats
 	}
-	return n
+	return stats
 }
 
 // recordRefusal records that a VM lent nothing, and backs off from it. hint is the
 // delay that the lender proposed, or zero.
 func recordRefusal(b *state.LoanBook, vm string, hint time.Duration, now time.Time) {
-	n := lenderStats(b, vm)
-	if now.Sub(n.RetryAfter) > maxBackoff {
-		n.Refusals = 0
+	stats := lenderStats(b, vm)
+	if now.Sub(stats.RetryAfter) > maxBackoff {
+		stats.Refusals = 0
 	}
-	backoff := min(minBackoff<<min(n.Refusals, 10), earlyMaxBackoff)
-	if n.Refusals > earlyRefusals {
-		backoff = min(earlyMaxBackoff<<min(n.Refusals-earlyRefusals, 10), maxBackoff)
+	backoff := min(minBackoff<<min(stats.Refusals, 10), earlyMaxBackoff)
+	if stats.Refusals > earlyRefusals {
+		backoff = min(earlyMaxBackoff<<min(stats.Refusals-earlyRefusals, 10), maxBackoff)
 	}
 	if hint > 0 {
 		backoff = min(max(hint, localTokenWait), earlyMaxBackoff)
 	}
-	n.Refusals++
-	n.Spare = 0
-	n.RetryAfter = now.Add(backoff)
+	stats.Refusals++
+	stats.Spare = 0
+	stats.RetryAfter = now.Add(backoff)
 }
 
 // recordGrant records what a lender can still lend, and backs off from it if it lent
 // less than requested.
 func recordGrant(b *state.LoanBook, r *state.BorrowedLoan, a LoanAnswer, now time.Time) {
-	n := lenderStats(b, r.Lender)
-	n.Refusals = 0
-	n.Spare = a.Spare
-	n.RetryAfter = now
+	stats := lenderStats(b, r.Lender)
+	stats.Refusals = 0
+	stats.Spare = a.Spare
+	stats.RetryAfter = now
 	if a.Rate < r.Rate/2 || a.Tokens < r.Tokens || a.Units < r.Units {
-		n.RetryAfter = now.Add(minBackoff)
+		stats.RetryAfter = now.Add(minBackoff)
 		if a.RetryAfter > 0 {
-			n.RetryAfter = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
+			stats.RetryAfter = now.Add(min(max(a.RetryAfter, localTokenWait), earlyMaxBackoff))
 		}
 	}
 }
@@ -305,11 +305,11 @@
 }
 
 // tokenLoanPeriod returns the period to request for a loan of tokens.
-func tokenLoanPeriod(n *state.LenderStats) time.Duration {
-	if n == nil || n.RoundTrip == 0 {
+func tokenLoanPeriod(stats *state.LenderStats) time.Duration {
+	if stats == nil || stats.RoundTrip == 0 {
 		return defaultTokenLoan
 	}
-	return min(max(tokenLoanRoundTrips*n.RoundTrip, minTokenLoan), maxTokenLoan)
+	return min(max(tokenLoanRoundTrips*stats.RoundTrip, minTokenLoan), maxTokenLoan)
 }
 
 // lendersFor returns the possible lenders of a customer's limit.
--- a/coordination/share/limits_test.go
+++ b/coordination/share/limits_test.go
@@ -125,8 +125,8 @@
 		script(s)
 	}
 	f.startAll(s.speed)
-	for _, d := range p.FaultEvents {
-		f.after(d.At, func() { s.inject(d) })
+	for _, e := range p.FaultEvents {
+		f.after(e.At, func() { s.inject(e) })
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Customers)) {
 		f.after(time.Second, func() { s.sendRequests(name) })
@@ -270,27 +270,27 @@
 	}
 }
 
-func (s *simulation) inject(d faultEvent) {
+func (s *simulation) inject(e faultEvent) {
 	names := slices.Sorted(maps.Keys(s.f.current))
-	p := s.f.current[names[d.VM%len(names)]]
-	switch d.Kind {
+	p := s.f.current[names[e.VM%len(names)]]
+	switch e.Kind {
 	case "pause":
-		p.pausedUntil = max(p.pausedUntil, s.f.now+d.For)
+		p.pausedUntil = max(p.pausedUntil, s.f.now+e.For)
 	case "kill":
 		p.dead = true
-		s.f.after(d.For, func() { s.restart(p) })
+		s.f.after(e.For, func() { s.restart(p) })
 	case "replace":
-		s.replace(p, d, 0)
+		s.replace(p, e, 0)
 	case "replace paused":
-		s.replace(p, d, d.For)
+		s.replace(p, e, e.For)
 	case "rate":
 		s.publish(func(c *state.Config) {
 			rate := 5 + s.f.rng.Float64()*30
 			addCustomer(c, "changing", rate, rate/3)
 		})
 	case "take out", "put back":
-		to := map[string]state.ServiceState{"take out": state.Leaving, "put back": state.InService}[d.Kind]
-		s.publish(func(c *state.Config) { setState(c, p.name, p.dc, to, d.For > 6*time.Second) })
+		to := map[string]state.ServiceState{"take out": state.Leaving, "put back": state.InService}[e.Kind]
+		s.publish(func(c *state.Config) { setState(c, p.name, p.dc, to, e.For > 6*time.Second) })
 	case "add":
 		s.add(p.dc)
 	}
@@ -330,7 +330,7 @@
 // replace starts a new process while the old one is paused or continues. Only one VM
 // of a data centre has two processes at a time, because the voters have to be able to
 // tell them apart.
-func (s *simulation) replace(p *process, d faultEvent, pause time.Duration) {
+func (s *simulation) replace(p *process, e faultEvent, pause time.Duration) {
 	for _, q := range s.f.procs {
 		if q.dc == p.dc && !q.dead && s.f.current[q.name] != q {
 			return
@@ -341,7 +341,7 @@
 	}
 	p.pausedUntil = max(p.pausedUntil, s.f.now+pause)
 	s.restart(p)
-	s.f.after(pause+d.For, func() { p.dead = true })
+	s.f.after(pause+e.For, func() { p.dead = true })
 }
 
 // publish applies a new ticket at a different time on each VM.
--- a/coordination/share/plan.go
+++ b/coordination/share/plan.go
@@ -151,9 +151,9 @@
 	for i := range c.Waiters {
 		at = earlier(at, c.Waiters[i].Deadline)
 	}
-	for _, n := range c.Loans.LenderStats {
-		if n.RetryAfter.After(p.now) {
-			at = earlier(at, n.RetryAfter)
+	for _, stats := range c.Loans.LenderStats {
+		if stats.RetryAfter.After(p.now) {
+			at = earlier(at, stats.RetryAfter)
 		}
 	}
 	if at.Before(earliest) {
--- a/coordination/sqlsession/route.go
+++ b/coordination/sqlsession/route.go
@@ -48,7 +48,7 @@
 	View       *placement.View
 	DataCentre string
 	Now        time.Duration   // reading of the clock that keeps running while the host is suspended
-	Tried      map[string]bool // servers that have refused this operation
+	Tried      map[string]bool // servers to avoid: they failed or refused this operation, or are still running it
 }
 
 // Choose returns the target for the next attempt of the operation. It reports false
--- a/coordination/ticket/check_objects.go
+++ b/coordination/ticket/check_objects.go
@@ -10,9 +10,9 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// MinServeFor is the minimum of serve_for (see state.CutOffPolicy). Confirmations of the configuration
-// travel through the exchange between VMs, so ages of a few seconds are normal
-// and must not cause refusals.
+// MinServeFor is the minimum of serve_for (see state.CutOffPolicy). Confirmations
+// of the configuration travel through the exchange between VMs, so ages of a few
+// seconds are normal and must not cause refusals.
 const MinServeFor = 5 * time.Second
 
 // sorted returns the keys of a map in order, which makes the order of problems
--- a/coordination/ticket/ticket.go
+++ b/coordination/ticket/ticket.go
@@ -64,7 +64,7 @@
 	Remove map[Kind][]string
 }
 
-// Record is the record of an applied ticket.
+// Record describes an applied ticket. Records are stored with the configuration.
 type Record struct {
 	ID          state.TicketID
 	Operator    string
--- a/state/failover.go
+++ b/state/failover.go
@@ -23,7 +23,7 @@
 	ConditionHealthy
 	ConditionFailed          // the primary does not answer
 	ConditionNoPrimary       // a majority answers, but no server can get writes acknowledged
-	ConditionDivergedReplica // the primary works, but a server has promised to a later term and cannot follow it
+	ConditionDivergedReplica // the primary works, but a server has adopted a later term and cannot follow it
 )
 
 // FailoverState is this VM's failover state of one group.
--- a/state/group.go
+++ b/state/group.go
@@ -11,9 +11,9 @@
 	At       time.Time // when the query was sent
 	Term     uint64
 	Position uint64
-	// Unconfirmed is set until a majority is known not to have promised to a
-	// later term before At. An isolated primary that was replaced still
-	// answers, and a replica that has reached its position may still be stale.
+	// Unconfirmed is set until a majority is known not to have adopted a later
+	// term before At. An isolated primary that was replaced still answers, and a
+	// replica that has reached its position may still be stale.
 	Unconfirmed bool
 }
 
@@ -169,13 +169,13 @@
 func (g *GroupState) confirmSamples() {
 	for i := len(g.Samples) - 1; i >= 0 && g.Samples[i].Unconfirmed; i-- {
 		s := &g.Samples[i]
-		s.Unconfirmed = g.countNotPromisedBeyond(s.Term, s.At) < g.Majority
+		s.Unconfirmed = g.countAdoptedAtMost(s.Term, s.At) < g.Majority
 	}
 }
 
-// countNotPromisedBeyond counts the servers that answered a query sent at or
-// after the given time and had not promised to a term above the given one.
-func (g *GroupState) countNotPromisedBeyond(term uint64, since time.Time) int {
+// countAdoptedAtMost counts the servers that answered a query sent at or
+// after the given time and had not adopted a term above the given one.
+func (g *GroupState) countAdoptedAtMost(term uint64, since time.Time) int {
 	n := 0
 	for _, v := range g.Servers {
 		if !v.QueriedAt.IsZero() && !v.QueriedAt.Before(since) && v.Status.AdoptedTerm <= term {
--- a/state/lease.go
+++ b/state/lease.go
@@ -39,7 +39,7 @@
 	Confirmed  map[string]time.Time // by voter, the sending time of the latest query that it confirmed
 	StoreSince time.Time            // when this VM's lease object in the store was first seen to contain this incarnation; zero before
 	Hold       LeaseHold
-	Known      map[string]*VoterRecord // by VM name
+	Known      map[string]*VoterRecord // records as a voter, by VM name
 }
 
 // LeaseTable holds the lease on this VM's incarnation.
--- a/state/server.go
+++ b/state/server.go
@@ -21,7 +21,7 @@
 type ServerStatus struct {
 	Server      string
 	Role        Role
-	AdoptedTerm uint64      // highest term that the server has promised to
+	AdoptedTerm uint64      // highest term that the server has adopted; it no longer counts towards a majority under an earlier one
 	LogTerm     uint64      // term of the last log record held
 	Position    uint64      // position of the last log record held
 	Primary     string      // server that a replica follows
@@ -36,7 +36,7 @@
 }
 
 // Holds reports whether the server counts towards the majority that holds p:
-// its log contains p and it has promised to no later term.
+// its log contains p and it has adopted no later term.
 func (s *ServerStatus) Holds(p Point) bool {
 	return s.LogTerm == p.Term && s.AdoptedTerm == p.Term && s.Position >= p.Position
 }
@@ -87,10 +87,10 @@
 
 // ServerView is this VM's view of a backend server.
 type ServerView struct {
-	Status    ServerStatus
-	QueriedAt time.Time // sending time of the query that Status answers; zero if none
-	FailedAt  time.Time // latest failure after QueriedAt; zero if none
-	ReturnsAt time.Time // when the server returned to service; its weight ramps up from then on
+	Status     ServerStatus
+	QueriedAt  time.Time // sending time of the query that Status answers; zero if none
+	FailedAt   time.Time // latest failure after QueriedAt; zero if none
+	ReturnedAt time.Time // when the server returned to service; its weight ramps up from then on
 
 	Round                uint64    // latest round that the server answered
 	Outstanding          uint64    // round of the unanswered status query; zero if none
--- a/state/session.go
+++ b/state/session.go
@@ -18,7 +18,7 @@
 	PhaseExecuting                  // sent; waits for the answer
 	PhaseAcknowledging              // answered; waits until a majority holds the write
 	PhaseBackoff                    // waits before a retry
-	PhaseClosed                     // the client has disconnected
+	PhaseClosed                     // the session has ended
 )
 
 // Class determines how a request is routed.
@@ -30,7 +30,7 @@
 	ClassWrite                 // runs on the primary
 	ClassBegin                 // begins a transaction on the primary
 	ClassBeginRO               // begins a read-only transaction
-	ClassEnd                   // ends a transaction
+	ClassEnd                   // commits a transaction
 	ClassRollback              // rolls back a transaction
 	ClassSetting               // answered by the VM itself
 )
@@ -83,7 +83,7 @@
 	Customer string // customer whose limit the requests count against
 	Route    string
 	Key      KeyHash
-	HasKey   bool // false on open routes
+	HasKey   bool // the client presented a key
 	Token    Token
 	TokenSet bool // the client presented a token, so Token is complete
 
@@ -108,7 +108,7 @@
 	WriteRefusals   int       // number of times a backend server refused it as a write
 	MayHaveRun      bool      // an earlier attempt was sent and its result is unknown
 	Cancelled       bool      // a cancel request was sent while Conn was held
-	Excluded        string    // backend server that just failed this request
+	Excluded        string    // backend server that failed this request or refused it as a write; not chosen for the next attempt
 	PositionQueried string    // replica whose position was already queried for this request
 
 	InTransaction bool
--- a/state/statement/statement.go
+++ b/state/statement/statement.go
@@ -44,7 +44,7 @@
 type Prepared struct {
 	Name   string
 	Writes bool
-	Shape  string
+	Shape  string // text of the statement, as given in the Prepare request
 }
 
 // Value is a session variable with its value.
--- a/transport/lifecycle/lifecycle.go
+++ b/transport/lifecycle/lifecycle.go
@@ -89,7 +89,7 @@
 		return
 	}
 	for _, s := range drain.ReturnedServers(l.appliedConfig, c) {
-		l.Tables.Groups.With(s.Group, func(g *state.GroupState) { g.View(s.Name).ReturnsAt = now })
+		l.Tables.Groups.With(s.Group, func(g *state.GroupState) { g.View(s.Name).ReturnedAt = now })
 		l.warming[s] = now
 	}
 	l.appliedConfig = c
