--- a/coordination/failover/failover.go
+++ b/coordination/failover/failover.go
@@ -3,10 +3,10 @@
 // server or data centre is leaving.
 //
 // Safety depends only on the terms that servers adopt: a server is promoted only
-// after a majority has adopted the term, each server adopts a term once, and the
-// promoted server has the most advanced log of a majority of those that adopted
-// the term. It does not depend on which VMs act, or on how many act at once. The
-// functions change the given state and return effects; they do no I/O.
+// after a majority of the group has adopted the term, each server adopts a term
+// once, and the promoted server has the most advanced log of such a majority. It
+// does not depend on which VMs act, or on how many act at once. The functions
+// change the given state and return effects; they do no I/O.
 package failover
 
 import (
--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -342,15 +342,15 @@
 // RecordLag records that a replica lacked a requested point.
 func (g *Group) RecordLag(id string, now time.Duration) { g.server(id).lagUntil = now + lagPeriod }
 
-// ResetIfRestarted discards the observations of a server that was restarted
-// without its log. born is the server's start time in Unix milliseconds.
-func (g *Group) ResetIfRestarted(id string, born int64) {
+// ResetIfRestarted discards the observations of a server whose start time has
+// changed, because it may have lost its log. startMillis is in Unix milliseconds.
+func (g *Group) ResetIfRestarted(id string, startMillis int64) {
 	v := g.server(id)
-	if v.startTime == born {
+	if v.startTime == startMillis {
 		return
 	}
 	known := v.startTime != 0
-	v.startTime = born
+	v.startTime = startMillis
 	if known {
 		v.applied, v.denied, v.suspectUntil, v.lagUntil = state.Point{}, false, 0, 0
 		v.latency, v.failureRate = initialLatency, 0
--- a/coordination/membership/schedule.go
+++ b/coordination/membership/schedule.go
@@ -180,8 +180,8 @@
 // out of service may be switched off and is not addressed; if it runs, it addresses
 // the others itself. The VMs of a data centre that is out of service continue to
 // address each other, so that they keep their leases and can work as soon as the
-// data centre returns. The data of a seed is used only while there is neither a
-// member nor a listed VM of its name.
+// data centre returns. If the address of a VM is known from several sources, its
+// member entry takes precedence over a seed, and a seed over the configuration.
 func candidates(r Round) map[string]Peer {
 	known := make(map[string]Peer)
 	for _, s := range r.Seeds {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -159,8 +159,8 @@
 
 // FailoverCoordinator returns the failover coordinator, which orders promotions:
 // the VM with the longest uptime. A hash would return this duty to a VM that has
-// just restarted after a crash, and no primary is replaced while the duty changes
-// hands.
+// just restarted after a crash, and no primary is replaced until that VM has
+// claimed it.
 func (v *View) FailoverCoordinator() string {
 	var oldest *VM
 	for i := range v.VMs {
--- a/coordination/succession/succession_test.go
+++ b/coordination/succession/succession_test.go
@@ -46,19 +46,19 @@
 // failures there too late.
 func TestQueryIntervalGrowsWithGroups(t *testing.T) {
 	const (
-		planned    = 800             // groups
-		within     = 7 * time.Second // for a change of primary
-		detectLate = time.Second     // two consecutive queries that fail
-		promotion  = time.Second     // the order and its effect
+		groups        = 800
+		maxChangeTime = 7 * time.Second // for a change of primary
+		detection     = time.Second     // two consecutive queries that fail
+		promotion     = time.Second     // the order and its effect
 	)
 	if got := QueryInterval(3); got != confirmationInterval {
 		t.Errorf("interval of 3 groups: %v", got)
 	}
-	interval := QueryInterval(planned)
-	if interval+detectLate+promotion > within {
+	interval := QueryInterval(groups)
+	if interval+detection+promotion > maxChangeTime {
 		t.Errorf("an idle group is queried every %v", interval)
 	}
-	if perSecond := planned / interval.Seconds(); perSecond > 200 {
+	if perSecond := groups / interval.Seconds(); perSecond > 200 {
 		t.Errorf("%.0f queries per second", perSecond)
 	}
 }
@@ -76,6 +76,6 @@
 		t.Error("BestCandidate returned a leaving server")
 	}
 	if !Holds(state.Point{Term: 3, Position: 4}, state.Point{Term: 3, Position: 4}) || Holds(state.Point{Term: 3, Position: 3}, state.Point{Term: 3, Position: 4}) {
-		t.Error("Holds is wrong")
+		t.Error("Holds must be true for equal points and false for a shorter log")
 	}
 }
--- a/transport/directory/directory.go
+++ b/transport/directory/directory.go
@@ -143,7 +143,7 @@
 	d.waitForPeers(ctx, kind)
 	backoff := minBackoff
 	revision := uint64(0)
-	relist := false // the store has dropped the history that a watch needs
+	relist := false // the store has dropped the history that a watch needs, and no list has succeeded since
 	for ctx.Err() == nil {
 		if !d.fleet.View().Watches(string(kind)) && d.loaded(kind) && !d.shouldRecheck(kind) {
 			sleep(ctx, watchCheckInterval)
@@ -284,8 +284,8 @@
 	}
 	d.rebuildDeployment()
 	d.mu.Unlock()
-	// A VM that got the update from another one reports it only to the VMs that
-	// rely on this VM for updates.
+	// Watching VMs report the revision to all VMs, and the relay reports it to its
+	// data centre, whose VMs get their updates from the relay.
 	scope := fleetlink.None
 	view := d.fleet.View()
 	switch {
--- a/transport/directory/source.go
+++ b/transport/directory/source.go
@@ -14,9 +14,9 @@
 
 // Kinds of objects that VMs follow.
 const (
-	Configuration Kind = "configuration" // one object: the operators' configuration
-	Servers       Kind = "servers"       // registrations of backend servers
-	OutOfService  Kind = "out_of_service"
+	Configuration Kind = "configuration"  // one object: the operators' configuration
+	Servers       Kind = "servers"        // registrations of backend servers
+	OutOfService  Kind = "out_of_service" // data centres that are out of service
 )
 
 // Entry is an object at a revision of the store. At most one of Config and
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -131,10 +131,10 @@
 		f.store.setReached(inDataCentres("a"))
 		f.network.partition(isolate("c"))
 		f.change(customers(serveFor, true))
-		inTime := func(v *vm) bool {
+		refusedInAAndB := func(v *vm) bool {
 			return dataCentre(v.name) == "c" || v.check() == access.RevokedKey
 		}
-		f.within(5*time.Second, "revoked in a and b", inTime)
+		f.within(5*time.Second, "revoked in a and b", refusedInAAndB)
 		f.within(serveFor, "c refuses", func(v *vm) bool { return v.check() != access.None })
 		f.always(time.Minute, "c goes on refusing", func(v *vm) bool { return v.check() != access.None })
 		f.network.partition(nil)
--- a/transport/exchange/traffic_test.go
+++ b/transport/exchange/traffic_test.go
@@ -59,9 +59,9 @@
 					before[name] = usageOf(v)
 				}
 				started := cpuTime()
-				oldest := f.sampleAges(measured)
+				ages := f.sampleAges(measured)
 				used := cpuTime() - started
-				checkTraffic(t, f, before, measured, oldest, used)
+				checkTraffic(t, f, before, measured, ages, used)
 			})
 		})
 	}
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -160,10 +160,10 @@
 			l.handler.AbortTx(origin, tx)
 		}
 	case fleetwire.KindTokenRequest:
-		var h catalog.LimitPartition
+		var partition catalog.LimitPartition
 		var n int
-		if h, n, err = fleetwire.DecodeTokenRequest(f.Body); err == nil {
-			reply(fleetwire.KindTokenGrant, fleetwire.AppendNumber(nil, uint64(l.handler.GrantTokens(h, n))))
+		if partition, n, err = fleetwire.DecodeTokenRequest(f.Body); err == nil {
+			reply(fleetwire.KindTokenGrant, fleetwire.AppendNumber(nil, uint64(l.handler.GrantTokens(partition, n))))
 		}
 	case fleetwire.KindSnapshot:
 		reply(fleetwire.KindSnapshotReply, l.handler.UpdatesSince(f.Body))
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -51,7 +51,7 @@
 	// VMLost reports that this VM's link to another VM was lost.
 	VMLost(vm string)
 	// GrantTokens grants up to n tokens of a partition of a customer's limit.
-	GrantTokens(h catalog.LimitPartition, n int) int
+	GrantTokens(partition catalog.LimitPartition, n int) int
 	// PingBody returns the current body of pings. Pings are more frequent for a
 	// while after it has changed.
 	PingBody() []byte
--- a/transport/groups/groups_test.go
+++ b/transport/groups/groups_test.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// Guards against a primary that is not handed over when the configuration marks its
-// data centre as leaving.
+// Guards against a primary that keeps its role after the configuration has marked
+// its data centre as leaving.
 func TestLeavingPrimaryIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, true)
--- a/transport/promotion/order.go
+++ b/transport/promotion/order.go
@@ -165,7 +165,7 @@
 		if ok && succession.Holds(best.Received, last.Received) || time.Now().After(deadline) || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(catchUpInterval)
+		time.Sleep(pollInterval)
 	}
 	for range maxOrders {
 		if best.Server == nil || ctx.Err() != nil || c.promote(ctx, group, best, gs) {
@@ -201,7 +201,7 @@
 				return true
 			}
 		}
-		time.Sleep(catchUpInterval)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -43,9 +43,11 @@
 	maxOrders = 5
 	// catchUpTimeout is how long a switchover waits for a replica to receive the
 	// remaining log. Most replicas need tens of milliseconds.
-	catchUpTimeout  = 1200 * time.Millisecond
-	catchUpInterval = 25 * time.Millisecond
-	storeTimeout    = time.Second
+	catchUpTimeout = 1200 * time.Millisecond
+	// pollInterval separates the queries that wait for a replica to catch up or
+	// for a new primary to confirm its leadership.
+	pollInterval = 25 * time.Millisecond
+	storeTimeout = time.Second
 	// tokensPerClaim is the number of fencing tokens that a claim reserves.
 	// They allow the coordinator to order promotions while the store is
 	// unavailable.
@@ -90,7 +92,7 @@
 	Platform   Platform
 	Duties     Duties
 	Runner     Runner
-	Reports    sqlback.Dialect
+	Reports    sqlback.Dialect // decodes the servers' reports of role and position
 	Table      *catalog.Table
 	Leadership *leadership.Table
 	View       func() *placement.View
