--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -243,7 +243,7 @@
 	case !drain.AcceptsWork(drain.VMState(cfg, self.Name, self.DataCentre)):
 		return "leaving" // also for a VM that is out of service
 	case !v.limits.Usable():
-		return "no valid lease, or shares not computed yet"
+		return "not confirmed by its voters" // no valid lease, or shares not computed yet
 	}
 	return ""
 }
