--- a/cmd/chestnutbench/bench/result.go
+++ b/cmd/chestnutbench/bench/result.go
@@ -234,7 +234,7 @@
 		{Name: "stale reads", Breaks: v.StaleReads, First: v.Example},
 		{Name: "views older than their bound", Breaks: v.StaleViews, First: v.Example},
 		{Name: "acknowledged writes lost", Breaks: w.Lost, First: w.Example},
-		{Name: "writes committed more than once", Breaks: w.Duplicated + v.Duplicated, First: w.Example},
+		{Name: "writes doubled", Breaks: w.Duplicated + v.Duplicated, First: w.Example},
 		{Name: "writes run though refused", Breaks: w.CommittedThoughRefused, First: w.Example},
 		r.interruptionCheck(v),
 		r.rateLimitCheck(),
@@ -246,7 +246,7 @@
 // rateLimitCheck counts the requests by which customers exceeded their rate limit,
 // each in its worst interval.
 func (r *run) rateLimitCheck() Check {
-	c := Check{Name: "requests above the rate limit"}
+	c := Check{Name: "limits overspent"}
 	for name, l := range r.rateLimits {
 		if excess := l.excess(); excess > 0 {
 			c.Breaks += int(excess) + 1
@@ -259,15 +259,15 @@
 // interruptionCheck applies only to planned changes: faults may interrupt requests
 // and transactions.
 func (r *run) interruptionCheck(v violations) Check {
-	c := Check{Name: "requests interrupted", Breaks: v.Interrupted, First: v.Example}
+	c := Check{Name: "requests cut", Breaks: v.Interrupted, First: v.Example}
 	if r.scenario.unplanned {
-		c.NotChecked = fmt.Sprintf("faults are injected in this scenario; %d interrupted", v.Interrupted)
+		c.NotChecked = fmt.Sprintf("servers fail in this scenario; %d cut", v.Interrupted)
 	}
 	return c
 }
 
 func (r *run) revokedKeyCheck(v violations) Check {
-	c := Check{Name: "requests run with a revoked key", Breaks: v.RunAfterRevocation, First: v.Example}
+	c := Check{Name: "requests after a revoked key", Breaks: v.RunAfterRevocation, First: v.Example}
 	if len(r.collector.revokedCustomers()) == 0 {
 		c.NotChecked = "no key was revoked"
 	}
@@ -275,7 +275,7 @@
 }
 
 func (r *run) outOfServiceCheck() Check {
-	c := Check{Name: "statements in a data centre out of service", NotChecked: "no data centre was taken out of service and returned"}
+	c := Check{Name: "work in a data centre that left", NotChecked: "no data centre left"}
 	if out := r.outOfServiceWork; out != nil {
 		c.NotChecked, c.Breaks, c.First = "", int(out.statements), out.dataCentre
 	}
