--- a/coordination/share/borrow.go
+++ b/coordination/share/borrow.go
@@ -273,7 +273,7 @@
 
 // answerExpected reports whether a loan was requested and an answer is expected soon.
 func answerExpected(r *state.BorrowedLoan, now time.Time) bool {
-	return r.Phase == state.LoanRequested && now.Sub(r.AskedAt) < expectedAnswerTime
+	return r.Phase == state.LoanRequested && now.Sub(r.RequestedAt) < expectedAnswerTime
 }
 
 // borrowRateAndTokens requests loans of rate and burst, or of tokens alone.
--- a/coordination/share/plan.go
+++ b/coordination/share/plan.go
@@ -255,7 +255,7 @@
 		return
 	}
 	req.Number, req.Period = r.Number, r.Period
-	r.AskedAt = p.now
+	r.RequestedAt = p.now
 	r.Attempts++
 	p.appendRequest(r.Lender, req)
 }
@@ -276,7 +276,7 @@
 func (p *planner) resend(b *state.LoanBook, resource Resource, name string) {
 	for i := range b.Borrowed {
 		r := &b.Borrowed[i]
-		if r.Phase == state.LoanRequested && p.now.Sub(r.AskedAt) >= resendTimeout && r.Attempts < 2 {
+		if r.Phase == state.LoanRequested && p.now.Sub(r.RequestedAt) >= resendTimeout && r.Attempts < 2 {
 			p.sendRequest(b, r, LoanRequest{Resource: resource, Name: name, Rate: r.Rate, Burst: r.Burst, Units: r.Units})
 		}
 	}
@@ -287,7 +287,7 @@
 	if r.NotRenewable || r.EndsAt.Sub(p.now) > r.Period/2 {
 		return false
 	}
-	return p.now.Sub(r.AskedAt) >= resendTimeout
+	return p.now.Sub(r.RequestedAt) >= resendTimeout
 }
 
 // returnLoan stops using a loan and tells its lender. If the message is lost or full,
--- a/coordination/sqlsession/session_test.go
+++ b/coordination/sqlsession/session_test.go
@@ -187,7 +187,7 @@
 	}
 	latest := openSession(t, "latest")
 	latest.Handle(newRequest(statement.BeginReadOnly, ""), c)
-	if got := choose(latest.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || got.Statement.ReadOnlyTx || !got.Statement.Proves() {
+	if got := choose(latest.Handle(newRequest(statement.Read, "x"), c).Run); got.Server != "p" || got.Statement.ReadOnlyTx || !got.Statement.ConfirmsLeadership() {
 		t.Errorf("a read-only transaction on a route with consistency latest runs on %s as %+v", got.Server, got.Statement)
 	}
 	own.Handle(newRequest(statement.BeginReadOnly, ""), c)
--- a/golden_test.go
+++ b/golden_test.go
@@ -130,7 +130,7 @@
 func goldenLost(m dbgroup.BreakPoint) func(h *harness) {
 	return func(h *harness) {
 		c := h.connect(0, "")
-		h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: m})
+		h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Point: m})
 		if _, err := c.Exec(background, "INSERT INTO kv VALUES ('skin-1', 'free')", pgx.QueryExecModeSimpleProtocol); sqlState(err) != "08007" {
 			h.t.Errorf("lost connection: %v", err)
 		}
--- a/matrix/faults_test.go
+++ b/matrix/faults_test.go
@@ -157,7 +157,7 @@
 // of a request.
 func (r *scenarioRun) breakConnections(m dbgroup.BreakPoint) {
 	for _, s := range r.group.Servers() {
-		s.BreakConnections(dbgroup.ConnectionFault{Moment: m, Count: 1 + r.rng.IntN(4)})
+		s.BreakConnections(dbgroup.ConnectionFault{Point: m, Count: 1 + r.rng.IntN(4)})
 		r.onHeal(s.ClearFaults)
 	}
 }
--- a/node.go
+++ b/node.go
@@ -121,7 +121,7 @@
 	})
 	n.admission = admission.New(n.catalog, n.quota, n.links, o.Logger, o.Scope)
 	n.dispatcher = dispatch.New(dispatch.Options{
-		Self: o.Name, Links: n.links, Executor: n.executor, Gate: n.admission, Quota: n.quota, Leadership: n.leaders, Table: n.catalog, Logger: o.Logger,
+		Self: o.Name, Links: n.links, Executor: n.executor, Admission: n.admission, Quota: n.quota, Leadership: n.leaders, Table: n.catalog, Logger: o.Logger,
 	})
 	n.frontend = sqlfront.New(sqlfront.Options{
 		Network: o.Network, Address: o.ClientAddress, DataCentre: o.DataCentre, Dialect: o.ClientDialect, Pool: n.pool, Table: n.catalog,
--- a/session_test.go
+++ b/session_test.go
@@ -156,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(h *harness) {
 				c := h.connect(0, "")
-				h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: moment})
+				h.group.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Point: moment})
 				_, err := c.Exec(background, "APPEND log 'lot 7'")
 				if got := sqlState(err); got != "08007" {
 					t.Errorf("SQLSTATE %q, want 08007 (%v)", got, err)
@@ -209,7 +209,7 @@
 }
 
 func breakAfterCommit(g *dbgroup.Group) {
-	g.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Moment: dbgroup.AfterCommit})
+	g.Server("ledger-a").BreakConnections(dbgroup.ConnectionFault{Point: dbgroup.AfterCommit})
 }
 
 func pauseReplication(g *dbgroup.Group) {
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -21,9 +21,9 @@
 // AfterCommit apply to commits of transactions with changes. MidResponse applies
 // to statements that read or change data and, with a Match, to any statement.
 type ConnectionFault struct {
-	Moment BreakPoint
-	Match  string // substring of the statement text, for a commit that of its latest write; empty matches all
-	Count  int    // number of connections to break; zero means 1
+	Point BreakPoint
+	Match string // substring of the statement text, for a commit that of its latest write; empty matches all
+	Count int    // number of connections to break; zero means 1
 }
 
 // responseFault is a fault of the response to a statement.
@@ -101,7 +101,7 @@
 func (t *faultTable) takeBreak(m BreakPoint, text string, requireMatch bool) bool {
 	for i := range t.breaks {
 		b := &t.breaks[i]
-		if b.Moment != m || requireMatch && b.Match == "" || !strings.Contains(text, b.Match) {
+		if b.Point != m || requireMatch && b.Match == "" || !strings.Contains(text, b.Match) {
 			continue
 		}
 		b.Count--
--- a/standin/dbgroup/faults_test.go
+++ b/standin/dbgroup/faults_test.go
@@ -23,7 +23,7 @@
 		} {
 			c := env.mustConnect("a")
 			before := len(env.group.Commits())
-			a.BreakConnections(ConnectionFault{Moment: f.moment, Match: "APPEND"})
+			a.BreakConnections(ConnectionFault{Point: f.moment, Match: "APPEND"})
 			env.mustExec(c, "UPSERT kv ('k', 'v')")
 			if _, err := exec(c, "APPEND log 'x'"); err == nil {
 				t.Fatalf("moment %d: the statement was answered", f.moment)
--- a/state/share.go
+++ b/state/share.go
@@ -59,7 +59,7 @@
 	Units        int           // connections
 	Period       time.Duration // how long the loan may be used, counted from sending a request
 	EndsAt       time.Time     // end of use; the deadline of an unanswered request
-	AskedAt      time.Time     // when the latest request or renewal was sent
+	RequestedAt  time.Time     // when the latest request or renewal was sent
 	Attempts     int           // requests sent since the last answer
 	NotRenewable bool          // the lender does not renew it
 }
--- a/state/statement/remote.go
+++ b/state/statement/remote.go
@@ -50,8 +50,8 @@
 // primary.
 func (s *RemoteStatement) Wrapped() bool { return s.RequirePrimary && !s.BeginsTx && s.Tx == 0 }
 
-// Proves reports whether success of the statement confirms that the server is the
-// primary.
-func (s *RemoteStatement) Proves() bool {
+// ConfirmsLeadership reports whether success of the statement confirms that the
+// server is the primary.
+func (s *RemoteStatement) ConfirmsLeadership() bool {
 	return s.Command.Verb != Commit && (s.Writes() || s.RequirePrimary || s.BeginsTx && !s.ReadOnlyTx)
 }
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 	Self       string
 	Links      *fleetlink.Links
 	Executor   *sqlback.Executor
-	Gate       *admission.Controller
+	Admission  *admission.Controller
 	Quota      *quota.Table
 	Leadership *leadership.Table
 	Table      *catalog.Table
@@ -139,7 +139,7 @@
 func (d *Dispatcher) VMLost(vm string) { d.Quota.DropLender(vm) }
 
 // GrantTokens implements fleetlink.Handler.
-func (d *Dispatcher) GrantTokens(p catalog.LimitPartition, n int) int { return d.Gate.Grant(p, n) }
+func (d *Dispatcher) GrantTokens(p catalog.LimitPartition, n int) int { return d.Admission.Grant(p, n) }
 
 // UpdatesSince implements fleetlink.Handler.
 func (d *Dispatcher) UpdatesSince(known []byte) []byte { return d.directory.EncodeUpdates(known) }
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -59,7 +59,7 @@
 
 // Guards against a PostBlocking call that blocks forever because the pool stopped
 // while the queue was full.
-func TestStopUnblocksPostWait(t *testing.T) {
+func TestStopUnblocksPostBlocking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := startPool(t, 1)
 		block := make(chan struct{})
--- a/transport/sqlback/job.go
+++ b/transport/sqlback/job.go
@@ -211,7 +211,7 @@
 		a.At = j.beginPoint
 	}
 	r := statement.Result{Answer: a}
-	r.PrimaryConfirmed = ok && w.Proves()
+	r.PrimaryConfirmed = ok && w.ConfirmsLeadership()
 	keep := ok && a.State == statement.InTx && (w.BeginsTx || w.Tx != 0) && !j.aborted
 	if !keep {
 		if c.tx != 0 {
