--- a/cmd/chestnutbench/bench/collector.go
+++ b/cmd/chestnutbench/bench/collector.go
@@ -53,7 +53,7 @@
 // violations counts the violations of guarantees that clients observed.
 type violations struct {
 	StaleReads         int
-	StaleViews         int    // reads that were older than the route's bound
+	StaleViews         int    // reads that missed a write acknowledged longer ago than the route's staleness bound
 	Duplicated         int    // inserts that reported their own unique key as a duplicate
 	Interrupted        int    // requests that the fleet interrupted (see outcome.interrupted), and connections closed within a transaction
 	RunAfterRevocation int    // requests that ran after their API key was revoked
--- a/cmd/chestnutdemo/main.go
+++ b/cmd/chestnutdemo/main.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// runMode runs only the simulated store and database groups if a folder for settings is given, and otherwise
-// the demonstration.
+// runMode runs only the simulated store and database groups if a folder for
+// settings is given, and otherwise the demonstration.
 func runMode(standIns string, logger log.Interface) error {
 	if standIns != "" {
 		return serveStandIns(os.Stdout, standIns, logger)
--- a/cmd/chestnutdemo/standins.go
+++ b/cmd/chestnutdemo/standins.go
@@ -13,8 +13,8 @@
 )
 
 // serveStandIns runs only the simulated store and database groups, on loopback
-// addresses, and writes settings files with which the VMs run as separate processes. It returns on SIGTERM or
-// SIGINT.
+// addresses, and writes settings files with which the VMs run as separate
+// processes. It returns on SIGTERM or SIGINT.
 func serveStandIns(out io.Writer, folder string, logger log.Interface) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/node.go
+++ b/node.go
@@ -69,7 +69,9 @@
 	// other data centre. Primaries in the VM's own data centre keep confirming their
 	// leadership until VMs elsewhere have replaced them.
 	maxConfirmationAgeCutOff = 800 * time.Millisecond
-	isolationCheckInterval   = 100 * time.Millisecond
+	// pollInterval is the time between two checks for isolation and, during a drain,
+	// for remaining sessions and transactions.
+	pollInterval = 100 * time.Millisecond
 	// deregistrationDelay is how long the platform keeps sending new sessions to a
 	// VM that is not ready: it takes two failed checks, one second apart.
 	deregistrationDelay = 2200 * time.Millisecond
@@ -174,7 +176,7 @@
 // so that their clients reconnect to VMs that can serve them. It returns when ctx is
 // done.
 func (n *Node) watchIsolation(ctx context.Context) error {
-	ticker := time.NewTicker(isolationCheckInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -260,7 +262,7 @@
 		if elapsed >= n.options.Grace-exitMargin || elapsed >= deregistrationDelay && n.frontend.SessionCount() == 0 && n.executor.OpenCount() == 0 {
 			return
 		}
-		time.Sleep(isolationCheckInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/rank.go
+++ b/rank.go
@@ -39,10 +39,11 @@
 }
 
 // rank returns the number of VMs that are alive, in the data centres with a server of
-// the group, and have a higher rendezvous hash for the group than this VM; rank 0
-// acts first. watcher reports whether this VM monitors the group: its data centre
-// has a server of the group, and no VM there has a higher hash. For a group that is
-// not in the configuration, rank returns 0 and false.
+// the group, and have a higher rendezvous hash for the group than this VM. watcher
+// reports whether this VM monitors the group: its data centre has a server of the
+// group, and no VM there has a higher hash. The other VMs wait before a failover, the
+// longer the higher their rank. For a group that is not in the configuration, rank
+// returns 0 and false.
 func (v *VM) rank(group string) (rank int, watcher bool) {
 	cfg := v.tables.Config.Current()
 	if cfg == nil || cfg.Groups[group] == nil {
--- a/standin/managed/faults_test.go
+++ b/standin/managed/faults_test.go
@@ -350,7 +350,7 @@
 	inDeployment(t, smallDeployment, func(d *Deployment) {
 		vm := d.VM("vm-0-0")
 		c := connect(t, vm, "hedged", Database(Bounded, 1), 0)
-		for range 40 { // opens connections and earns the budget for hedged reads
+		for range 40 { // opens connections and fills the budget for hedged reads
 			mustDo(t, c, statement.Read, "x")
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/standin/managed/limits_test.go
+++ b/standin/managed/limits_test.go
@@ -27,7 +27,7 @@
 	o := smallDeployment
 	o.Rate = 60
 	inDeployment(t, o, func(d *Deployment) {
-		stop := startFlood(d)
+		stop := startOverload(d)
 		time.Sleep(6 * time.Second)
 		partition := d.Net.Partition(memnet.Hosts("vm-0-0"), memnet.Hosts("vm-0-1", "vm-1-0", "vm-1-1", "vm-2-0", "vm-2-1"))
 		time.Sleep(4 * time.Second)
@@ -48,14 +48,14 @@
 	})
 }
 
-// startFlood starts three clients of the first customer on every VM. The returned
+// startOverload starts three clients of the first customer on every VM. The returned
 // function stops them and waits until they have ended.
-func startFlood(d *Deployment) (stop func()) {
+func startOverload(d *Deployment) (stop func()) {
 	stopped := make(chan struct{})
 	var clients sync.WaitGroup
 	for name := range d.VMs {
 		for i := range 3 {
-			clients.Go(func() { flood(d, name, i, stopped) })
+			clients.Go(func() { overload(d, name, i, stopped) })
 		}
 	}
 	return func() {
@@ -64,9 +64,9 @@
 	}
 }
 
-// flood writes up to 100 times a second. The clients of all VMs together ask for
+// overload writes up to 100 times a second. The clients of all VMs together ask for
 // several times the limit.
-func flood(d *Deployment, vm string, client int, stop chan struct{}) {
+func overload(d *Deployment, vm string, client int, stop chan struct{}) {
 	for {
 		c, _ := d.VM(vm).Connect(vm+string(rune('a'+client)), Database(Latest, client%2), 0)
 		for c != nil {
@@ -217,7 +217,7 @@
 	o.Rate = 60
 	inDeployment(t, o, func(d *Deployment) {
 		names := slices.Sorted(maps.Keys(d.VMs))
-		stop := startFlood(d)
+		stop := startOverload(d)
 		time.Sleep(6 * time.Second)
 		for range 5 {
 			d.Net.Break(memnet.Hosts(names...), memnet.Hosts(names...))
--- a/standin/store/objects.go
+++ b/standin/store/objects.go
@@ -104,7 +104,7 @@
 	t.lists = append(t.lists, vmList{visibleAt: now.Add(t.lag), vms: slices.Clone(vms)})
 }
 
-// get returns the list that calls see at the time now, and forgets older ones.
+// get returns the list that calls see at the time now, and drops older ones.
 func (t *vmTable) get(now time.Time) []storeapi.VM {
 	t.mu.Lock()
 	defer t.mu.Unlock()
