--- a/cmd/chestnutbench/bench/collector.go
+++ b/cmd/chestnutbench/bench/collector.go
@@ -29,7 +29,7 @@
 	Offered        int
 	InTime         int // answered before the deadline
 	Answered       int
-	Failed         int // any other error
+	Failed         int // error other than those counted below
 	Refused        int
 	Unknown        int // outcome unknown, or timed out
 	ConnectionLost int
