--- a/cmd/chestnutbench/bench/outcome.go
+++ b/cmd/chestnutbench/bench/outcome.go
@@ -15,7 +15,7 @@
 
 const (
 	answered       status = iota // completed without an error
-	failed                       // any other error, or a COMMIT that rolled back
+	failed                       // error other than those below, or a COMMIT that rolled back
 	refused                      // not run: the error detail says so, or the connection was closed before the request was sent
 	unknown                      // 08007: the request may have run
 	connectionLost               // the connection ended without a response
--- a/standin/dbgroup/replication_test.go
+++ b/standin/dbgroup/replication_test.go
@@ -151,7 +151,7 @@
 }
 
 // Guards against two primaries in one term, and against orders of a lower term
-// than the adopted one, which a coordinator that was overtaken sends.
+// than the adopted one, which a coordinator sends whose term was superseded.
 func TestTermsFenceOldPrimaries(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, env *testEnv) {
 		env.mustRefuse("b", groupapi.PathPromote, groupapi.Order{Term: 1})
