--- a/standin/dbgroup/notifier.go
+++ b/standin/dbgroup/notifier.go
@@ -5,7 +5,7 @@
 // changeNotifier wakes goroutines that wait for a change of the log, term or open
 // transactions of any server.
 type changeNotifier struct {
-	mu      lockrank.Mutex // guards changed
+	mu      lockrank.Mutex // guards the fields below
 	changed chan struct{}
 	waiting bool // changed has been handed out
 }
