--- a/transport/exchange/fleet_test.go
+++ b/transport/exchange/fleet_test.go
@@ -107,7 +107,8 @@
 	encodeFails bool          // no VM can encode configurations
 }
 
-// incarnation has as many digits as a time in nanoseconds.
+// incarnation has as many digits as a time in nanoseconds, so that the measured
+// messages are as long as real ones.
 const incarnation = 1_900_000_000_000_000_000
 
 func newFleet(t *testing.T, perDataCentre int, dataCentres ...string) *fleet {
--- a/transport/fleetlink/dial.go
+++ b/transport/fleetlink/dial.go
@@ -80,8 +80,9 @@
 	k.failCalls()
 }
 
-// handleStatus handles the status of another VM and returns its name. For k see
-// applyStatus.
+// handleStatus handles the status of another VM and returns its name. k is the
+// link on which the status arrived if this VM dialled it, or nil if the other VM
+// did.
 func (l *Links) handleStatus(body []byte, k *link) string {
 	s, err := fleetwire.DecodeStatus(body)
 	if err != nil {
--- a/transport/fleetlink/fleetlink.go
+++ b/transport/fleetlink/fleetlink.go
@@ -165,7 +165,8 @@
 }
 
 // Scope determines which VMs receive a status change at once. The others
-// receive it together with the next change whose scope includes them.
+// receive it together with the next change whose scope includes them. The values
+// are in the order from the widest scope to the narrowest.
 type Scope uint8
 
 const (
@@ -305,8 +306,8 @@
 	return vm
 }
 
-// applyStatus applies the status of another VM. k is the link if this VM
-// dialled it, or nil if the other VM did.
+// applyStatus applies the status of another VM. k is the link on which the
+// status arrived if this VM dialled it, or nil if the other VM did.
 //
 // Incarnations are wall-clock times, which may go backwards between two runs of
 // a VM. The process that responds at the VM's address is the current one,
--- a/transport/groupctl/groupctl.go
+++ b/transport/groupctl/groupctl.go
@@ -10,10 +10,10 @@
 	"github.com/chestnutdyke/chestnutdyke/state"
 )
 
-// Client sends commands to one backend server. Every method returns when
-// ctx is done at the latest. If the server refuses a command, the method returns
-// the server's status and a *RefusedError. After any other error the status is empty, and the
-// server may or may not have executed the command.
+// Client sends commands to one backend server. Every method returns when ctx is
+// done at the latest. If the server refuses a command, the method returns the
+// server's status and a *RefusedError. After any other error the status is empty,
+// and the server may or may not have executed the command.
 type Client interface {
 	// Status returns the server's status and changes nothing.
 	Status(ctx context.Context) (state.ServerStatus, error)
--- a/transport/promotion/promotion.go
+++ b/transport/promotion/promotion.go
@@ -269,9 +269,9 @@
 	queriesLeft int           // queries that may still be sent
 }
 
-func (c *Coordinator) checkGroup(ctx context.Context, g *errgroup.Group, r *groupCheck, group string) {
-	now, d := clock.Now(), r.deployment
-	status := succession.GroupStatus{Now: now, Isolated: c.View().InMinority(), Interval: r.interval, RegisteredAt: d.RegisteredAt}
+func (c *Coordinator) checkGroup(ctx context.Context, g *errgroup.Group, check *groupCheck, group string) {
+	now, d := clock.Now(), check.deployment
+	status := succession.GroupStatus{Now: now, Isolated: c.View().InMinority(), Interval: check.interval, RegisteredAt: d.RegisteredAt}
 	c.Leadership.With(group, func(l *leadership.Group) {
 		status.Primary = l.Primary(d.GroupServers(group), now)
 		status.ConfirmedAt = l.ConfirmedAt()
@@ -296,8 +296,8 @@
 	status.Failures, status.Refusals, status.WatchedSince = gs.failures, gs.refusals, gs.watchedSince
 	switch succession.Decide(status) {
 	case succession.QueryPrimary:
-		if !gs.queryPending && r.queriesLeft > 0 {
-			r.queriesLeft--
+		if !gs.queryPending && check.queriesLeft > 0 {
+			check.queriesLeft--
 			gs.queryPending, gs.queriedAt = true, now
 			c.queryPrimary(group, status.Primary, gs)
 		}
