--- a/coordination/failover/answer.go
+++ b/coordination/failover/answer.go
@@ -58,8 +58,8 @@
 	if d.failover.Step != state.FailoverFollowing || c.Term != d.failover.Term {
 		return
 	}
-	delete(d.failover.Following, c.Server)
-	if len(d.failover.Following) == 0 {
+	delete(d.failover.FollowPending, c.Server)
+	if len(d.failover.FollowPending) == 0 {
 		d.failover.Step = state.FailoverIdle
 	}
 }
--- a/coordination/failover/attempt.go
+++ b/coordination/failover/attempt.go
@@ -266,11 +266,11 @@
 	d.emit(Announce{})
 	d.failover.Predecessor = ""
 	d.failover.Attempts = 0
-	d.failover.Following = make(map[string]bool)
+	d.failover.FollowPending = make(map[string]bool)
 	d.enterStep(state.FailoverFollowing, orderTimeout)
 	for i := range d.Group.Servers {
 		if name := d.Group.Servers[i].Name; name != d.failover.Candidate {
-			d.failover.Following[name] = true
+			d.failover.FollowPending[name] = true
 			d.sendOrder(Follow, name, d.failover.Term, d.failover.Candidate, orderTimeout)
 		}
 	}
--- a/coordination/session/answer.go
+++ b/coordination/session/answer.go
@@ -14,7 +14,7 @@
 // Values of PartKind.
 const (
 	PartData       PartKind = iota // rows and notices
-	PartPreamble                   // responses from before a statement runs: parsed, bound, described
+	PartPreamble                   // responses that precede the execution of a statement: parsed, bound, described
 	PartCompletion                 // completion of a statement
 	PartError                      // an error
 )
--- a/coordination/share/limits_test.go
+++ b/coordination/share/limits_test.go
@@ -29,7 +29,7 @@
 	At   time.Duration
 	Kind string
 	VM   int           // index among the VM names in order, modulo their number
-	For  time.Duration // how long the fault lasts; take out, put back: above 6 s, the whole data centre changes
+	For  time.Duration // how long the fault lasts; for take out and put back, above 6 s means the whole data centre instead of the VM
 }
 
 // plan describes one run of a fleet under faults.
--- a/coordination/share/plan.go
+++ b/coordination/share/plan.go
@@ -97,8 +97,8 @@
 }
 
 // planForArrival returns when Advance has to be called after a request of a customer,
-// or zero if it need not be. It has to be if the request waits, or if the demand is
-// about to exceed the bucket.
+// or zero if it need not be. It has to be if the request waits, or if the bucket is
+// less than half full and the demand is high enough to borrow rate.
 func planForArrival(s *state.Shares, c *state.CustomerShare, now time.Time) time.Time {
 	at := now
 	switch len(c.Waiters) {
--- a/coordination/sqlsession/route.go
+++ b/coordination/sqlsession/route.go
@@ -160,8 +160,8 @@
 	return Answer
 }
 
-// replaceCodeInTx replaces the code of a statement in an open transaction by the
-// client's. Any error ends the transaction, and only a commit that was sent can
+// replaceCodeInTx replaces the code of a statement that failed in an open
+// transaction by the code that the client receives. Any error ends the transaction, and only a commit that was sent can
 // have taken effect.
 func (o *Operation) replaceCodeInTx(a *statement.Answer) {
 	switch a.Code {
--- a/coordination/ticket/check_changes.go
+++ b/coordination/ticket/check_changes.go
@@ -25,9 +25,9 @@
 }
 
 // checkServerChanges refuses to add or remove more than one server of a group
-// at once. VMs apply a ticket at different times, so a majority of the old
-// servers and one of the new servers must share a server; otherwise an
-// acknowledged write can be lost. This holds only if they differ by one
+// at once. VMs apply a ticket at different times, so every majority of the old
+// servers must share a server with every majority of the new ones; otherwise an
+// acknowledged write can be lost. This holds only if the two sets differ by one
 // server.
 func checkServerChanges(f *findings, before, after *state.Group) {
 	path := objectPath(Groups, after.Name, "servers")
--- a/state/failover.go
+++ b/state/failover.go
@@ -35,19 +35,19 @@
 	LeavingSince   time.Time // when the primary was first known to be leaving; zero if it is not
 	SwitchingSince time.Time // when the primary was first seen to refuse writes for a switchover
 
-	Step        FailoverStep
-	Term        uint64                  // latest term that this VM tried to establish; never reused
-	Candidate   string                  // server to promote; known from the start of a planned switchover
-	Predecessor string                  // primary drained for this attempt; empty unless planned
-	Adopted     map[string]ServerStatus // by server, the status of each server that has adopted Term
-	Refused     map[string]bool         // servers that refuse to adopt Term
-	Following   map[string]bool         // servers that have not answered a follow order yet
-	StartedAt   time.Time               // start of the attempt
-	StepStarted time.Time
-	StepEnds    time.Time // deadline of the step
-	MajorityAt  time.Time // when a majority had adopted Term; zero until then
-	Attempts    int       // consecutive failed attempts
-	RetryAt     time.Time // no new attempt before this time
+	Step          FailoverStep
+	Term          uint64                  // latest term that this VM tried to establish; never reused
+	Candidate     string                  // server to promote; known from the start of a planned switchover
+	Predecessor   string                  // primary drained for this attempt; empty unless planned
+	Adopted       map[string]ServerStatus // by server, the status of each server that has adopted Term
+	Refused       map[string]bool         // servers that refuse to adopt Term
+	FollowPending map[string]bool         // servers that have not answered a follow order yet
+	StartedAt     time.Time               // start of the attempt
+	StepStarted   time.Time
+	StepEnds      time.Time // deadline of the step
+	MajorityAt    time.Time // when a majority had adopted Term; zero until then
+	Attempts      int       // consecutive failed attempts
+	RetryAt       time.Time // no new attempt before this time
 	// SwitchoverAt is the earliest time of the next planned switchover. It is
 	// separate from RetryAt so that a failed switchover does not delay a
 	// failover.
--- a/state/share.go
+++ b/state/share.go
@@ -151,7 +151,7 @@
 	Borrowed  map[uint64]LoanRef       // by loan number
 	Returned  map[string]ReturnedLoans // by borrower
 
-	HeldSince           time.Time // start of the lease hold in which the buckets were started
+	HeldSince           time.Time // start of the lease hold for which the buckets were last emptied
 	FirstProcess        bool      // no earlier process of this VM's name can have an outstanding loan
 	PredecessorLoansEnd time.Time // when connection loans of other processes of this name have ended
 }
