--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -22,7 +22,7 @@
 // to statements that read or change data and, with a Match, to any statement.
 type ConnectionFault struct {
 	Point BreakPoint
-	Match string // substring of the statement text, for a commit that of its latest write; empty matches all
+	Match string // substring of the statement text, or for a commit of the text of its latest write; empty matches all
 	Count int    // number of connections to break; zero means 1
 }
 
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -96,6 +96,7 @@
 }
 
 // SetOutage sets the outage that affects the calls of the named VM, or of all VMs for "".
+// Orders to promote are not affected.
 func (s *Store) SetOutage(vm string, o Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	s.answersToDrop, s.orderDelay = n, delay
 }
 
-// Calls returns the number of calls that VMs made.
+// Calls returns the number of calls that VMs made. Orders to promote do not count.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
