--- a/chestnutdyke.go
+++ b/chestnutdyke.go
@@ -134,8 +134,10 @@
 	adminListener    net.Listener // nil without Options.AdminAddress
 }
 
-// New creates a VM and opens its listeners. It serves once Run is called. The
-// error says which address cannot be listened on.
+// New creates a VM that listens for clients and operators. It serves, and listens
+// for other VMs, once Run is called. New fails if it cannot listen for clients or
+// operators, or if an option that the exchange with other VMs requires, such as
+// Name or Secret, is missing.
 func New(o Options) (*VM, error) {
 	o.setDefaults()
 	v := &VM{options: o, pool: pool.New(o.Workers), groupControl: groupctl.NewHTTP(o.Network)}
@@ -249,7 +251,8 @@
 }
 
 // Ready reports whether the VM accepts requests: it has a configuration, is in
-// service, holds a valid lease and has computed its shares.
+// service, holds a valid lease, which a majority of its voters confirms, and has
+// computed its shares.
 func (v *VM) Ready() bool { return v.notReadyReason() == "" }
 
 // Drain refuses new sessions, closes each session once it has neither a running
