--- a/coordination/lease/voter.go
+++ b/coordination/lease/voter.go
@@ -35,7 +35,7 @@
 // senderOutdated reports whether the sender uses a configuration that is known
 // to be replaced: it queries other voters than the current ones, or lacks a
 // ticket that all VMs have applied. This happens to processes that were paused
-// or partitioned for long while another process took over their name.
+// or cut off for long while another process took over their name.
 func senderOutdated(config *state.Config, agreed uint64, from string, q Query) bool {
 	if q.Ticket < agreed {
 		return true
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -55,7 +55,7 @@
 
 // DataCentreCutOff reports whether no VM of another data centre is alive although
 // VMs of two or more others are known. It is then more likely that this data
-// centre is partitioned than that all others have failed.
+// centre is cut off than that all others have failed.
 func (v *View) DataCentreCutOff() bool {
 	self := v.vm(v.Self)
 	others := make(map[string]bool)
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -153,8 +153,8 @@
 }
 
 // primaryHandoverPeriod is how long a primary that takes no new work still
-// receives operations that only a primary can run. Operators allow 5 s for
-// evacuations and 7 s for draining.
+// receives operations that only a primary can run. Operators allow 5 s for taking
+// a data centre out of service and 7 s for draining.
 const primaryHandoverPeriod = 3500 * time.Millisecond
 
 // GroupServers returns the servers of a group sorted by ID.
--- a/state/config.go
+++ b/state/config.go
@@ -39,9 +39,9 @@
 	Revoked bool
 }
 
-// CutOffPolicy limits how long a partitioned VM continues to serve a customer
-// whose keys may have been revoked in the meantime. A VM is partitioned if it
-// reaches neither the store nor another VM that does.
+// CutOffPolicy limits how long a VM that is cut off continues to serve a customer
+// whose keys may have been revoked in the meantime. A VM is cut off if it reaches
+// neither the store nor another VM that does.
 type CutOffPolicy struct {
 	Always   bool          // no limit
 	ServeFor time.Duration // limit unless Always is set
